--- a/crates/nutmeggrade-relay/src/front.rs
+++ b/crates/nutmeggrade-relay/src/front.rs
@@ -1,9 +1,9 @@
-//! Clients' connections.
+//! Accepts and serves clients' connections.
 
 mod connection;
-mod head_tap;
+mod connection_state;
+mod head_recorder;
 mod in_flight;
-mod tap_state;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,43 +17,42 @@
 use crate::dial::guard;
 use crate::node::{Node, Phase};
 
-/// Connections that may wait to be accepted; a few hundred clients may come in the same moment.
+/// Connections that may wait to be accepted; a few hundred clients may connect at once.
 const BACKLOG: u32 = 1_024;
-/// Bytes of answers that the kernel keeps for a client who reads slowly. Without it the kernel lets
-/// megabytes pile up for each connection before a write finds no room.
-const SEND_BUFFER: u32 = 128 << 10;
-/// Pause after a failed accept, as when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Descriptors kept for files, listeners, the store and peers.
-const RESERVED: usize = 300;
-/// Descriptors of a client with a request: its connection and the endpoint's.
-const PER_CLIENT: usize = 2;
-/// Memory of an open connection with its buffers, in bytes: what the library reads into, as much again for a
-/// whole head, and the tasks and states beside them. 1,877 connections with seven kilobytes of a head each
-/// took 46 MB, 25 KB each.
+/// Socket send buffer of a connection. Without this limit the kernel buffers megabytes for each
+/// slow client before a write blocks.
+const SEND_BUFFER_BYTES: u32 = 128 << 10;
+/// Delay after a failed accept, such as when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// File descriptors reserved for files, listeners, the store and peers.
+const RESERVED_DESCRIPTORS: usize = 300;
+/// File descriptors of a client with a request: its connection and the one to the endpoint.
+const DESCRIPTORS_PER_CLIENT: usize = 2;
+/// Memory of an open connection: hyper's read buffer, as much again for a whole head, and the tasks
+/// and their state. 1,877 connections with 7 KB of a head each took 46 MB, 25 KB each.
 const CONNECTION_BYTES: usize = 24 << 10;
 
-/// Opens the socket that clients connect to.
+/// Binds the socket that accepts client connections.
 ///
 /// # Errors
 ///
-/// Fails if the address is another program's or not this machine's.
+/// Fails if the address is in use or does not belong to this machine.
 pub fn bind(address: SocketAddr) -> anyhow::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
         SocketAddr::V6(_) => TcpSocket::new_v6(),
     };
     let socket = socket.context("open socket")?;
-    socket.set_reuseaddr(true).context("reuse address")?;
-    socket.set_send_buffer_size(SEND_BUFFER).context("send buffer")?;
+    socket.set_reuseaddr(true).context("set SO_REUSEADDR")?;
+    socket.set_send_buffer_size(SEND_BUFFER_BYTES).context("set SO_SNDBUF")?;
     socket.bind(address).with_context(|| format!("bind {address}"))?;
     socket.listen(BACKLOG).with_context(|| format!("listen on {address}"))
 }
 
-/// Serves clients until the instance closes and every connection has ended.
+/// Serves clients until the instance enters the closing phase and every connection has ended.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
-    let most = most_connections(&node);
-    let permits = Arc::new(Semaphore::new(most));
+    let max_connections = connection_limit(&node);
+    let permits = Arc::new(Semaphore::new(max_connections));
     let mut phases = node.phases();
     loop {
         let stream = tokio::select! {
@@ -61,9 +60,9 @@
             _ = phases.wait_for(|p| *p >= Phase::Closing) => break,
         };
         let Some(stream) = stream else { continue };
-        // A connection that is closed before its request was read is safely tried elsewhere.
+        // Closing before a request is read lets the client safely retry at another instance.
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
-            tracing::warn!(event = "connection_refused", most);
+            tracing::warn!(event = "connection_refused", most = max_connections);
             continue;
         };
         let node = Arc::clone(&node);
@@ -75,16 +74,17 @@
         });
     }
     drop(listener);
-    let all = u32::try_from(most).unwrap_or(u32::MAX);
+    let all_permits = u32::try_from(max_connections).unwrap_or(u32::MAX);
     // The semaphore is never closed, so this waits for the last connection.
-    drop(permits.acquire_many(all).await);
+    drop(permits.acquire_many(all_permits).await);
 }
 
-fn most_connections(node: &Node) -> usize {
+fn connection_limit(node: &Node) -> usize {
     let settings = node.settings();
-    let by_descriptors = settings.descriptors.saturating_sub(RESERVED) / PER_CLIENT;
-    let by_memory = settings.memory / 2 / CONNECTION_BYTES;
-    by_descriptors.min(by_memory).max(1)
+    let descriptor_limit =
+        settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / DESCRIPTORS_PER_CLIENT;
+    let memory_limit = settings.memory / 2 / CONNECTION_BYTES;
+    descriptor_limit.min(memory_limit).max(1)
 }
 
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
@@ -98,7 +98,7 @@
         },
         Err(error) => {
             tracing::warn!(event = "accept_failed", %error);
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
--- a/crates/nutmeggrade-relay/src/front/connection.rs
+++ b/crates/nutmeggrade-relay/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection.
+//! Serves a client's connection.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -11,42 +11,42 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::TcpStream;
 
-use super::head_tap::HeadTap;
-use super::in_flight::InFlight;
-use super::tap_state::TapState;
+use super::connection_state::ConnectionState;
+use super::head_recorder::HeadRecorder;
+use super::in_flight::InFlightBody;
 use crate::node::{Node, Phase};
 use crate::relay;
 use crate::tables::lock;
 
-/// Smallest buffer that the library takes for heads.
-const LEAST_BUFFER: usize = 8_192;
+/// Smallest read buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
 /// Serves one connection until it ends.
 pub async fn serve(node: &Arc<Node>, stream: TcpStream) {
     let limits = node.map().limits;
-    let state = Arc::new(Mutex::new(TapState::new(&limits, node.now())));
-    let tap = HeadTap::new(stream, Arc::clone(&state), node.clock);
+    let state = Arc::new(Mutex::new(ConnectionState::new(&limits, node.now())));
+    let stream = HeadRecorder::new(stream, Arc::clone(&state), node.clock);
     let service = service_fn(|request| answer(Arc::clone(node), Arc::clone(&state), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
         .max_header_size(limits.head_bytes)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
-        .serve_connection(TokioIo::new(tap), service);
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
+        .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let mut phases = node.phases();
     let mut is_closing = false;
     loop {
-        let look = node.now().after(limits.head_wait.min(limits.idle_wait));
+        let next_check = node.now().after(limits.head_wait.min(limits.idle_wait));
         tokio::select! {
-            ended = connection.as_mut() => {
-                if let Err(error) = ended {
+            result = connection.as_mut() => {
+                if let Err(error) = result {
                     tracing::debug!(event = "connection_broke", %error);
                 }
                 return;
             }
-            () = node.clock.until(look) => {
-                if lock(&state).is_overdue(&limits, node.now()) {
+            () = node.clock.until(next_check) => {
+                if lock(&state).is_timed_out(&limits, node.now()) {
                     return;
                 }
             }
@@ -60,14 +60,14 @@
 
 async fn answer(
     node: Arc<Node>,
-    state: Arc<Mutex<TapState>>,
+    state: Arc<Mutex<ConnectionState>>,
     request: Request<Incoming>,
-) -> Result<Response<InFlight>, Infallible> {
-    let record = lock(&state).start().freeze();
-    let mut response = relay::relay(&node, request, &record).await;
-    // Read last: a connection that is kept must not outlive the leaving phase.
+) -> Result<Response<InFlightBody>, Infallible> {
+    let head_bytes = lock(&state).start_request().freeze();
+    let mut response = relay::relay(&node, request, &head_bytes).await;
+    // Read after the response is ready: no connection may be kept alive past the leaving phase.
     if node.phase() > Phase::Serving {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(response.map(|body| InFlight::new(body, state, node.clock)))
+    Ok(response.map(|body| InFlightBody::new(body, state, node.clock)))
 }
--- a/crates/nutmeggrade-relay/src/front/head_tap.rs
+++ b/crates/nutmeggrade-relay/src/front/head_recorder.rs
@@ -1,4 +1,4 @@
-//! Keeps the bytes of request heads.
+//! Records the bytes of request heads.
 
 use std::io;
 use std::pin::Pin;
@@ -8,32 +8,32 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-use super::tap_state::TapState;
+use super::connection_state::ConnectionState;
 use crate::clock::Clock;
 use crate::tables::lock;
 
-/// A client's connection that keeps the bytes of request heads.
+/// A client's connection that records the bytes of request heads.
 ///
-/// A head may name both a length and a chunked body. The library then drops the length and reads
-/// chunks, while whoever is between the client and this process may have gone by the length; what one
-/// of them takes for the body the other takes for a further request, which nobody authorised. One
-/// would notice requests at endpoints that no client sent. The dropped header shows only in the
+/// A head may contain both `Content-Length` and `Transfer-Encoding: chunked`. hyper then drops the
+/// length and reads chunks, while a proxy in front of this process may have used the length. One of
+/// them takes for the body what the other takes for a further, unauthorized request, so endpoints
+/// would receive requests that no client sent. The dropped header is visible only in the recorded
 /// bytes.
 #[derive(Debug)]
-pub struct HeadTap {
+pub struct HeadRecorder {
     stream: TcpStream,
-    state: Arc<Mutex<TapState>>,
+    state: Arc<Mutex<ConnectionState>>,
     clock: Clock,
 }
 
-impl HeadTap {
+impl HeadRecorder {
     /// Wraps a connection.
-    pub fn new(stream: TcpStream, state: Arc<Mutex<TapState>>, clock: Clock) -> Self {
+    pub fn new(stream: TcpStream, state: Arc<Mutex<ConnectionState>>, clock: Clock) -> Self {
         Self { stream, state, clock }
     }
 }
 
-impl AsyncRead for HeadTap {
+impl AsyncRead for HeadRecorder {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -43,13 +43,13 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut this.stream).poll_read(cx, buf);
         if polled.is_ready() {
-            lock(&this.state).read(&buf.filled()[before..], this.clock.now());
+            lock(&this.state).record(&buf.filled()[before..], this.clock.now());
         }
         polled
     }
 }
 
-impl AsyncWrite for HeadTap {
+impl AsyncWrite for HeadRecorder {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/nutmeggrade-relay/src/front/in_flight.rs
+++ b/crates/nutmeggrade-relay/src/front/in_flight.rs
@@ -1,4 +1,4 @@
-//! An answer that is on its way.
+//! A response body that updates the state of its connection.
 
 use std::pin::Pin;
 use std::sync::{Arc, Mutex};
@@ -7,33 +7,33 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 
-use super::tap_state::TapState;
+use super::connection_state::ConnectionState;
 use crate::answer_body::{AnswerBody, BrokenOff};
 use crate::clock::Clock;
 use crate::tables::lock;
 
-/// The body of an answer that notes on its connection when it is over.
+/// A response body that marks the response as finished on its connection when dropped.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct InFlightBody {
     body: AnswerBody,
-    state: Arc<Mutex<TapState>>,
+    state: Arc<Mutex<ConnectionState>>,
     clock: Clock,
 }
 
-impl InFlight {
-    /// Wraps the body of an answer.
-    pub fn new(body: AnswerBody, state: Arc<Mutex<TapState>>, clock: Clock) -> Self {
+impl InFlightBody {
+    /// Wraps a response body.
+    pub fn new(body: AnswerBody, state: Arc<Mutex<ConnectionState>>, clock: Clock) -> Self {
         Self { body, state, clock }
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightBody {
     fn drop(&mut self) {
-        lock(&self.state).end(self.clock.now());
+        lock(&self.state).finish_response(self.clock.now());
     }
 }
 
-impl Body for InFlight {
+impl Body for InFlightBody {
     type Data = Bytes;
     type Error = BrokenOff;
 
