--- a/crates/nutmeggrade-relay/src/relay.rs
+++ b/crates/nutmeggrade-relay/src/relay.rs
@@ -1,19 +1,19 @@
-//! One request of a client, from its head to the end of its answer.
+//! Serves a client's request, from its head to the end of the response.
 
-mod call;
+mod admission;
+mod client_request;
 mod crash;
-mod end;
-mod escape;
 mod exchange;
 mod framing;
-mod intake;
+mod handler;
+mod migration;
 mod pending;
-mod place;
-mod plain;
 mod refusal;
-mod search;
-mod splice;
+mod reservation;
+mod response;
+mod resume;
 mod stream;
+mod transfer_end;
 mod upstream;
 
 use std::sync::Arc;
@@ -24,14 +24,14 @@
 use crate::answer_body::AnswerBody;
 use crate::node::Node;
 
-/// Serves one request. `record` holds the bytes that its head came in.
+/// Serves one request. `head_bytes` holds the bytes of its head as received.
 pub async fn relay(
     node: &Arc<Node>,
     request: Request<Incoming>,
-    record: &[u8],
+    head_bytes: &[u8],
 ) -> Response<AnswerBody> {
-    match intake::read(node, request, record).await {
-        Ok(call) => search::serve(node, call).await,
+    match admission::admit(node, request, head_bytes).await {
+        Ok(request) => handler::serve(node, request).await,
         Err(refused) => {
             refused.log(node);
             refusal::response(&refused.failure)
--- a/crates/nutmeggrade-relay/src/relay/admission.rs
+++ b/crates/nutmeggrade-relay/src/relay/admission.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request and finds its route.
+//! Reads, authorizes and routes a client's request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,146 +12,155 @@
 use nutmeggrade_core::routing::{Access, Route, RouteMap, WorkspaceKey};
 use nutmeggrade_wire::request::{self, Asked};
 
-use super::call::Call;
+use super::client_request::ClientRequest;
 use super::crash;
 use super::framing;
-use super::refusal::Refused;
+use super::refusal::RefusedRequest;
 use crate::node::Node;
 use crate::tables::lock;
 
-/// How long a client waits that does not say.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Timeout of a request whose client states none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Time after which a client may come back that needs only another instance.
-const OTHER_ENTRY: Duration = Duration::from_millis(20);
+/// `Retry-After` of a request that only has to go to another instance.
+const OTHER_INSTANCE_DELAY: Duration = Duration::from_millis(20);
 
-/// Time after which a client may come back whose request is held back.
-const HELD_RETURN: Duration = Duration::from_secs(10);
+/// `Retry-After` of a request that is held because it is suspected of crashing endpoints.
+const CRASH_HOLD_DELAY: Duration = Duration::from_secs(10);
 
-/// Reads a request and finds its route, its workspace and its service.
-pub async fn read(
+/// Reads a request and determines its route, workspace and service. `head_bytes` holds the bytes of
+/// its head as received.
+pub async fn admit(
     node: &Arc<Node>,
     request: Request<Incoming>,
-    record: &[u8],
-) -> Result<Call, Refused> {
-    let arrived = node.now();
+    head_bytes: &[u8],
+) -> Result<ClientRequest, RefusedRequest> {
+    let arrived_at = node.now();
     let (head, body) = request.into_parts();
-    let early = |failure| Refused { id: None, failure };
-    framing::check(&head.headers, head.version, record).map_err(early)?;
-    let asked = request::read(&head).map_err(early)?;
+    let refuse_without_id = |failure| RefusedRequest { id: None, failure };
+    framing::check(&head.headers, head.version, head_bytes).map_err(refuse_without_id)?;
+    let asked = request::read(&head).map_err(refuse_without_id)?;
     let id = asked.id.clone();
-    let refuse = |failure| Refused { id: Some(id.clone()), failure };
+    let refuse = |failure| RefusedRequest { id: Some(id.clone()), failure };
     let map = node.map();
-    let (route, holder) = admit(node, &map, &head, &asked).map_err(refuse)?;
+    let (route, key) = authorize(node, &map, &head, &asked).map_err(refuse)?;
     let Some(service) = route.pick(rand::random::<f64>()) else {
         return Err(refuse(Failure::new(Code::NoEndpoint, "the route has no service")));
     };
-    let patience = asked.patience.unwrap_or(PATIENCE).min(route.timeout);
-    let deadline = arrived.after(patience);
-    if let Some(stays) = node.stays() {
-        check_end(node, &route, &asked, stays).map_err(refuse)?;
+    let timeout = asked.patience.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let deadline = arrived_at.after(timeout);
+    if let Some(time_left) = node.stays() {
+        check_shutdown(node, &route, &asked, time_left).map_err(refuse)?;
     }
-    let body = whole(node, body, &map, deadline).await.map_err(refuse)?;
-    let fingerprint = crash::fingerprint(holder.as_ref(), &head.uri, asked.prompt.as_ref(), &body);
-    if lock(&node.tables).crashes.holds(&fingerprint, arrived) {
-        let why = "endpoints died under this request again and again";
-        return Err(refuse(Failure::new(Code::CrashHeld, why).with_retry_after(HELD_RETURN)));
+    let body = read_body(node, body, &map, deadline).await.map_err(refuse)?;
+    let fingerprint = crash::fingerprint(key.as_ref(), &head.uri, asked.prompt.as_ref(), &body);
+    if lock(&node.tables).crashes.holds(&fingerprint, arrived_at) {
+        let detail = "endpoints crashed repeatedly while running this request";
+        return Err(refuse(
+            Failure::new(Code::CrashHeld, detail).with_retry_after(CRASH_HOLD_DELAY),
+        ));
     }
-    let priority = holder.as_ref().and_then(|h| h.priority).unwrap_or(route.priority);
-    Ok(Call {
+    let priority = key.as_ref().and_then(|k| k.priority).unwrap_or(route.priority);
+    Ok(ClientRequest {
         id: asked.id,
         method: head.method,
-        target: head.uri,
+        uri: head.uri,
         headers: head.headers,
         body,
         service: service.clone(),
-        workspace: holder.map(|h| h.workspace),
+        workspace: key.map(|k| k.workspace),
         priority,
         prompt: asked.prompt,
         fingerprint,
         position: asked.position,
-        arrived,
+        arrived_at,
         deadline,
         route,
     })
 }
 
-/// Finds the route of a request, and whom its key belongs to.
-fn admit(
+/// Finds the route of a request and the workspace of its key. A public route needs no key.
+fn authorize(
     node: &Node,
     map: &RouteMap,
     head: &Parts,
     asked: &Asked,
 ) -> Result<(Arc<Route>, Option<WorkspaceKey>), Failure> {
     if map.version == 0 {
-        return Err(come_back(node, Code::NotReady, "no configuration yet"));
+        return Err(retry_later(node, Code::NotReady, "no configuration yet"));
     }
     let host = head.headers.get(header::HOST).and_then(|h| h.to_str().ok()).unwrap_or_default();
     let Some(route) = map.route(host, head.uri.path()) else {
-        return Err(absent(node, Code::NoRoute, "no route has this host and path"));
+        return Err(not_configured(node, Code::NoRoute, "no route has this host and path"));
     };
     match map.access(route, asked.key.as_deref()) {
         Access::Open => Ok((Arc::clone(route), None)),
-        Access::Workspace(holder) => Ok((Arc::clone(route), Some(holder))),
-        Access::Unknown => Err(absent(node, Code::UnknownKey, "no workspace has this key")),
+        Access::Workspace(key) => Ok((Arc::clone(route), Some(key))),
+        Access::Unknown => Err(not_configured(node, Code::UnknownKey, "no workspace has this key")),
     }
 }
 
-/// Refuses what the configuration does not hold, unless a newer one may hold it.
+/// Returns the failure for a route or key that the configuration lacks.
 ///
-/// An instance that can't read the store may be behind. To say that there is no such route or key
-/// would be wrong where it was added since, and a client does not come back after that.
-fn absent(node: &Node, code: Code, why: &str) -> Failure {
+/// While the store is unreachable the configuration may be out of date, and the route or key may
+/// have been added since. The failure then asks the client to retry, since a client gives up after
+/// a final one.
+fn not_configured(node: &Node, code: Code, detail: &str) -> Failure {
     if node.follow.is_config_away() {
-        return come_back(node, Code::Outdated, why);
+        return retry_later(node, Code::Outdated, detail);
     }
-    Failure::new(code, why)
+    Failure::new(code, detail)
 }
 
-/// Refuses a request that could not end before this instance does.
+/// Refuses a request that is expected to outlast this instance.
 ///
-/// Its answer would be cut in the middle, and a client may not repeat what has run.
-fn check_end(node: &Node, route: &Route, asked: &Asked, stays: Duration) -> Result<(), Failure> {
-    let takes = match &asked.prompt {
+/// Its response would be cut off at shutdown, and a client may not repeat a request that ran.
+fn check_shutdown(
+    node: &Node,
+    route: &Route,
+    asked: &Asked,
+    time_left: Duration,
+) -> Result<(), Failure> {
+    let expected = match &asked.prompt {
         Some(prompt) => lock(&node.tables).pace.time(prompt.expected()),
         None => route.target,
     };
-    if takes < stays {
+    if expected < time_left {
         return Ok(());
     }
-    let why = format!("this instance ends in {} ms; use another", stays.as_millis());
-    Err(Failure::new(Code::Leaving, &why).with_retry_after(OTHER_ENTRY))
+    let detail = format!("this instance shuts down in {} ms; use another", time_left.as_millis());
+    Err(Failure::new(Code::Leaving, &detail).with_retry_after(OTHER_INSTANCE_DELAY))
 }
 
-fn come_back(node: &Node, code: Code, why: &str) -> Failure {
-    let wait = lock(&node.tables).dispatcher.return_time();
-    Failure::new(code, why).with_retry_after(wait)
+fn retry_later(node: &Node, code: Code, detail: &str) -> Failure {
+    let delay = lock(&node.tables).dispatcher.return_time();
+    Failure::new(code, detail).with_retry_after(delay)
 }
 
-/// Reads the whole body within the limits in force.
-async fn whole(
+/// Reads the whole body, up to the configured size and the deadline.
+async fn read_body(
     node: &Node,
     body: Incoming,
     map: &RouteMap,
     deadline: Moment,
 ) -> Result<Bytes, Failure> {
-    let most = map.limits.body_bytes;
+    let max_bytes = map.limits.body_bytes;
     let too_large = || Failure::new(Code::BodyTooLarge, "the body is larger than the limit");
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large());
     }
-    let read = Limited::new(body, most).collect();
+    let read = Limited::new(body, max_bytes).collect();
     tokio::select! {
-        read = read => match read {
-            Ok(whole) => Ok(whole.to_bytes()),
+        result = read => match result {
+            Ok(collected) => Ok(collected.to_bytes()),
             Err(error) if error.is::<LengthLimitError>() => Err(too_large()),
             Err(error) => Err(Failure::new(Code::BadFraming, &format!("body: {error}"))),
         },
         () = node.clock.until(deadline) => {
-            Err(Failure::new(Code::BodyTimeout, "the body did not come in time"))
+            Err(Failure::new(Code::BodyTimeout, "the body did not arrive before the deadline"))
         }
     }
 }
--- a/crates/nutmeggrade-relay/src/relay/client_request.rs
+++ b/crates/nutmeggrade-relay/src/relay/client_request.rs
@@ -1,4 +1,4 @@
-//! A request that is to be served.
+//! A client's request after it was read and routed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,71 +11,72 @@
 use nutmeggrade_policy::Ticket;
 use nutmeggrade_policy::dispatch::Need;
 
-/// Rank of requests whose route or workspace has a rank that engines don't know.
-const LAST_RANK: u8 = 9;
+/// Lowest priority that engines accept; requests of lower priority are sent with this one.
+const LOWEST_ENGINE_PRIORITY: u8 = 9;
 
-/// Part of the time that users are content with in which a request may wait for room; the rest is
-/// for the answer's beginning.
-const FRESH: f64 = 0.8;
+/// Share of the route's target time that a request may spend in the queue and still meet the
+/// target; the rest is for the start of the response.
+const FRESH_SHARE: f64 = 0.8;
 
-/// A request that is to be served.
+/// A client's request with its route, service and deadline.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct ClientRequest {
     /// Id of the client's attempt.
     pub id: RequestId,
     /// The method.
     pub method: Method,
     /// Path and query, as the client sent them.
-    pub target: Uri,
+    pub uri: Uri,
     /// The client's headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Its route.
+    /// The route that matches host and path.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// The service selected from the route's splits.
     pub service: ServiceId,
-    /// The workspace that its key belongs to.
+    /// The workspace that the client's key belongs to; `None` without a known key.
     pub workspace: Option<WorkspaceId>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Tells requests with the same content apart from others.
+    /// Hash of workspace, path, prompt and body; equal for requests with the same content.
     pub fingerprint: Fingerprint,
-    /// Its prompt.
+    /// The prompt, if the request carries one.
     pub prompt: Option<Prompt>,
-    /// The last event that the client has.
+    /// The last event that the client has received.
     pub position: Option<EventPosition>,
-    /// When it came.
-    pub arrived: Moment,
-    /// When its client or its route gives it up.
+    /// When the request arrived.
+    pub arrived_at: Moment,
+    /// When the timeout of the client or the route ends.
     pub deadline: Moment,
 }
 
-impl Call {
-    /// Returns what the request takes of an endpoint.
-    pub fn need(&self, ticket: Ticket, anybody: &WorkspaceId) -> Need {
+impl ClientRequest {
+    /// Returns what the request needs from an endpoint. A request without a key counts towards the
+    /// workspace `anonymous`.
+    pub fn need(&self, ticket: Ticket, anonymous: &WorkspaceId) -> Need {
         let prompt = self.prompt.as_ref();
         Need {
             ticket,
-            workspace: self.workspace.as_ref().unwrap_or(anybody).clone(),
+            workspace: self.workspace.as_ref().unwrap_or(anonymous).clone(),
             service: self.service.clone(),
             priority: self.priority,
             prompt: prompt.map_or(0, |p| p.tokens),
             memory: prompt.map_or(0, |p| p.tokens + p.expected()),
             avoid: std::collections::BTreeSet::new(),
-            fresh_until: self.arrived.after(self.route.target.mul_f64(FRESH)),
+            fresh_until: self.arrived_at.after(self.route.target.mul_f64(FRESH_SHARE)),
             from: None,
             is_canary: false,
         }
     }
 
-    /// Returns the rank that engines are told, if the request goes to one.
-    pub fn engine_rank(&self) -> Option<u8> {
-        self.prompt.as_ref().map(|_| self.priority.min(LAST_RANK))
+    /// Returns the priority to send to an engine, or `None` for requests without a prompt.
+    pub fn engine_priority(&self) -> Option<u8> {
+        self.prompt.as_ref().map(|_| self.priority.min(LOWEST_ENGINE_PRIORITY))
     }
 
-    /// Returns how long the request is waited for.
-    pub fn left(&self, now: Moment) -> Duration {
+    /// Returns the time until the deadline.
+    pub fn time_left(&self, now: Moment) -> Duration {
         self.deadline.since(now)
     }
 }
--- a/crates/nutmeggrade-relay/src/relay/crash.rs
+++ b/crates/nutmeggrade-relay/src/relay/crash.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint died under a request.
+//! Detects whether an endpoint crashed while it ran a request.
 
 use std::io;
 use std::sync::Arc;
@@ -8,16 +8,16 @@
 use nutmeggrade_core::peer::{Crashed, Fingerprint, FleetMessage};
 use nutmeggrade_core::routing::{EndpointInfo, Prompt, WorkspaceKey};
 
-use super::call::Call;
+use super::client_request::ClientRequest;
 use crate::dial::dial;
 use crate::node::Node;
 use crate::probes;
 use crate::tables::lock;
 
-/// Returns what requests of the same workspace with the same path, prompt and body have in common.
+/// Returns a hash of a request's workspace, path, prompt and body.
 pub fn fingerprint(
-    holder: Option<&WorkspaceKey>,
-    target: &Uri,
+    key: Option<&WorkspaceKey>,
+    uri: &Uri,
     prompt: Option<&Prompt>,
     body: &Bytes,
 ) -> Fingerprint {
@@ -26,8 +26,8 @@
         hasher.update(&(bytes.len() as u64).to_le_bytes());
         hasher.update(bytes);
     };
-    add(holder.map_or("", |h| h.workspace.as_str()).as_bytes());
-    add(target.path_and_query().map_or("", |p| p.as_str()).as_bytes());
+    add(key.map_or("", |k| k.workspace.as_str()).as_bytes());
+    add(uri.path_and_query().map_or("", |p| p.as_str()).as_bytes());
     for part in prompt.iter().flat_map(|p| &p.parts) {
         add(&part.id.to_le_bytes());
     }
@@ -36,20 +36,25 @@
     std::array::from_fn(|i| hash.as_bytes()[i])
 }
 
-/// Looks whether the endpoint that lost a request died, and tells everybody if it did.
+/// Checks in the background whether the endpoint that lost a request crashed, and reports a crash
+/// to all instances.
 ///
-/// A connection that breaks says little: links fail, and endpoints that leave end what they run. An
-/// endpoint that stays in the registry and accepts no connection has crashed. One that accepts is checked.
-pub fn look(node: &Arc<Node>, call: &Call, endpoint: &EndpointInfo) {
-    let stays = lock(&node.tables).registry.get(&endpoint.id).is_some_and(|e| !e.info.leaving);
-    if !stays {
+/// A broken connection alone proves little: links fail, and leaving endpoints end their requests.
+/// An endpoint that is registered as staying and accepts no connection has crashed. One that
+/// accepts a connection is probed.
+pub fn check_endpoint(node: &Arc<Node>, request: &ClientRequest, endpoint: &EndpointInfo) {
+    let is_staying = lock(&node.tables).registry.get(&endpoint.id).is_some_and(|e| !e.info.leaving);
+    if !is_staying {
         return;
     }
     let node = Arc::clone(node);
-    let id = call.id.clone();
+    let request_id = request.id.clone();
     let endpoint = endpoint.clone();
-    let crashed =
-        Crashed { request: call.fingerprint, endpoint: endpoint.id.clone(), born: endpoint.born };
+    let crashed = Crashed {
+        request: request.fingerprint,
+        endpoint: endpoint.id.clone(),
+        born: endpoint.born,
+    };
     tokio::spawn(async move {
         let Err(error) = dial(endpoint.address).await else {
             probes::start(&node, &endpoint);
@@ -58,7 +63,8 @@
         if error.kind() == io::ErrorKind::ConnectionRefused {
             node.announce_gone(&crashed.endpoint);
         }
-        tracing::info!(event = "endpoint_crashed", request = %id, endpoint = %crashed.endpoint);
+        tracing::info!(event = "endpoint_crashed", request = %request_id,
+            endpoint = %crashed.endpoint);
         lock(&node.tables).crashes.note(&crashed, node.now());
         node.tell(FleetMessage::Crashed(crashed));
     });
--- a/crates/nutmeggrade-relay/src/relay/exchange.rs
+++ b/crates/nutmeggrade-relay/src/relay/exchange.rs
@@ -1,4 +1,4 @@
-//! Hands a request to an endpoint and reads the head of its answer.
+//! Sends a request to an endpoint and reads the head of the response.
 
 use std::fmt;
 use std::io;
@@ -15,156 +15,160 @@
 use nutmeggrade_wire::answer::{self, Answered};
 use nutmeggrade_wire::request::{self, ResumeFrom, Sending};
 
-use super::call::Call;
-use super::upstream::{EndOnDrop, Upstream};
+use super::client_request::ClientRequest;
+use super::upstream::{AbortOnDrop, UpstreamBody};
 use crate::dial::dial;
 use crate::node::Node;
 use crate::tables::lock;
 
-/// What is said of one send beyond the request itself.
+/// Parameters of a send that resumes a stream; the default is a first send.
 #[derive(Debug, Clone, Default)]
-pub struct Extra {
-    /// The last event that the client has.
+pub struct SendOptions {
+    /// The last event that the client has received.
     pub position: Option<EventPosition>,
-    /// The memory that the generation goes on from.
+    /// The copied memory that the generation resumes from.
     pub resume: Option<ResumeFrom>,
 }
 
-/// An answer whose head has come.
+/// An endpoint's response whose head was received.
 #[derive(Debug)]
-pub struct Answer {
-    /// Its head.
+pub struct EndpointResponse {
+    /// Status and headers.
     pub head: Parts,
-    /// What the head says.
-    pub said: Answered,
-    /// Its body.
-    pub upstream: Upstream,
-    /// When the request went out.
-    pub sent: Moment,
+    /// Status and platform headers, parsed.
+    pub parsed: Answered,
+    /// The body.
+    pub body: UpstreamBody,
+    /// When the request was sent.
+    pub sent_at: Moment,
 }
 
-impl Answer {
-    /// Says whether it is a stream of events that the endpoint makes.
-    pub fn is_events(&self) -> bool {
-        let kind = self.head.headers.get(header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
-        self.said.status.is_success() && kind.is_some_and(|k| k.starts_with("text/event-stream"))
+impl EndpointResponse {
+    /// Returns whether the response is a successful event stream.
+    pub fn is_event_stream(&self) -> bool {
+        let content_type =
+            self.head.headers.get(header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
+        self.parsed.status.is_success()
+            && content_type.is_some_and(|t| t.starts_with("text/event-stream"))
     }
 }
 
-/// Why a send brought no answer.
+/// Why a send produced no usable response.
 #[derive(Debug)]
-pub enum NoAnswer {
-    /// Not a byte of the request went out.
+pub enum SendError {
+    /// The connection failed before any byte was sent.
     NotSent(String),
-    /// Nobody listens at the endpoint's address; not a byte went out.
-    Gone,
-    /// The endpoint may get nothing new any more; not a byte went out.
-    Leaving,
-    /// The request went out, and nothing that belongs to it came back.
+    /// The connection was refused, so no process listens at the address; no byte was sent.
+    ConnectionRefused,
+    /// The endpoint accepts no new requests; no byte was sent.
+    EndpointLeaving,
+    /// The request was sent, but no response that belongs to it was received.
     Lost(String),
-    /// The request went out, and no answer came in time.
-    Silent,
+    /// The request was sent, but no response arrived before the timeout.
+    TimedOut,
 }
 
-impl fmt::Display for NoAnswer {
+impl fmt::Display for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotSent(why) => write!(f, "not sent: {why}"),
-            Self::Gone => f.write_str("not sent: nobody listens at the endpoint's address"),
-            Self::Leaving => f.write_str("not sent: the endpoint leaves"),
-            Self::Lost(why) => write!(f, "lost: {why}"),
-            Self::Silent => f.write_str("no answer in time"),
+            Self::NotSent(reason) => write!(f, "request not sent: {reason}"),
+            Self::ConnectionRefused => f.write_str("request not sent: connection refused"),
+            Self::EndpointLeaving => f.write_str("request not sent: endpoint is leaving"),
+            Self::Lost(reason) => write!(f, "response lost: {reason}"),
+            Self::TimedOut => f.write_str("no response before the timeout"),
         }
     }
 }
 
-/// Hands a request to an endpoint on a connection of its own, and waits at most `patience` for the
-/// head of its answer.
+/// Sends a request to an endpoint on a new connection and waits up to `timeout` for the response
+/// head.
 ///
-/// On a kept connection the endpoint may close just as the request goes out, and a late answer to
-/// an earlier request may come first. With a fresh one a failed connect proves that nothing ran, and
-/// all that comes back is meant for this request. The endpoint's standing is asked for when the
-/// connection stands, immediately before the first byte: connecting takes time in which it may leave.
-pub async fn exchange(
+/// An endpoint may close a reused connection while the request is being sent, or deliver a late
+/// response to an earlier request on it. On a new connection a failed connect proves that nothing
+/// ran, and every byte received belongs to this request. The registry is checked after connecting,
+/// immediately before the first byte: the endpoint may start to leave while the connection is set
+/// up.
+pub async fn send_request(
     node: &Arc<Node>,
-    call: &Call,
+    client_request: &ClientRequest,
     endpoint: &EndpointInfo,
-    extra: &Extra,
-    patience: Duration,
-) -> Result<Answer, NoAnswer> {
+    options: &SendOptions,
+    timeout: Duration,
+) -> Result<EndpointResponse, SendError> {
     let stream = dial(endpoint.address).await.map_err(|e| match e.kind() {
-        io::ErrorKind::ConnectionRefused => NoAnswer::Gone,
-        _ => NoAnswer::NotSent(e.to_string()),
+        io::ErrorKind::ConnectionRefused => SendError::ConnectionRefused,
+        _ => SendError::NotSent(e.to_string()),
     })?;
     let (mut sender, connection) = http1::handshake::<_, Full<bytes::Bytes>>(TokioIo::new(stream))
         .await
-        .map_err(|e| NoAnswer::NotSent(e.to_string()))?;
-    let connection = EndOnDrop(tokio::spawn(async move {
+        .map_err(|e| SendError::NotSent(e.to_string()))?;
+    let connection = AbortOnDrop(tokio::spawn(async move {
         if let Err(error) = connection.await {
             tracing::debug!(event = "endpoint_connection_broke", %error);
         }
     }));
-    let is_continued = extra.resume.is_some();
-    if !note_send(node, endpoint, is_continued) {
-        return Err(NoAnswer::Leaving);
+    let is_resume = options.resume.is_some();
+    if !record_send(node, endpoint, is_resume) {
+        return Err(SendError::EndpointLeaving);
     }
-    let sent = node.now();
-    let request =
-        build(node, call, endpoint, extra).map_err(|e| NoAnswer::NotSent(e.to_string()))?;
+    let sent_at = node.now();
+    let request = build_request(node, client_request, endpoint, options)
+        .map_err(|e| SendError::NotSent(e.to_string()))?;
     let response = tokio::select! {
         response = sender.send_request(request) => response,
-        () = tokio::time::sleep(patience) => return Err(NoAnswer::Silent),
+        () = tokio::time::sleep(timeout) => return Err(SendError::TimedOut),
     };
-    let response = response.map_err(|e| NoAnswer::Lost(e.to_string()))?;
+    let response = response.map_err(|e| SendError::Lost(e.to_string()))?;
     let (head, body) = response.into_parts();
-    let said = answer::read(&head);
-    check(&head, &said, &call.id)?;
-    Ok(Answer { head, said, upstream: Upstream::new(body, connection), sent })
+    let parsed = answer::read(&head);
+    check_response(&head, &parsed, &client_request.id)?;
+    Ok(EndpointResponse { head, parsed, body: UpstreamBody::new(body, connection), sent_at })
 }
 
-/// Counts a request that goes out now; says whether it may. What goes on from a copy may always.
-fn note_send(node: &Node, endpoint: &EndpointInfo, is_continued: bool) -> bool {
+/// Records a send and returns whether the endpoint accepts it. Resuming from a copy is always
+/// allowed.
+fn record_send(node: &Node, endpoint: &EndpointInfo, is_resume: bool) -> bool {
     let mut tables = lock(&node.tables);
-    let may = is_continued || tables.registry.may_send(&endpoint.id);
-    if may {
+    let is_allowed = is_resume || tables.registry.may_send(&endpoint.id);
+    if is_allowed {
         tables.rollouts.note_sent(&endpoint.service, endpoint.version.as_ref());
     }
-    may
+    is_allowed
 }
 
-/// Tells answers that belong to the request from all others.
-fn check(head: &Parts, said: &Answered, id: &RequestId) -> Result<(), NoAnswer> {
+/// Checks that the response belongs to the request, and that a successful one is signed.
+fn check_response(head: &Parts, parsed: &Answered, id: &RequestId) -> Result<(), SendError> {
     match answer::belongs(head, id.as_str()) {
         Some(true) => {}
-        Some(false) => return Err(NoAnswer::Lost("the answer is another request's".to_owned())),
-        // Refusals may come before the endpoint has read the id.
-        None if !said.status.is_success() => {}
-        None => return Err(NoAnswer::Lost("the answer names no request".to_owned())),
+        Some(false) => return Err(SendError::Lost("response to another request".to_owned())),
+        // An endpoint may reject a request before it has read the id.
+        None if !parsed.status.is_success() => {}
+        None => return Err(SendError::Lost("response without a request id".to_owned())),
     }
-    if said.status.is_success() && !said.signed {
-        return Err(NoAnswer::Lost("the answer is not signed".to_owned()));
+    if parsed.status.is_success() && !parsed.signed {
+        return Err(SendError::Lost("response is not signed".to_owned()));
     }
     Ok(())
 }
 
-fn build(
+fn build_request(
     node: &Node,
-    call: &Call,
+    client_request: &ClientRequest,
     endpoint: &EndpointInfo,
-    extra: &Extra,
+    options: &SendOptions,
 ) -> http::Result<Request<Full<bytes::Bytes>>> {
     let sending = Sending {
         endpoint: &endpoint.id,
-        left: call.left(node.now()),
-        workspace: call.workspace.as_ref(),
-        priority: call.engine_rank(),
-        position: extra.position,
-        resume: extra.resume.as_ref(),
+        left: client_request.time_left(node.now()),
+        workspace: client_request.workspace.as_ref(),
+        priority: client_request.engine_priority(),
+        position: options.position,
+        resume: options.resume.as_ref(),
     };
     let mut request = Request::builder()
-        .method(call.method.clone())
-        .uri(call.target.clone())
-        .body(Full::new(call.body.clone()))?;
-    *request.headers_mut() = request::write(&call.headers, &sending);
+        .method(client_request.method.clone())
+        .uri(client_request.uri.clone())
+        .body(Full::new(client_request.body.clone()))?;
+    *request.headers_mut() = request::write(&client_request.headers, &sending);
     Ok(request)
 }
--- a/crates/nutmeggrade-relay/src/relay/framing.rs
+++ b/crates/nutmeggrade-relay/src/relay/framing.rs
@@ -1,4 +1,4 @@
-//! Whether a request's head says in one way only where the request ends.
+//! Rejects request heads with ambiguous framing, to prevent request smuggling.
 
 use http::{HeaderMap, Version, header};
 use nutmeggrade_core::prelude::*;
@@ -6,42 +6,46 @@
 const TRANSFER_ENCODING: &[u8] = b"transfer-encoding";
 const CONTENT_LENGTH: &[u8] = b"content-length";
 
-/// Refuses heads that others on the way may have read differently.
+/// Rejects heads that an intermediary may have framed differently. `head_bytes` holds the bytes of
+/// the head as received.
 ///
 /// # Errors
 ///
-/// Fails if the host is missing or named twice, or if the head names a chunked body in any way but
-/// the plain one. `record` holds the bytes that the head came in.
-pub fn check(headers: &HeaderMap, version: Version, record: &[u8]) -> Result<(), Failure> {
-    let bad = |why| Err(Failure::new(Code::BadFraming, why));
+/// Fails if the version is not HTTP/1.1, if the `Host` header is missing or repeated, or if there is
+/// a `Transfer-Encoding` other than a single `chunked` without `Content-Length`.
+pub fn check(headers: &HeaderMap, version: Version, head_bytes: &[u8]) -> Result<(), Failure> {
+    let reject = |detail| Err(Failure::new(Code::BadFraming, detail));
     if version != Version::HTTP_11 {
-        return bad("not HTTP/1.1");
+        return reject("the HTTP version is not 1.1");
     }
     if headers.get_all(header::HOST).iter().count() != 1 {
-        return bad("not one host");
+        return reject("the Host header is missing or repeated");
     }
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let Some(coding) = codings.next() else { return Ok(()) };
     if codings.next().is_some() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked") {
-        return bad("a body that is not plainly chunked");
+        return reject("the only supported Transfer-Encoding is chunked");
     }
-    match head_of(record) {
-        Some(head) if names(head, TRANSFER_ENCODING) == 1 && names(head, CONTENT_LENGTH) == 0 => {
+    match find_head(head_bytes) {
+        Some(head)
+            if count_header(head, TRANSFER_ENCODING) == 1
+                && count_header(head, CONTENT_LENGTH) == 0 =>
+        {
             Ok(())
         }
-        Some(_) => bad("a body with a length that is also chunked"),
-        // It came while the answer before it was on its way, so its bytes were not kept.
-        None => bad("a chunked body right behind another request"),
+        Some(_) => reject("Transfer-Encoding is repeated or combined with Content-Length"),
+        // The head arrived while the previous response was being sent, so it was not recorded.
+        None => reject("a chunked request is pipelined after another request"),
     }
 }
 
-fn head_of(record: &[u8]) -> Option<&[u8]> {
-    let end = record.windows(4).position(|w| w == b"\r\n\r\n")?;
-    Some(&record[..end])
+fn find_head(bytes: &[u8]) -> Option<&[u8]> {
+    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n")?;
+    Some(&bytes[..end])
 }
 
-fn names(head: &[u8], name: &[u8]) -> usize {
-    let is_named =
+fn count_header(head: &[u8], name: &[u8]) -> usize {
+    let has_name =
         |line: &&[u8]| line.get(..name.len()).is_some_and(|start| start.eq_ignore_ascii_case(name));
-    head.split(|b| *b == b'\n').filter(is_named).count()
+    head.split(|b| *b == b'\n').filter(has_name).count()
 }
--- a/crates/nutmeggrade-relay/src/relay/handler.rs
+++ b/crates/nutmeggrade-relay/src/relay/handler.rs
@@ -1,4 +1,4 @@
-//! Looks for an endpoint that answers a request.
+//! Sends a request to endpoints until one of them answers it or no further attempt is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,325 +12,343 @@
 use nutmeggrade_policy::dispatch::{Health, Need};
 use nutmeggrade_state::attempt::Attempt;
 
-use super::call::Call;
+use super::client_request::ClientRequest;
 use super::crash;
-use super::exchange::{Answer, Extra, NoAnswer, exchange};
-use super::pending::Pending;
-use super::place::{self, Place};
-use super::{plain, refusal, stream};
+use super::exchange::{EndpointResponse, SendError, SendOptions, send_request};
+use super::pending::PendingRequest;
+use super::reservation::{self, Reservation};
+use super::{refusal, response, stream};
 use crate::answer_body::AnswerBody;
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Connections that may fail before a request is given up. An endpoint that died is in the registry
-/// for three of its heartbeats; when several die together, the third is mostly a live one.
-const MOST_UNSENT: u32 = 4;
-/// Part of the time left that a first endpoint gets to answer a request that a second one may
-/// answer too.
-const FIRST_TRY: u32 = 3;
-/// Time after which whoever was refused by an endpoint may come back: a few steps of an engine.
-const RETURN: Duration = Duration::from_millis(300);
+/// Unsent attempts after which a request fails. A crashed endpoint stays in the registry for three
+/// of its heartbeats; when several crash together, the third attempt mostly reaches a live one.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
+/// While an idempotent request may still be sent elsewhere, an endpoint gets the time left divided
+/// by this.
+const ATTEMPT_TIME_DIVISOR: u32 = 3;
+/// `Retry-After` of a request that did not run: the time of a few engine steps.
+const NOT_RUN_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What the search found.
-enum Found {
-    /// A whole answer.
-    Whole(Parts, Bytes),
-    /// An answer of which only the head is read.
-    Begun(Box<Begun>),
+/// The response that ends the handling of a request.
+enum FinalResponse {
+    /// The body was read completely.
+    Buffered(Parts, Bytes),
+    /// Only the head was read.
+    Open(Box<OpenResponse>),
 }
 
-/// An answer of which only the head is read, and the place it comes from.
-pub struct Begun {
-    /// The answer.
-    pub answer: Answer,
-    /// The place at its endpoint.
-    pub place: Place,
+/// A response whose body is still to be read, with the reservation at its endpoint.
+pub struct OpenResponse {
+    /// The response.
+    pub response: EndpointResponse,
+    /// The reservation at the endpoint.
+    pub reservation: Reservation,
 }
 
-/// Whether the search goes on after a send.
-enum Step {
-    Done(Found),
-    Again,
+/// Whether another endpoint is tried after a send.
+enum SendStep {
+    Done(FinalResponse),
+    Retry,
 }
 
-/// Looks for an endpoint that answers a request.
-pub struct Search {
+/// Sends one client's request to endpoints and tracks its attempts.
+pub struct RequestHandler {
     node: Arc<Node>,
     /// The request.
-    pub call: Call,
-    /// What may be said and done about it.
+    pub request: ClientRequest,
+    /// Tracks the sends and whether the request may have run.
     pub attempt: Attempt,
     need: Need,
-    unsent: u32,
-    last: Option<(Parts, Bytes)>,
-    pending: Pending,
+    unsent_attempts: u32,
+    failed_response: Option<(Parts, Bytes)>,
+    pending: PendingRequest,
 }
 
-/// Serves a request that may be served.
-pub async fn serve(node: &Arc<Node>, call: Call) -> Response<AnswerBody> {
-    let mut search = Search::new(node, call);
-    let deadline = search.call.deadline;
+/// Serves an admitted request.
+pub async fn serve(node: &Arc<Node>, request: ClientRequest) -> Response<AnswerBody> {
+    let mut handler = RequestHandler::new(node, request);
+    let deadline = handler.request.deadline;
     let result = tokio::select! {
-        result = search.run() => result,
-        () = node.clock.until(deadline) => Err(search.overdue()),
+        result = handler.run() => result,
+        () = node.clock.until(deadline) => Err(handler.deadline_failure()),
     };
     match result {
-        Ok(Found::Whole(head, body)) => {
-            search.log_answer(&head, false);
-            plain::response(head, AnswerBody::whole(body))
+        Ok(FinalResponse::Buffered(head, body)) => {
+            handler.log_response(&head, false);
+            response::from_endpoint(head, AnswerBody::whole(body))
         }
-        Ok(Found::Begun(begun)) => {
-            search.log_answer(&begun.answer.head, true);
-            if begun.answer.is_events() {
-                stream::start(node, search, *begun)
+        Ok(FinalResponse::Open(open)) => {
+            handler.log_response(&open.response.head, true);
+            if open.response.is_event_stream() {
+                stream::start(node, handler, *open)
             } else {
-                plain::forward(node, &search.call, *begun)
+                response::forward(node, &handler.request, *open)
             }
         }
         Err(failure) => {
-            search.log_failure(&failure);
+            handler.log_failure(&failure);
             refusal::response(&failure)
         }
     }
 }
 
-impl Search {
-    fn new(node: &Arc<Node>, call: Call) -> Self {
+impl RequestHandler {
+    fn new(node: &Arc<Node>, request: ClientRequest) -> Self {
         let settings = node.settings();
-        let mut need = call.need(node.ticket(), &node.anybody);
-        let share = lock(&node.tables).count_request(&call.service, &settings, call.arrived);
-        need.is_canary = share > rand::random();
+        let mut need = request.need(node.ticket(), &node.anybody);
+        let canary_share =
+            lock(&node.tables).count_request(&request.service, &settings, request.arrived_at);
+        need.is_canary = canary_share > rand::random();
         Self {
             node: Arc::clone(node),
-            attempt: Attempt::new(call.route.kind, call.route.attempts),
-            pending: Pending::new(node, &call.id, call.arrived),
-            call,
+            attempt: Attempt::new(request.route.kind, request.route.attempts),
+            pending: PendingRequest::new(node, &request.id, request.arrived_at),
+            request,
             need,
-            unsent: 0,
-            last: None,
+            unsent_attempts: 0,
+            failed_response: None,
         }
     }
 
-    async fn run(&mut self) -> Result<Found, Failure> {
+    async fn run(&mut self) -> Result<FinalResponse, Failure> {
         loop {
-            let place = match place::find(&self.node, &self.call, &self.need).await {
-                Ok(place) => place,
-                Err(failure) => return self.without_place(failure),
-            };
-            match self.send(place).await? {
-                Step::Done(found) => return Ok(found),
-                Step::Again => self.need.ticket = self.node.ticket(),
+            let reservation =
+                match reservation::reserve(&self.node, &self.request, &self.need).await {
+                    Ok(reservation) => reservation,
+                    Err(failure) => return self.finish_without_room(failure),
+                };
+            match self.send(reservation).await? {
+                SendStep::Done(response) => return Ok(response),
+                SendStep::Retry => self.need.ticket = self.node.ticket(),
             }
         }
     }
 
-    /// Ends a search that found no room: with the answer of an earlier endpoint, if there is one.
-    fn without_place(&mut self, failure: Failure) -> Result<Found, Failure> {
-        match self.last.take() {
-            Some((head, body)) => Ok(Found::Whole(head, body)),
+    /// Returns an earlier endpoint's error response, if there is one, or the failure.
+    fn finish_without_room(&mut self, failure: Failure) -> Result<FinalResponse, Failure> {
+        match self.failed_response.take() {
+            Some((head, body)) => Ok(FinalResponse::Buffered(head, body)),
             None if self.attempt.run() == Run::NotRun => Err(failure),
             None => Err(self.failure(Code::OutcomeUnknown, &failure.detail)),
         }
     }
 
-    async fn send(&mut self, place: Place) -> Result<Step, Failure> {
-        let endpoint = place.endpoint.clone();
-        // A new version that fails a request gets it once.
+    async fn send(&mut self, reservation: Reservation) -> Result<SendStep, Failure> {
+        let endpoint = reservation.endpoint.clone();
+        // A request that fails at a new version is not sent to that version again.
         self.need.is_canary = false;
         self.pending.endpoint = Some(endpoint.id.clone());
         self.attempt.send();
-        let patience = self.patience();
-        let sent = exchange(&self.node, &self.call, &endpoint, &Extra::default(), patience).await;
-        match sent {
-            Ok(answer) if answer.said.misdirected => {
+        let timeout = self.send_timeout();
+        let result =
+            send_request(&self.node, &self.request, &endpoint, &SendOptions::default(), timeout)
+                .await;
+        match result {
+            Ok(response) if response.parsed.misdirected => {
                 self.attempt.misdirected();
-                self.note("misdirected", &endpoint.id);
-                // The endpoint that was meant is gone, whatever the registry still says of it.
+                self.record_send("misdirected", &endpoint.id);
+                // The intended endpoint is gone, even if the registry still lists it.
                 self.node.announce_leaving(std::slice::from_ref(&endpoint.id));
-                if !self.node.take_resend(&self.call.service) {
+                if !self.node.take_resend(&self.request.service) {
                     return Err(self.failure(Code::NoRoom, "another endpoint has the address"));
                 }
-                self.next_unsent(&endpoint.id, "another endpoint has the address")
+                self.retry_unsent(&endpoint.id, "another endpoint has the address")
             }
-            Ok(answer) if answer.said.not_run => {
+            Ok(response) if response.parsed.not_run => {
                 self.attempt.refused();
-                self.note("refused", &endpoint.id);
-                self.next(&endpoint.id, "the endpoint is full", Code::NoRoom)
+                self.record_send("refused", &endpoint.id);
+                self.retry_or_finish(&endpoint.id, "the endpoint has no room", Code::NoRoom)
             }
-            Ok(answer) => self.take(answer, place).await,
-            Err(NoAnswer::NotSent(why)) => {
+            Ok(response) => self.handle_response(response, reservation).await,
+            Err(SendError::NotSent(reason)) => {
                 self.attempt.not_sent();
-                self.note("not_sent", &endpoint.id);
+                self.record_send("not_sent", &endpoint.id);
                 self.node.note_health(&endpoint.id, Health::lost);
-                self.next_unsent(&endpoint.id, &why)
+                self.retry_unsent(&endpoint.id, &reason)
             }
-            Err(NoAnswer::Gone) => {
+            Err(SendError::ConnectionRefused) => {
                 self.attempt.not_sent();
-                self.note("not_sent", &endpoint.id);
+                self.record_send("not_sent", &endpoint.id);
                 self.node.note_health(&endpoint.id, Health::lost);
                 self.node.announce_gone(&endpoint.id);
-                self.next_unsent(&endpoint.id, "nobody listens at the endpoint's address")
+                self.retry_unsent(&endpoint.id, "the endpoint refused the connection")
             }
-            Err(NoAnswer::Leaving) => {
+            Err(SendError::EndpointLeaving) => {
                 self.attempt.not_sent();
-                self.next_unsent(&endpoint.id, "the endpoint leaves")
+                self.retry_unsent(&endpoint.id, "the endpoint is leaving")
             }
-            Err(NoAnswer::Silent) => {
+            Err(SendError::TimedOut) => {
                 self.attempt.lost();
-                self.note_outcome(&endpoint, Outcome::Failed);
-                self.note("silent", &endpoint.id);
+                self.record_outcome(&endpoint, Outcome::Failed);
+                self.record_send("silent", &endpoint.id);
                 self.node.note_health(&endpoint.id, Health::failed);
-                self.next(&endpoint.id, "no answer in time", Code::DeadlinePassed)
+                self.retry_or_finish(&endpoint.id, "no response in time", Code::DeadlinePassed)
             }
-            Err(NoAnswer::Lost(why)) => {
+            Err(SendError::Lost(reason)) => {
                 self.attempt.lost();
-                self.note_outcome(&endpoint, Outcome::Failed);
-                crash::look(&self.node, &self.call, &endpoint);
-                self.note("lost", &endpoint.id);
+                self.record_outcome(&endpoint, Outcome::Failed);
+                crash::check_endpoint(&self.node, &self.request, &endpoint);
+                self.record_send("lost", &endpoint.id);
                 self.node.note_health(&endpoint.id, Health::lost);
-                self.next(&endpoint.id, &why, Code::OutcomeUnknown)
+                self.retry_or_finish(&endpoint.id, &reason, Code::OutcomeUnknown)
             }
         }
     }
 
-    /// Takes an answer whose head has come.
-    async fn take(&mut self, answer: Answer, place: Place) -> Result<Step, Failure> {
-        let is_stream = answer.is_events();
-        let is_large = answer.said.length.is_some_and(|l| l > plain::MOST_KEPT as u64);
-        let took = self.node.now().since(answer.sent);
+    /// Handles a response whose head was received: leaves a stream or a large body open, and reads
+    /// any other body.
+    async fn handle_response(
+        &mut self,
+        response: EndpointResponse,
+        reservation: Reservation,
+    ) -> Result<SendStep, Failure> {
+        let is_stream = response.is_event_stream();
+        let is_large =
+            response.parsed.length.is_some_and(|l| l > response::MAX_BUFFERED_BYTES as u64);
+        let elapsed = self.node.now().since(response.sent_at);
         if is_stream || is_large {
             self.attempt.answer();
             if !is_stream {
-                self.note_outcome(&place.endpoint, Outcome::First(took));
+                self.record_outcome(&reservation.endpoint, Outcome::First(elapsed));
             }
-            self.note("answered", &place.endpoint.id);
-            return Ok(Step::Done(Found::Begun(Box::new(Begun { answer, place }))));
+            self.record_send("answered", &reservation.endpoint.id);
+            return Ok(SendStep::Done(FinalResponse::Open(Box::new(OpenResponse {
+                response,
+                reservation,
+            }))));
         }
-        let endpoint = place.endpoint.id.clone();
-        let Answer { head, said, upstream, .. } = answer;
-        let body = match plain::read_whole(upstream).await {
+        let endpoint = reservation.endpoint.id.clone();
+        let EndpointResponse { head, parsed, body, .. } = response;
+        let body = match response::read_body(body).await {
             Ok(body) => body,
-            Err(why) => {
+            Err(reason) => {
                 self.attempt.lost();
-                self.note_outcome(&place.endpoint, Outcome::Failed);
-                self.note("broken", &endpoint);
+                self.record_outcome(&reservation.endpoint, Outcome::Failed);
+                self.record_send("broken", &endpoint);
                 self.node.note_health(&endpoint, Health::failed);
-                return self.next(&endpoint, &why, Code::OutcomeUnknown);
+                return self.retry_or_finish(&endpoint, &reason, Code::OutcomeUnknown);
             }
         };
-        if said.is_failure() {
+        if parsed.is_failure() {
             self.attempt.failed();
-            self.note_outcome(&place.endpoint, Outcome::Failed);
-            self.note("failed", &endpoint);
+            self.record_outcome(&reservation.endpoint, Outcome::Failed);
+            self.record_send("failed", &endpoint);
             self.node.note_health(&endpoint, Health::failed);
-            if self.may_repeat() {
-                self.last = Some((head, body));
+            if self.claim_retry() {
+                self.failed_response = Some((head, body));
                 self.need.avoid.insert(endpoint);
-                return Ok(Step::Again);
+                return Ok(SendStep::Retry);
             }
         } else {
             self.attempt.answer();
-            self.note_outcome(&place.endpoint, Outcome::First(took));
-            self.note("answered", &endpoint);
+            self.record_outcome(&reservation.endpoint, Outcome::First(elapsed));
+            self.record_send("answered", &endpoint);
             self.node.note_health(&endpoint, Health::succeeded);
         }
-        Ok(Step::Done(Found::Whole(head, body)))
+        Ok(SendStep::Done(FinalResponse::Buffered(head, body)))
     }
 
-    /// Goes on at another endpoint after nothing went out, or ends the search.
-    fn next_unsent(&mut self, endpoint: &EndpointId, why: &str) -> Result<Step, Failure> {
+    /// Excludes the endpoint and retries after an unsent attempt, up to [`MAX_UNSENT_ATTEMPTS`].
+    fn retry_unsent(&mut self, endpoint: &EndpointId, detail: &str) -> Result<SendStep, Failure> {
         self.need.avoid.insert(endpoint.clone());
-        self.unsent += 1;
-        if self.unsent < MOST_UNSENT {
-            return Ok(Step::Again);
+        self.unsent_attempts += 1;
+        if self.unsent_attempts < MAX_UNSENT_ATTEMPTS {
+            return Ok(SendStep::Retry);
         }
-        Err(self.failure(Code::NoRoom, why))
+        Err(self.failure(Code::NoRoom, detail))
     }
 
-    /// Goes on at another endpoint, or ends the search with what is known.
-    fn next(&mut self, endpoint: &EndpointId, why: &str, code: Code) -> Result<Step, Failure> {
+    /// Excludes the endpoint and retries if that is allowed; otherwise finishes with an earlier
+    /// endpoint's error response or with a failure.
+    fn retry_or_finish(
+        &mut self,
+        endpoint: &EndpointId,
+        detail: &str,
+        code: Code,
+    ) -> Result<SendStep, Failure> {
         self.need.avoid.insert(endpoint.clone());
-        if self.may_repeat() {
-            return Ok(Step::Again);
+        if self.claim_retry() {
+            return Ok(SendStep::Retry);
         }
-        if let Some((head, body)) = self.last.take() {
-            return Ok(Step::Done(Found::Whole(head, body)));
+        if let Some((head, body)) = self.failed_response.take() {
+            return Ok(SendStep::Done(FinalResponse::Buffered(head, body)));
         }
-        Err(self.failure(code, why))
+        Err(self.failure(code, detail))
     }
 
-    /// Says whether the request may be handed to a further endpoint, and takes that out of the
-    /// fleet's budget.
-    fn may_repeat(&self) -> bool {
-        self.attempt.may_send() && self.node.take_resend(&self.call.service)
+    /// Returns whether the request may be sent to another endpoint; if so, takes the retry from the
+    /// fleet-wide retry budget.
+    fn claim_retry(&self) -> bool {
+        self.attempt.may_send() && self.node.take_resend(&self.request.service)
     }
 
-    /// Returns how long the next endpoint gets to answer.
-    fn patience(&self) -> Duration {
-        let left = self.call.left(self.node.now());
-        let is_last = self.attempt.sends() >= self.call.route.attempts;
-        if self.call.route.kind == RouteKind::Idempotent && !is_last {
-            return self.call.route.target.max(left / FIRST_TRY);
+    /// Returns the time to wait for the next endpoint's response head.
+    fn send_timeout(&self) -> Duration {
+        let time_left = self.request.time_left(self.node.now());
+        let is_last = self.attempt.sends() >= self.request.route.attempts;
+        if self.request.route.kind == RouteKind::Idempotent && !is_last {
+            return self.request.route.target.max(time_left / ATTEMPT_TIME_DIVISOR);
         }
-        left
+        time_left
     }
 
-    /// Makes the final answer of a search that ends with `code`, or with what is true instead: only
-    /// while nothing ran is a client told that, and when to come back.
-    fn failure(&self, code: Code, why: &str) -> Failure {
+    /// Builds the final failure. A request that did not run always gets `NoRoom` and a retry delay;
+    /// one that may have run never does.
+    fn failure(&self, code: Code, detail: &str) -> Failure {
         let run = self.attempt.run();
         if run == Run::NotRun {
-            return Failure::new(Code::NoRoom, why).with_retry_after(RETURN);
+            return Failure::new(Code::NoRoom, detail).with_retry_after(NOT_RUN_RETRY_DELAY);
         }
         let code = if code == Code::NoRoom { Code::OutcomeUnknown } else { code };
-        Failure::new(code, why).with_run(run)
+        Failure::new(code, detail).with_run(run)
     }
 
-    /// Returns the final answer at the end of the time that the request had.
-    fn overdue(&mut self) -> Failure {
+    /// Ends the attempt and returns the failure for a request whose deadline passed.
+    fn deadline_failure(&mut self) -> Failure {
         self.attempt.end();
         if self.attempt.run() == Run::NotRun {
-            return Failure::new(Code::TooLate, "the time passed before an endpoint had room")
-                .with_retry_after(RETURN);
+            return Failure::new(Code::TooLate, "the deadline passed before an endpoint had room")
+                .with_retry_after(NOT_RUN_RETRY_DELAY);
         }
-        Failure::new(Code::DeadlinePassed, "the time passed").with_run(self.attempt.run())
+        Failure::new(Code::DeadlinePassed, "the deadline passed").with_run(self.attempt.run())
     }
 
-    /// Notes what the request tells of its endpoint's version.
-    fn note_outcome(&self, endpoint: &EndpointInfo, outcome: Outcome) {
+    /// Records an outcome for the roll-out of the endpoint's version.
+    fn record_outcome(&self, endpoint: &EndpointInfo, outcome: Outcome) {
         let now = self.node.now();
-        lock(&self.node.tables).note_outcome(endpoint, &self.call.route.name, outcome, now);
+        lock(&self.node.tables).note_outcome(endpoint, &self.request.route.name, outcome, now);
     }
 
-    fn note(&self, end: &str, endpoint: &EndpointId) {
-        self.node.metrics.sends.with_label_values(&[end]).inc();
-        if end != "answered" {
-            tracing::info!(event = "send", request = %self.call.id, endpoint = %endpoint, end,
-                sends = self.attempt.sends(), run = self.attempt.run().as_str());
+    fn record_send(&self, result: &str, endpoint: &EndpointId) {
+        self.node.metrics.sends.with_label_values(&[result]).inc();
+        if result != "answered" {
+            tracing::info!(event = "send", request = %self.request.id, endpoint = %endpoint,
+                end = result, sends = self.attempt.sends(), run = self.attempt.run().as_str());
         }
     }
 
-    /// Logs that the client gets an answer; one that is `open` is passed on as it comes and has a line
-    /// at its end.
-    fn log_answer(&mut self, head: &Parts, open: bool) {
-        self.pending.end();
-        let took = self.node.now().since(self.call.arrived);
-        self.node.metrics.first.observe(took.as_secs_f64());
+    /// Logs that the client gets a response. One that is still open is logged again when it ends.
+    fn log_response(&mut self, head: &Parts, is_open: bool) {
+        self.pending.finish();
+        let elapsed = self.node.now().since(self.request.arrived_at);
+        self.node.metrics.first.observe(elapsed.as_secs_f64());
         let status = head.status.as_u16().to_string();
         self.node.metrics.requests.with_label_values(&["answered", &status]).inc();
-        tracing::info!(event = "answered", request = %self.call.id, route = self.call.route.name,
-            endpoint = self.pending.endpoint_name(), status, open,
-            sends = self.attempt.sends(), ms = took.as_millis());
+        tracing::info!(event = "answered", request = %self.request.id,
+            route = self.request.route.name, endpoint = self.pending.endpoint_name(), status,
+            open = is_open, sends = self.attempt.sends(), ms = elapsed.as_millis());
     }
 
     fn log_failure(&mut self, failure: &Failure) {
-        self.pending.end();
-        let took = self.node.now().since(self.call.arrived);
+        self.pending.finish();
+        let elapsed = self.node.now().since(self.request.arrived_at);
         refusal::count(&self.node, "failed", failure.code);
-        tracing::info!(event = "failed", request = %self.call.id, route = self.call.route.name,
-            endpoint = self.pending.endpoint_name(),
+        tracing::info!(event = "failed", request = %self.request.id,
+            route = self.request.route.name, endpoint = self.pending.endpoint_name(),
             code = failure.code.number(), name = failure.code.name(), run = failure.run.as_str(),
-            sends = self.attempt.sends(), ms = took.as_millis(),
+            sends = self.attempt.sends(), ms = elapsed.as_millis(),
             back_ms = failure.retry_after.unwrap_or_default().as_millis(), why = failure.detail);
     }
 }
--- a/crates/nutmeggrade-relay/src/relay/migration.rs
+++ b/crates/nutmeggrade-relay/src/relay/migration.rs
@@ -1,4 +1,4 @@
-//! Copies a generation away from an endpoint that leaves.
+//! Migrates a running generation from an endpoint that is leaving to another engine.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -15,130 +15,136 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
-use super::place::{self, Place};
-use super::stream::Stream;
-use super::upstream::EndOnDrop;
+use super::reservation::{self, Reservation};
+use super::stream::EventStream;
+use super::upstream::AbortOnDrop;
 use crate::engine_call;
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Shortest and longest wait before a look whether the engine's link is free. Instances hear of each
-/// other's copies within a few milliseconds, so that two seldom begin in the same moment.
-const TURN: Range<u64> = 2..40;
-/// Time in which others hear that a copy begins. Whoever hears of another one in it draws again.
-const SETTLE: Duration = Duration::from_millis(8);
-/// Longest time for a copy: the largest generation's, behind a few others on the link of the engine
-/// that it goes to.
-const COPY: Duration = Duration::from_secs(3);
-/// Engines that are tried as the copy's place.
-const TRIES: u32 = 3;
-/// Wait while another copy of the generation is under way.
-const BUSY_WAIT: Duration = Duration::from_millis(30);
+/// Range of the random delay, in milliseconds, before each check whether the source engine's link
+/// is free. Instances learn of each other's copies within a few milliseconds, so two rarely start
+/// at the same time.
+const LINK_CHECK_DELAY_MS: Range<u64> = 2..40;
+/// Time in which other instances learn of a copy before it starts. A migration that learns of
+/// another copy from the same engine in this time backs off.
+const ANNOUNCE_DELAY: Duration = Duration::from_millis(8);
+/// Timeout of a copy: the largest generation, queued behind a few others on the target engine's
+/// link.
+const COPY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Failed first copies after which the migration is abandoned.
+const MAX_FAILED_COPIES: u32 = 3;
+/// Delay before a retry while another copy of the same generation is in progress.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// A generation whose memory is at another engine.
+/// A generation that was stopped and whose memory was copied to another engine.
 #[derive(Debug)]
-pub struct Moved {
-    /// Where the copy came from.
+pub struct MigratedGeneration {
+    /// Address of the engine that the memory was copied from.
     pub source: SocketAddr,
-    /// Names the copy.
+    /// Handle of the copy.
     pub handle: String,
-    /// Events that the generation had made.
+    /// Events that the generation had produced when it stopped.
     pub events: u64,
-    /// The place at the engine that has the copy.
-    pub place: Place,
+    /// The reservation at the engine that holds the copy.
+    pub reservation: Reservation,
 }
 
-/// How an escape ended.
+/// The result of a migration.
 #[derive(Debug)]
-pub enum Escaped {
-    /// The generation runs on where it was, or has ended there.
-    Stays,
-    /// It was stopped and is at another engine.
-    Moved(Box<Moved>),
+pub enum MigrationOutcome {
+    /// The generation still runs at its engine or has ended there.
+    NotMigrated,
+    /// The generation was stopped and can resume at another engine.
+    Migrated(Box<MigratedGeneration>),
 }
 
-/// Copies a generation away from an endpoint that leaves, while it runs on.
+/// A background task that copies a generation to another engine while it keeps running.
 ///
-/// An endpoint that is reclaimed ends all its generations after a notice of seconds, and most of the
-/// long answers would be lost. The memory is copied while the generation goes on; only what was made
-/// meanwhile is copied after it was stopped, so that the client sees no pause. Copies queue on the
-/// links of both engines: whoever stops its generation while another is copied waits behind that one,
-/// and its client sees the pause. So generations take turns. Each instance waits until none is being
-/// copied from the engine, copies one and stops it at once; those that have had their turn are safe
-/// even if the time is too short for all. Copies are begun for as long as the engine answers: its own
-/// word on when it goes is old and often missing, and one that is given up too early is an answer lost.
+/// An endpoint that is reclaimed ends all its generations a few seconds after its notice, which
+/// would cut off most long responses. So the memory is copied while the generation runs; after the
+/// stop only the part that was produced since is copied, and the client sees no pause. Copies queue
+/// on the links of both engines: a generation that is stopped during another copy waits for that
+/// copy, and its client sees a pause. Copies from one engine are therefore serialized: a
+/// migration waits until the engine's link is free, copies its generation and stops it at once.
+/// Those copied first are safe even if the time is too short for all. New copies start for as long
+/// as the engine answers: the leave time that it states is old and often missing, and giving up too
+/// early loses a response.
 #[derive(Debug)]
-pub struct Escape {
-    task: EndOnDrop<Escaped>,
+pub struct Migration {
+    task: AbortOnDrop<MigrationOutcome>,
     is_stopping: Arc<AtomicBool>,
 }
 
-impl Escape {
-    /// Starts to copy the generation of a stream.
-    pub fn start(stream: &Stream) -> Self {
+impl Migration {
+    /// Starts to migrate the generation of a stream.
+    pub fn start(stream: &EventStream) -> Self {
         let is_stopping = Arc::new(AtomicBool::new(false));
-        let source = stream.place.endpoint.clone();
-        let memory = stream.memory();
-        let mut need = stream.call.need(stream.node.ticket(), &stream.node.anybody);
+        let source = stream.reservation.endpoint.clone();
+        let memory = stream.memory_tokens();
+        let mut need = stream.request.need(stream.node.ticket(), &stream.node.anybody);
         need.avoid.insert(source.id.clone());
         need.from = Some(source.domain.clone());
         need.memory = need.memory.max(memory);
         need.prompt = 0;
-        let run = Run {
+        let task = MigrationTask {
             node: Arc::clone(&stream.node),
-            id: stream.call.id.clone(),
+            request_id: stream.request.id.clone(),
             source,
             need,
-            ticket: stream.place.ticket,
-            memory,
+            source_ticket: stream.reservation.ticket,
+            memory_tokens: memory,
             is_stopping: Arc::clone(&is_stopping),
         };
-        Self { task: EndOnDrop(tokio::spawn(run.run())), is_stopping }
+        Self { task: AbortOnDrop(tokio::spawn(task.run())), is_stopping }
     }
 
-    /// Says whether the generation is told to stop, so that its stream ends without its end.
+    /// Returns whether the engine was told to stop the generation, so that its stream ends early.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Waits for the end.
-    pub async fn ended(&mut self) -> Escaped {
-        (&mut self.task.0).await.unwrap_or(Escaped::Stays)
+    /// Waits for the result.
+    pub async fn outcome(&mut self) -> MigrationOutcome {
+        (&mut self.task.0).await.unwrap_or(MigrationOutcome::NotMigrated)
     }
 }
 
-struct Run {
+struct MigrationTask {
     node: Arc<Node>,
-    id: RequestId,
+    request_id: RequestId,
     source: EndpointInfo,
     need: Need,
-    ticket: Ticket,
-    memory: u64,
+    source_ticket: Ticket,
+    memory_tokens: u64,
     is_stopping: Arc<AtomicBool>,
 }
 
-/// How a first copy ended.
-enum Copy {
-    Done((Place, Moving)),
+/// The result of a first copy, made while the generation runs.
+enum FirstCopy {
+    Done((Reservation, CopyGuard)),
+    /// The copy failed; another attempt may succeed.
     Failed,
-    Collided,
-    Over,
+    /// Another copy from the engine was announced at the same time.
+    Conflict,
+    /// The generation has ended or no engine has room.
+    Abandoned,
 }
 
-/// Shows to all instances that a generation is being copied, until it is dropped.
-struct Moving {
+/// Marks the load book entries of a generation as being copied, for all instances, until dropped.
+struct CopyGuard {
     node: Arc<Node>,
     tickets: [Ticket; 2],
 }
 
-impl Moving {
+impl CopyGuard {
     fn new(node: &Arc<Node>, tickets: [Ticket; 2], tokens: u64) -> Self {
-        let moving = Self { node: Arc::clone(node), tickets };
-        moving.set(tokens);
-        moving
+        let guard = Self { node: Arc::clone(node), tickets };
+        guard.set_tokens(tokens);
+        guard
     }
 
-    fn set(&self, tokens: u64) {
+    fn set_tokens(&self, tokens: u64) {
         let mut tables = lock(&self.node.tables);
         for ticket in self.tickets {
             tables.dispatcher.book.set_moving(ticket, tokens);
@@ -147,107 +153,116 @@
     }
 }
 
-impl Drop for Moving {
+impl Drop for CopyGuard {
     fn drop(&mut self) {
-        self.set(0);
+        self.set_tokens(0);
     }
 }
 
-impl Run {
-    async fn run(mut self) -> Escaped {
-        let mut failed = 0;
-        while failed < TRIES {
-            self.turn().await;
-            match self.copy().await {
-                Copy::Done(copied) => return self.stop(copied).await,
-                Copy::Over => return Escaped::Stays,
-                Copy::Failed => failed += 1,
-                Copy::Collided => {}
+impl MigrationTask {
+    async fn run(mut self) -> MigrationOutcome {
+        let mut failed_copies = 0;
+        while failed_copies < MAX_FAILED_COPIES {
+            self.wait_for_link().await;
+            match self.first_copy().await {
+                FirstCopy::Done(copy) => return self.stop_and_copy_rest(copy).await,
+                FirstCopy::Abandoned => return MigrationOutcome::NotMigrated,
+                FirstCopy::Failed => failed_copies += 1,
+                FirstCopy::Conflict => {}
             }
         }
-        Escaped::Stays
+        MigrationOutcome::NotMigrated
     }
 
-    /// Waits until nothing is copied from the engine.
-    async fn turn(&self) {
+    /// Waits until no copy from the source engine is in progress.
+    async fn wait_for_link(&self) {
         loop {
-            let wait = rand::rng().random_range(TURN);
-            sleep(Duration::from_millis(wait)).await;
+            let delay = rand::rng().random_range(LINK_CHECK_DELAY_MS);
+            sleep(Duration::from_millis(delay)).await;
             if lock(&self.node.tables).dispatcher.book.at(&self.source.id).moving == 0 {
                 return;
             }
         }
     }
 
-    /// Makes the first copy, at the best engine that has room.
-    async fn copy(&mut self) -> Copy {
-        let Some(place) = self.target() else { return Copy::Over };
-        let moving = Moving::new(&self.node, [self.ticket, place.ticket], self.memory);
-        sleep(SETTLE).await;
-        if lock(&self.node.tables).dispatcher.book.at(&self.source.id).moving > self.memory {
-            return Copy::Collided;
+    /// Copies the memory of the running generation to the best engine that has room.
+    async fn first_copy(&mut self) -> FirstCopy {
+        let Some(target) = self.reserve_target() else { return FirstCopy::Abandoned };
+        let guard =
+            CopyGuard::new(&self.node, [self.source_ticket, target.ticket], self.memory_tokens);
+        sleep(ANNOUNCE_DELAY).await;
+        if lock(&self.node.tables).dispatcher.book.at(&self.source.id).moving > self.memory_tokens {
+            return FirstCopy::Conflict;
         }
-        let ended = self.order(&place.endpoint, false).await;
-        tracing::info!(event = "copied", request = %self.id, from = %self.source.id,
-            to = %place.endpoint.id, tokens = self.memory, end = ?ended);
-        match ended {
-            MoveEnd::Copied(_) => Copy::Done((place, moving)),
-            MoveEnd::NoSuchRun => Copy::Over,
+        let result = self.request_copy(&target.endpoint, false).await;
+        tracing::info!(event = "copied", request = %self.request_id, from = %self.source.id,
+            to = %target.endpoint.id, tokens = self.memory_tokens, end = ?result);
+        match result {
+            MoveEnd::Copied(_) => FirstCopy::Done((target, guard)),
+            MoveEnd::NoSuchRun => FirstCopy::Abandoned,
             MoveEnd::Busy => {
-                sleep(BUSY_WAIT).await;
-                Copy::Failed
+                sleep(BUSY_RETRY_DELAY).await;
+                FirstCopy::Failed
             }
             MoveEnd::NoRoom(_) | MoveEnd::Failed(_) => {
-                self.need.avoid.insert(place.endpoint.id.clone());
-                Copy::Failed
+                self.need.avoid.insert(target.endpoint.id.clone());
+                FirstCopy::Failed
             }
         }
     }
 
-    fn target(&mut self) -> Option<Place> {
+    fn reserve_target(&mut self) -> Option<Reservation> {
         self.need.ticket = self.node.ticket();
         let id = {
             let mut tables = lock(&self.node.tables);
-            // Those that may be gone are no place to go on.
+            // An endpoint without a registry entry may be gone, so it is no target.
             self.need.avoid.extend(tables.registry.missing().cloned());
             let id = tables.dispatcher.choose_move(&self.need, self.node.now())?;
             tables.dispatcher.place(&self.need, &id);
             id
         };
-        place::take(&self.node, self.need.ticket, &id)
+        reservation::claim(&self.node, self.need.ticket, &id)
     }
 
-    /// Stops the generation and copies the rest.
-    async fn stop(&self, (place, _moving): (Place, Moving)) -> Escaped {
+    /// Stops the generation and copies what it produced since the first copy.
+    async fn stop_and_copy_rest(
+        &self,
+        (reservation, _guard): (Reservation, CopyGuard),
+    ) -> MigrationOutcome {
         self.is_stopping.store(true, Ordering::Relaxed);
-        let began = self.node.now();
-        let ended = self.order(&place.endpoint, true).await;
-        let took = self.node.now().since(began);
-        tracing::info!(event = "stopped_run", request = %self.id, from = %self.source.id,
-            to = %place.endpoint.id, ms = took.as_millis(), end = ?ended);
-        let moved = |Copied { handle, events }| {
+        let started_at = self.node.now();
+        let result = self.request_copy(&reservation.endpoint, true).await;
+        let elapsed = self.node.now().since(started_at);
+        tracing::info!(event = "stopped_run", request = %self.request_id, from = %self.source.id,
+            to = %reservation.endpoint.id, ms = elapsed.as_millis(), end = ?result);
+        let migrated = |Copied { handle, events }| {
             let source = self.source.address;
-            Escaped::Moved(Box::new(Moved { source, handle, events, place }))
+            MigrationOutcome::Migrated(Box::new(MigratedGeneration {
+                source,
+                handle,
+                events,
+                reservation,
+            }))
         };
-        match ended {
-            MoveEnd::Copied(copied) | MoveEnd::NoRoom(Some(copied)) => moved(copied),
-            _ => Escaped::Stays,
+        match result {
+            MoveEnd::Copied(copied) | MoveEnd::NoRoom(Some(copied)) => migrated(copied),
+            _ => MigrationOutcome::NotMigrated,
         }
     }
 
-    async fn order(&self, to: &EndpointInfo, last: bool) -> MoveEnd {
-        let body = engine::write_move(&self.id, to.address, last);
-        let answer = engine_call::ask(
+    async fn request_copy(&self, target: &EndpointInfo, is_final: bool) -> MoveEnd {
+        let body = engine::write_move(&self.request_id, target.address, is_final);
+        let response = engine_call::ask(
             self.source.address,
             engine::MOVE_METHOD,
             engine::MOVE_PATH,
             body,
-            COPY,
+            COPY_TIMEOUT,
         );
-        match answer.await {
+        match response.await {
             Ok((status, body)) => engine::read_move(status, &body),
             Err(error) => {
-                tracing::info!(event = "order_failed", request = %self.id,
+                tracing::info!(event = "order_failed", request = %self.request_id,
                     endpoint = %self.source.id, error = format!("{error:#}"));
                 MoveEnd::Failed(StatusCode::GATEWAY_TIMEOUT)
             }
--- a/crates/nutmeggrade-relay/src/relay/pending.rs
+++ b/crates/nutmeggrade-relay/src/relay/pending.rs
@@ -1,4 +1,4 @@
-//! A request that has no answer yet.
+//! Logs requests whose clients disconnect before a response.
 
 use std::sync::Arc;
 
@@ -6,46 +6,46 @@
 
 use crate::node::Node;
 
-/// A request that has no answer yet; says so in the logs if its client leaves before one.
+/// A request without a response; dropping it before [`Self::finish`] logs that the client is gone.
 ///
-/// A client that leaves ends its request's task wherever that stands. Without a line of its own such a
-/// request looks like one that was lost with its instance.
+/// A client that disconnects cancels its request's task at any await point. Without a log line the
+/// request would look like one that was lost with its instance.
 #[derive(Debug)]
-pub struct Pending {
+pub struct PendingRequest {
     node: Arc<Node>,
     request: RequestId,
-    arrived: Moment,
-    /// The endpoint that it was last sent to.
+    arrived_at: Moment,
+    /// The endpoint that the request was last sent to.
     pub endpoint: Option<EndpointId>,
-    is_over: bool,
+    is_finished: bool,
 }
 
-impl Pending {
-    /// Notes a request that arrived at that moment.
-    pub fn new(node: &Arc<Node>, request: &RequestId, arrived: Moment) -> Self {
+impl PendingRequest {
+    /// Starts to track a request.
+    pub fn new(node: &Arc<Node>, request: &RequestId, arrived_at: Moment) -> Self {
         let request = request.clone();
-        Self { node: Arc::clone(node), request, arrived, endpoint: None, is_over: false }
+        Self { node: Arc::clone(node), request, arrived_at, endpoint: None, is_finished: false }
     }
 
-    /// Returns the endpoint's name for a log line.
+    /// Returns the endpoint's name for a log line, or `-` before the first send.
     pub fn endpoint_name(&self) -> &str {
         self.endpoint.as_ref().map_or("-", |e| e.as_str())
     }
 
-    /// Notes that the client has an answer.
-    pub fn end(&mut self) {
-        self.is_over = true;
+    /// Marks the request as answered.
+    pub fn finish(&mut self) {
+        self.is_finished = true;
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
-        let took = self.node.now().since(self.arrived);
+        let elapsed = self.node.now().since(self.arrived_at);
         self.node.metrics.requests.with_label_values(&["client_gone", "-"]).inc();
         tracing::info!(event = "client_gone", request = %self.request,
-            endpoint = self.endpoint_name(), ms = took.as_millis());
+            endpoint = self.endpoint_name(), ms = elapsed.as_millis());
     }
 }
--- a/crates/nutmeggrade-relay/src/relay/reservation.rs
+++ b/crates/nutmeggrade-relay/src/relay/reservation.rs
@@ -1,4 +1,4 @@
-//! A request's place at an endpoint.
+//! Reserves room for a request at an endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 use nutmeggrade_policy::Ticket;
 use nutmeggrade_policy::dispatch::Need;
 
-use super::call::Call;
+use super::client_request::ClientRequest;
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Longest that a request waits for room, as a multiple of the time that its users are content with.
-/// Clients give a stream up that has not begun after four times that.
-const MOST_TARGETS: f64 = 3.0;
-/// Part of the time left in which a request may wait for room; the rest is for its answer.
-const MOST_LEFT: f64 = 0.5;
+/// Longest wait for room, as a multiple of the route's target time. Clients abandon a stream that
+/// has not started after four times the target.
+const MAX_WAIT_TARGETS: f64 = 3.0;
+/// Longest wait for room, as a share of the time left; the rest is for the response.
+const MAX_WAIT_SHARE: f64 = 0.5;
 
-/// A request's place at an endpoint; given back when it is dropped.
+/// Room for a request at an endpoint; released on drop.
 #[derive(Debug)]
-pub struct Place {
+pub struct Reservation {
     node: Arc<Node>,
-    /// Names the place.
+    /// Identifies the reservation in the load book.
     pub ticket: Ticket,
     /// The endpoint.
     pub endpoint: EndpointInfo,
 }
 
-impl Drop for Place {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let now = self.node.now();
         let mut tables = lock(&self.node.tables);
@@ -38,78 +38,90 @@
     }
 }
 
-/// Takes a request out of the queue if its client leaves while it waits.
-struct Waiting<'a> {
+/// Removes a waiting request from the queue on drop, as when its client disconnects.
+struct QueueGuard<'a> {
     node: &'a Arc<Node>,
     need: &'a Need,
-    is_over: bool,
+    is_done: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_done {
             lock(&self.node.tables).give_up(self.need);
         }
     }
 }
 
-/// Finds a place for a request, waiting for one if it must.
+/// Reserves room for a request, waiting in the queue if necessary.
 ///
 /// # Errors
 ///
-/// Fails if there is no room soon enough, with the time to come back.
-pub async fn find(node: &Arc<Node>, call: &Call, need: &Need) -> Result<Place, Failure> {
-    let begun = node.now();
-    let patience = call.route.target.mul_f64(MOST_TARGETS).min(call.left(begun).mul_f64(MOST_LEFT));
-    let offer = lock(&node.tables).offer(need, patience, begun);
-    let mut receiver = offer.map_err(|wait| {
-        Failure::new(Code::NoRoom, "no endpoint has room").with_retry_after(wait)
+/// Fails with a retry delay if no endpoint has room soon enough.
+pub async fn reserve(
+    node: &Arc<Node>,
+    request: &ClientRequest,
+    need: &Need,
+) -> Result<Reservation, Failure> {
+    let started_at = node.now();
+    let max_wait = request
+        .route
+        .target
+        .mul_f64(MAX_WAIT_TARGETS)
+        .min(request.time_left(started_at).mul_f64(MAX_WAIT_SHARE));
+    let offer = lock(&node.tables).offer(need, max_wait, started_at);
+    let mut receiver = offer.map_err(|delay| {
+        Failure::new(Code::NoRoom, "no endpoint has room").with_retry_after(delay)
     })?;
-    let mut waiting = Waiting { node, need, is_over: false };
+    let mut queue_guard = QueueGuard { node, need, is_done: false };
     let endpoint = tokio::select! {
         biased;
         chosen = &mut receiver => chosen.ok(),
-        () = node.clock.until(begun.after(patience)) => None,
+        () = node.clock.until(started_at.after(max_wait)) => None,
     };
-    let waited = node.now().since(begun);
+    let waited = node.now().since(started_at);
     node.metrics.waits.observe(waited.as_secs_f64());
-    waiting.is_over = true;
+    queue_guard.is_done = true;
     let Some(id) = endpoint else {
-        let wait = lock(&node.tables).give_up(need);
-        let why = format!("no endpoint had room within {} ms", waited.as_millis());
-        return Err(Failure::new(Code::NoRoom, &why).with_retry_after(wait));
+        let delay = lock(&node.tables).give_up(need);
+        let detail = format!("no endpoint had room within {} ms", waited.as_millis());
+        return Err(Failure::new(Code::NoRoom, &detail).with_retry_after(delay));
     };
-    let place = take(node, need.ticket, &id);
-    log(node, call, need, &id, place.as_ref(), waited);
-    place.ok_or_else(|| {
-        let wait = lock(&node.tables).dispatcher.return_time();
-        Failure::new(Code::NoRoom, "the chosen endpoint is gone").with_retry_after(wait)
+    let reservation = claim(node, need.ticket, &id);
+    log_placement(node, request, need, &id, reservation.as_ref(), waited);
+    reservation.ok_or_else(|| {
+        let delay = lock(&node.tables).dispatcher.return_time();
+        Failure::new(Code::NoRoom, "the chosen endpoint is gone").with_retry_after(delay)
     })
 }
 
-/// Logs where a request goes and what that was decided by: what all instances have placed there, this
-/// request with it, the endpoint's version, and those of the configuration and of the endpoints' list.
-fn log(
+/// Logs the chosen endpoint and the basis of the decision: the endpoint's load from all instances
+/// including this request, its version, and the versions of the configuration and the endpoint
+/// list.
+fn log_placement(
     node: &Node,
-    call: &Call,
+    request: &ClientRequest,
     need: &Need,
     endpoint: &EndpointId,
-    place: Option<&Place>,
+    reservation: Option<&Reservation>,
     waited: Duration,
 ) {
-    let placed = lock(&node.tables).dispatcher.book.at(endpoint);
-    let version = place.and_then(|p| p.endpoint.version.as_ref()).map_or("-", VersionId::as_str);
-    tracing::info!(event = "placed", request = %call.id, endpoint = %endpoint, version,
-        canary = need.is_canary, waited_ms = waited.as_millis(), requests = placed.requests, memory = placed.memory,
-        prompt = need.prompt, config = node.map().version, endpoints = node.revisions().endpoints);
+    let load = lock(&node.tables).dispatcher.book.at(endpoint);
+    let version =
+        reservation.and_then(|r| r.endpoint.version.as_ref()).map_or("-", VersionId::as_str);
+    tracing::info!(event = "placed", request = %request.id, endpoint = %endpoint, version,
+        canary = need.is_canary, waited_ms = waited.as_millis(), requests = load.requests,
+        memory = load.memory, prompt = need.prompt, config = node.map().version,
+        endpoints = node.revisions().endpoints);
 }
 
-/// Takes the place that was made for a ticket; `None` if the endpoint is gone meanwhile.
-pub fn take(node: &Arc<Node>, ticket: Ticket, id: &EndpointId) -> Option<Place> {
+/// Claims the room that is booked under a ticket; `None` if the endpoint was removed in the
+/// meantime.
+pub fn claim(node: &Arc<Node>, ticket: Ticket, id: &EndpointId) -> Option<Reservation> {
     let Some(endpoint) = node.endpoint(id) else {
         lock(&node.tables).dispatcher.book.end(ticket);
         return None;
     };
     node.placed.notify_one();
-    Some(Place { node: Arc::clone(node), ticket, endpoint })
+    Some(Reservation { node: Arc::clone(node), ticket, endpoint })
 }
--- a/crates/nutmeggrade-relay/src/relay/response.rs
+++ b/crates/nutmeggrade-relay/src/relay/response.rs
@@ -1,4 +1,4 @@
-//! Answers that are no event streams.
+//! Responses that are not event streams, and the head of every response to a client.
 
 use std::sync::Arc;
 
@@ -8,68 +8,72 @@
 use nutmeggrade_wire::answer;
 use tokio::sync::mpsc;
 
-use super::call::Call;
-use super::end::End;
-use super::search::Begun;
-use super::upstream::Upstream;
+use super::client_request::ClientRequest;
+use super::handler::OpenResponse;
+use super::transfer_end::TransferEnd;
+use super::upstream::UpstreamBody;
 use crate::answer_body::{AnswerBody, Piece};
 use crate::node::Node;
 
-/// Largest answer that is read whole before it is passed on. An answer that breaks off on its way
-/// can then still be asked for elsewhere, or be reported as a failure.
-pub const MOST_KEPT: usize = 256 << 10;
-/// Pieces that wait for a client that reads slowly.
-const PIECES: usize = 8;
+/// Largest body that is read completely before it is forwarded. If it breaks off, the request can
+/// still be retried elsewhere or reported as failed.
+pub const MAX_BUFFERED_BYTES: usize = 256 << 10;
+/// Pieces buffered for a slow client.
+const CHANNEL_CAPACITY: usize = 8;
 
-/// Makes the answer to a client out of an endpoint's.
-pub fn response(mut head: Parts, body: AnswerBody) -> Response<AnswerBody> {
+/// Builds the response to a client from an endpoint's response head.
+pub fn from_endpoint(mut head: Parts, body: AnswerBody) -> Response<AnswerBody> {
     answer::clean(&mut head.headers);
     Response::from_parts(head, body)
 }
 
-/// Reads an answer whole.
+/// Reads a body completely.
 ///
 /// # Errors
 ///
-/// Fails with the reason if it broke off or is larger than an answer that is kept.
-pub async fn read_whole(mut upstream: Upstream) -> Result<Bytes, String> {
-    let mut whole = BytesMut::new();
+/// Fails with the reason if the body breaks off or exceeds [`MAX_BUFFERED_BYTES`].
+pub async fn read_body(mut upstream: UpstreamBody) -> Result<Bytes, String> {
+    let mut body = BytesMut::new();
     while let Some(piece) = upstream.next().await {
-        whole.extend_from_slice(&piece.map_err(|e| e.to_string())?);
-        if whole.len() > MOST_KEPT {
-            return Err("an answer without a length is too large".to_owned());
+        body.extend_from_slice(&piece.map_err(|e| e.to_string())?);
+        if body.len() > MAX_BUFFERED_BYTES {
+            return Err("response without Content-Length is too large".to_owned());
         }
     }
-    Ok(whole.freeze())
+    Ok(body.freeze())
 }
 
-/// Passes a large answer on as it comes.
-pub fn forward(node: &Arc<Node>, call: &Call, begun: Begun) -> Response<AnswerBody> {
-    let (sender, receiver) = mpsc::channel(PIECES);
-    let Begun { answer, place } = begun;
-    let (node, request, deadline) = (Arc::clone(node), call.id.clone(), call.deadline);
+/// Forwards a large body in the background as it is received.
+pub fn forward(
+    node: &Arc<Node>,
+    request: &ClientRequest,
+    open: OpenResponse,
+) -> Response<AnswerBody> {
+    let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
+    let OpenResponse { response, reservation } = open;
+    let (node, request_id, deadline) = (Arc::clone(node), request.id.clone(), request.deadline);
     tokio::spawn(async move {
         let end = tokio::select! {
-            end = pass(answer.upstream, &sender) => end,
-            () = sender.closed() => End::ClientGone,
-            () = node.clock.until(deadline) => End::Overdue,
+            end = forward_body(response.body, &sender) => end,
+            () = sender.closed() => TransferEnd::ClientGone,
+            () = node.clock.until(deadline) => TransferEnd::DeadlinePassed,
         };
-        tracing::info!(event = "answer_ended", request = %request,
-            endpoint = %place.endpoint.id, end = end.as_str());
-        drop(place);
+        tracing::info!(event = "answer_ended", request = %request_id,
+            endpoint = %reservation.endpoint.id, end = end.as_str());
+        drop(reservation);
     });
-    response(answer.head, AnswerBody::Pieces(receiver))
+    from_endpoint(response.head, AnswerBody::Pieces(receiver))
 }
 
-async fn pass(mut upstream: Upstream, sender: &mpsc::Sender<Piece>) -> End {
+async fn forward_body(mut upstream: UpstreamBody, sender: &mpsc::Sender<Piece>) -> TransferEnd {
     while let Some(piece) = upstream.next().await {
-        let Ok(piece) = piece else { return End::Broken };
-        // A client that has left closes the channel.
+        let Ok(piece) = piece else { return TransferEnd::UpstreamBroken };
+        // The channel closes when the client disconnects.
         if sender.send(Piece::Bytes(piece)).await.is_err() {
-            return End::ClientGone;
+            return TransferEnd::ClientGone;
         }
     }
-    // The channel of an answer with a length may be closed once its last byte is out.
+    // With a Content-Length, the receiver may close once the last byte is sent.
     drop(sender.send(Piece::End).await);
-    End::Finished
+    TransferEnd::Completed
 }
--- a/crates/nutmeggrade-relay/src/relay/resume.rs
+++ b/crates/nutmeggrade-relay/src/relay/resume.rs
@@ -1,63 +1,71 @@
-//! Takes a stream up again at another endpoint.
+//! Resumes a stream at another endpoint.
 
 use nutmeggrade_core::routing::RouteKind;
 use nutmeggrade_wire::request::ResumeFrom;
 
-use super::escape::Moved;
-use super::exchange::{Answer, Extra, exchange};
-use super::place::{self, Place};
-use super::stream::Stream;
-use super::upstream::Upstream;
+use super::exchange::{EndpointResponse, SendOptions, send_request};
+use super::migration::MigratedGeneration;
+use super::reservation::{self, Reservation};
+use super::stream::EventStream;
+use super::upstream::UpstreamBody;
 
-/// Goes on with a generation whose memory was copied.
-pub async fn go_on(stream: &mut Stream, moved: Moved) -> Option<(Upstream, Place)> {
-    let resume = ResumeFrom { address: moved.source, handle: moved.handle };
-    let extra = Extra { position: stream.splitter.position(), resume: Some(resume) };
-    let Some(upstream) = open(stream, &moved.place, &extra).await else {
+/// Resumes a migrated generation at the engine that holds its copy.
+pub async fn resume_copy(
+    stream: &mut EventStream,
+    generation: MigratedGeneration,
+) -> Option<(UpstreamBody, Reservation)> {
+    let resume = ResumeFrom { address: generation.source, handle: generation.handle };
+    let options = SendOptions { position: stream.splitter.position(), resume: Some(resume) };
+    let Some(upstream) = open(stream, &generation.reservation, &options).await else {
         stream.node.metrics.moves.with_label_values(&["lost"]).inc();
         return None;
     };
     stream.node.metrics.moves.with_label_values(&["moved"]).inc();
-    tracing::info!(event = "moved", request = %stream.call.id, from = %stream.place.endpoint.id,
-        to = %moved.place.endpoint.id, events = stream.splitter.passed(), made = moved.events);
-    Some((upstream, moved.place))
+    tracing::info!(event = "moved", request = %stream.request.id,
+        from = %stream.reservation.endpoint.id, to = %generation.reservation.endpoint.id,
+        events = stream.splitter.passed(), made = generation.events);
+    Some((upstream, generation.reservation))
 }
 
-/// Starts another run behind the last event, where the route allows it.
+/// Runs the request again from the last forwarded event, on routes that allow it.
 ///
-/// Only a resumable route's endpoints begin behind that event. Another run of a request that is merely
-/// idempotent would be joined to the first one's beginning, and the client would take both for one
-/// answer.
-pub async fn run_again(stream: &mut Stream) -> Option<(Upstream, Place)> {
-    if stream.call.route.kind != RouteKind::Resumable {
+/// Only endpoints of a resumable route start after that event. A second run of a request that is
+/// merely idempotent would be appended to the start of the first one, and the client would take
+/// both for one response.
+pub async fn run_again(stream: &mut EventStream) -> Option<(UpstreamBody, Reservation)> {
+    if stream.request.route.kind != RouteKind::Resumable {
         return None;
     }
-    if !stream.attempt.may_send() || !stream.node.take_resend(&stream.call.service) {
+    if !stream.attempt.may_send() || !stream.node.take_resend(&stream.request.service) {
         return None;
     }
-    let mut need = stream.call.need(stream.node.ticket(), &stream.node.anybody);
-    need.avoid.insert(stream.place.endpoint.id.clone());
-    let place = place::find(&stream.node, &stream.call, &need).await.ok()?;
+    let mut need = stream.request.need(stream.node.ticket(), &stream.node.anybody);
+    need.avoid.insert(stream.reservation.endpoint.id.clone());
+    let reservation = reservation::reserve(&stream.node, &stream.request, &need).await.ok()?;
     stream.attempt.send();
-    let extra = Extra { position: stream.splitter.position(), resume: None };
-    let upstream = open(stream, &place, &extra).await?;
+    let options = SendOptions { position: stream.splitter.position(), resume: None };
+    let upstream = open(stream, &reservation, &options).await?;
     stream.attempt.answer();
-    Some((upstream, place))
+    Some((upstream, reservation))
 }
 
-async fn open(stream: &Stream, place: &Place, extra: &Extra) -> Option<Upstream> {
-    let left = stream.call.left(stream.node.now());
-    let endpoint = &place.endpoint;
-    match exchange(&stream.node, &stream.call, endpoint, extra, left).await {
-        // A body without events behind the events that the client has would pass for their end.
-        Ok(answer) if answer.is_events() => Some(answer.upstream),
-        Ok(Answer { said, .. }) => {
-            tracing::info!(event = "go_on_refused", request = %stream.call.id,
-                endpoint = %endpoint.id, status = said.status.as_u16(), not_run = said.not_run);
+async fn open(
+    stream: &EventStream,
+    reservation: &Reservation,
+    options: &SendOptions,
+) -> Option<UpstreamBody> {
+    let timeout = stream.request.time_left(stream.node.now());
+    let endpoint = &reservation.endpoint;
+    match send_request(&stream.node, &stream.request, endpoint, options, timeout).await {
+        // Appended to the events already sent, a body without events would look like their end.
+        Ok(response) if response.is_event_stream() => Some(response.body),
+        Ok(EndpointResponse { parsed, .. }) => {
+            tracing::info!(event = "go_on_refused", request = %stream.request.id,
+                endpoint = %endpoint.id, status = parsed.status.as_u16(), not_run = parsed.not_run);
             None
         }
         Err(error) => {
-            tracing::info!(event = "go_on_failed", request = %stream.call.id,
+            tracing::info!(event = "go_on_failed", request = %stream.request.id,
                 endpoint = %endpoint.id, error = %error);
             None
         }
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -1,4 +1,4 @@
-//! Passes an event stream on, and takes its generation along when its endpoint leaves.
+//! Forwards an event stream, and migrates its generation when its endpoint leaves.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,233 +14,243 @@
 use nutmeggrade_wire::answer::Answered;
 use tokio::sync::{mpsc, watch};
 
-use super::call::Call;
+use super::client_request::ClientRequest;
 use super::crash;
-use super::end::End;
-use super::escape::{Escape, Escaped};
-use super::place::Place;
-use super::plain;
-use super::search::{Begun, Search};
-use super::splice;
-use super::upstream::Upstream;
+use super::handler::{OpenResponse, RequestHandler};
+use super::migration::{Migration, MigrationOutcome};
+use super::reservation::Reservation;
+use super::response;
+use super::resume;
+use super::transfer_end::TransferEnd;
+use super::upstream::UpstreamBody;
 use crate::answer_body::{AnswerBody, Piece};
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Pieces that wait for a client that reads slowly; then the engine has to wait too.
-const PIECES: usize = 16;
+/// Pieces buffered for a slow client; a full buffer stops reading from the engine.
+const CHANNEL_CAPACITY: usize = 16;
 
-/// Events after which their pace tells how fast an engine is, and that suffice at a stream's end.
-const PACED: u64 = 24;
-const FEWEST_PACED: u64 = 8;
+/// Events after which the pace of a running stream is recorded.
+const PACE_EVENTS: u64 = 24;
+/// Events that suffice to record the pace of a finished stream.
+const FINISHED_PACE_EVENTS: u64 = 8;
 
-/// An event stream on its way to a client.
-pub struct Stream {
+/// An event stream that is forwarded to a client.
+pub struct EventStream {
     /// The instance.
     pub node: Arc<Node>,
     /// The request.
-    pub call: Call,
-    /// What may be said and done about it.
+    pub request: ClientRequest,
+    /// Tracks the sends and whether the request may have run.
     pub attempt: Attempt,
-    /// The place at the endpoint that makes the events.
-    pub place: Place,
-    /// The events that were passed on.
+    /// The reservation at the endpoint that produces the events.
+    pub reservation: Reservation,
+    /// Splits the bytes into complete events and counts those forwarded.
     pub splitter: EventSplitter,
-    /// What all engines of the service have in common.
+    /// The engine settings of the service; `None` for plain services.
     pub engine: Option<EngineSpec>,
-    upstream: Option<Upstream>,
+    upstream: Option<UpstreamBody>,
     is_framed: bool,
     sender: mpsc::Sender<Piece>,
-    sent: Moment,
-    began: Option<Moment>,
-    is_paced: bool,
+    sent_at: Moment,
+    first_event: Option<Moment>,
+    pace_recorded: bool,
     moves: u32,
 }
 
-/// Begins to pass an event stream on.
-pub fn start(node: &Arc<Node>, search: Search, begun: Begun) -> Response<AnswerBody> {
-    let (sender, receiver) = mpsc::channel(PIECES);
-    let Begun { answer, place } = begun;
-    let Search { call, attempt, .. } = search;
-    let engine = node.map().service(&call.service).and_then(|s| s.engine);
-    let stream = Stream {
+/// Starts to forward an event stream in the background and returns the response to the client.
+pub fn start(
+    node: &Arc<Node>,
+    handler: RequestHandler,
+    open: OpenResponse,
+) -> Response<AnswerBody> {
+    let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
+    let OpenResponse { response, reservation } = open;
+    let RequestHandler { request, attempt, .. } = handler;
+    let engine = node.map().service(&request.service).and_then(|s| s.engine);
+    let stream = EventStream {
         node: Arc::clone(node),
-        splitter: EventSplitter::new(call.position),
-        call,
+        splitter: EventSplitter::new(request.position),
+        request,
         attempt,
-        place,
+        reservation,
         engine,
-        is_framed: is_framed(&answer.said, &answer.head.headers),
-        upstream: Some(answer.upstream),
-        sent: answer.sent,
+        is_framed: is_framed(&response.parsed, &response.head.headers),
+        upstream: Some(response.body),
+        sent_at: response.sent_at,
         sender,
-        began: None,
-        is_paced: false,
+        first_event: None,
+        pace_recorded: false,
         moves: 0,
     };
     tokio::spawn(stream.run());
-    plain::response(answer.head, AnswerBody::Pieces(receiver))
+    response::from_endpoint(response.head, AnswerBody::Pieces(receiver))
 }
 
-/// Says whether the end of an answer shows in its bytes, and not only by the connection's end.
-fn is_framed(said: &Answered, headers: &http::HeaderMap) -> bool {
-    said.length.is_some() || headers.contains_key(http::header::TRANSFER_ENCODING)
+/// Returns whether the response states where its body ends, other than by closing the connection.
+fn is_framed(parsed: &Answered, headers: &http::HeaderMap) -> bool {
+    parsed.length.is_some() || headers.contains_key(http::header::TRANSFER_ENCODING)
 }
 
-impl Stream {
+impl EventStream {
     async fn run(mut self) {
-        let end = self.pass().await;
+        let end = self.forward().await;
         self.attempt.end();
         let now = self.node.now();
         self.node.metrics.requests.with_label_values(&["stream", end.as_str()]).inc();
-        let first = self.began.map_or(Duration::ZERO, |b| b.since(self.call.arrived));
-        tracing::info!(event = "stream_ended", request = %self.call.id, route = self.call.route.name,
-            endpoint = %self.place.endpoint.id, end = end.as_str(), events = self.splitter.passed(),
-            moves = self.moves, first_ms = first.as_millis(),
-            ms = now.since(self.call.arrived).as_millis());
-        if end == End::Broken {
-            self.note_outcome(Outcome::Failed, now);
+        let first = self.first_event.map_or(Duration::ZERO, |at| at.since(self.request.arrived_at));
+        tracing::info!(event = "stream_ended", request = %self.request.id,
+            route = self.request.route.name, endpoint = %self.reservation.endpoint.id,
+            end = end.as_str(), events = self.splitter.passed(), moves = self.moves,
+            first_ms = first.as_millis(), ms = now.since(self.request.arrived_at).as_millis());
+        if end == TransferEnd::UpstreamBroken {
+            self.record_outcome(Outcome::Failed, now);
         }
-        if end == End::Finished {
-            self.note_pace(FEWEST_PACED, now);
+        if end == TransferEnd::Completed {
+            self.record_pace(FINISHED_PACE_EVENTS, now);
             let mut tables = lock(&self.node.tables);
-            tables.pace.ended(self.made(), now.since(self.call.arrived));
-            tables.dispatcher.book.health_mut(&self.place.endpoint.id).succeeded(now);
+            tables.pace.ended(self.generated_tokens(), now.since(self.request.arrived_at));
+            tables.dispatcher.book.health_mut(&self.reservation.endpoint.id).succeeded(now);
         }
     }
 
-    async fn pass(&mut self) -> End {
+    async fn forward(&mut self) -> TransferEnd {
         let mut departures = self.node.departures();
-        let mut escape = self.escape_if_leaving();
-        let deadline = self.call.deadline;
+        let mut migration = self.migrate_if_leaving();
+        let deadline = self.request.deadline;
         let clock = self.node.clock;
         loop {
-            let step = tokio::select! {
+            let event = tokio::select! {
                 biased;
-                () = self.sender.closed() => return End::ClientGone,
-                escaped = ended(&mut escape) => Step::Escaped(escaped),
-                bytes = next(&mut self.upstream) => Step::Bytes(bytes),
-                () = changed(&mut departures), if escape.is_none() => Step::Departure,
-                () = clock.until(deadline) => return End::Overdue,
+                () = self.sender.closed() => return TransferEnd::ClientGone,
+                outcome = migration_outcome(&mut migration) => StreamEvent::MigrationEnded(outcome),
+                bytes = next_bytes(&mut self.upstream) => StreamEvent::Bytes(bytes),
+                () = next_departure(&mut departures), if migration.is_none() =>
+                    StreamEvent::Departure,
+                () = clock.until(deadline) => return TransferEnd::DeadlinePassed,
             };
-            match step {
-                Step::Bytes(Some(Ok(bytes))) => {
-                    // A client that reads nothing holds the stream up, but not beyond its time.
-                    let is_there = tokio::select! {
-                        is_there = self.push(&bytes) => is_there,
-                        () = clock.until(deadline) => return End::Overdue,
+            match event {
+                StreamEvent::Bytes(Some(Ok(bytes))) => {
+                    // A client that stops reading blocks the stream until the deadline at most.
+                    let is_connected = tokio::select! {
+                        is_connected = self.forward_bytes(&bytes) => is_connected,
+                        () = clock.until(deadline) => return TransferEnd::DeadlinePassed,
                     };
-                    if !is_there {
-                        return End::ClientGone;
+                    if !is_connected {
+                        return TransferEnd::ClientGone;
                     }
                 }
-                Step::Bytes(end) => {
+                StreamEvent::Bytes(end) => {
                     self.upstream = None;
-                    let is_stopping = escape.as_ref().is_some_and(Escape::is_stopping);
+                    let is_stopping = migration.as_ref().is_some_and(Migration::is_stopping);
                     if end.is_none() && (self.is_framed || !is_stopping) {
                         return tokio::select! {
                             end = self.finish() => end,
-                            () = clock.until(deadline) => End::Overdue,
+                            () = clock.until(deadline) => TransferEnd::DeadlinePassed,
                         };
                     }
-                    if escape.is_none() && !self.recover(end.and_then(Result::err)).await {
-                        return End::Broken;
+                    if migration.is_none() && !self.recover(end.and_then(Result::err)).await {
+                        return TransferEnd::UpstreamBroken;
                     }
                 }
-                Step::Departure => escape = self.escape_if_leaving(),
-                Step::Escaped(escaped) => {
-                    escape = None;
-                    if !self.escaped(escaped).await {
-                        return End::Broken;
+                StreamEvent::Departure => migration = self.migrate_if_leaving(),
+                StreamEvent::MigrationEnded(outcome) => {
+                    migration = None;
+                    if !self.finish_migration(outcome).await {
+                        return TransferEnd::UpstreamBroken;
                     }
-                    // It may have gone to an endpoint that leaves meanwhile.
+                    // The target may have started to leave during the migration.
                     if self.moves > 0 {
-                        escape = self.escape_if_leaving();
+                        migration = self.migrate_if_leaving();
                     }
                 }
             }
         }
     }
 
-    /// Passes bytes on; says whether the client is still there.
-    async fn push(&mut self, bytes: &[u8]) -> bool {
+    /// Forwards the complete events in the bytes; returns whether the client is still connected.
+    async fn forward_bytes(&mut self, bytes: &[u8]) -> bool {
         let Some(events) = self.splitter.push(bytes) else { return true };
-        self.note_progress();
+        self.record_progress();
         self.sender.send(Piece::Bytes(events)).await.is_ok()
     }
 
-    fn note_progress(&mut self) {
+    fn record_progress(&mut self) {
         let now = self.node.now();
         let mut tables = lock(&self.node.tables);
-        if self.began.is_none() {
-            self.began = Some(now);
-            let first = Outcome::First(now.since(self.sent));
-            tables.note_outcome(&self.place.endpoint, &self.call.route.name, first, now);
-            tables.dispatcher.book.has_read(self.place.ticket);
+        if self.first_event.is_none() {
+            self.first_event = Some(now);
+            let first = Outcome::First(now.since(self.sent_at));
+            tables.note_outcome(&self.reservation.endpoint, &self.request.route.name, first, now);
+            tables.dispatcher.book.has_read(self.reservation.ticket);
             tables.release(now);
             self.node.placed.notify_one();
         }
-        let prompt = self.call.prompt.as_ref().map_or(0, |p| p.tokens);
-        tables.dispatcher.book.grow(self.place.ticket, prompt + self.made());
+        let prompt = self.request.prompt.as_ref().map_or(0, |p| p.tokens);
+        tables.dispatcher.book.grow(self.reservation.ticket, prompt + self.generated_tokens());
         drop(tables);
-        self.note_pace(PACED, now);
+        self.record_pace(PACE_EVENTS, now);
     }
 
-    /// Notes how fast the engine makes events, once; a stream that moved tells of two engines.
-    fn note_pace(&mut self, fewest: u64, now: Moment) {
+    /// Records the time per event once, after `min_events`. A stream that moved is skipped, since
+    /// its pace mixes two engines.
+    fn record_pace(&mut self, min_events: u64, now: Moment) {
         let events = self.splitter.passed();
-        let Some(began) = self.began.filter(|_| events >= fewest && !self.is_paced) else { return };
-        self.is_paced = true;
-        let pace = now.since(began).div_f64(events as f64);
-        self.note_outcome(Outcome::Pace(pace), now);
+        let Some(first) = self.first_event.filter(|_| events >= min_events && !self.pace_recorded)
+        else {
+            return;
+        };
+        self.pace_recorded = true;
+        let pace = now.since(first).div_f64(events as f64);
+        self.record_outcome(Outcome::Pace(pace), now);
     }
 
-    fn note_outcome(&self, outcome: Outcome, now: Moment) {
+    fn record_outcome(&self, outcome: Outcome, now: Moment) {
         if self.moves == 0 {
-            let route = &self.call.route.name;
-            lock(&self.node.tables).note_outcome(&self.place.endpoint, route, outcome, now);
+            let route = &self.request.route.name;
+            lock(&self.node.tables).note_outcome(&self.reservation.endpoint, route, outcome, now);
         }
     }
 
-    /// Returns how many tokens the generation has made.
-    fn made(&self) -> u64 {
+    /// Returns the number of generated tokens.
+    fn generated_tokens(&self) -> u64 {
         self.splitter.passed() * u64::from(self.engine.map_or(1, |e| e.stride))
     }
 
-    /// Returns the memory that the generation takes now, in tokens.
-    pub fn memory(&self) -> u64 {
-        self.call.prompt.as_ref().map_or(0, |p| p.tokens) + self.made()
+    /// Returns the memory that the generation occupies, in tokens.
+    pub fn memory_tokens(&self) -> u64 {
+        self.request.prompt.as_ref().map_or(0, |p| p.tokens) + self.generated_tokens()
     }
 
-    async fn finish(&mut self) -> End {
+    async fn finish(&mut self) -> TransferEnd {
         if let Some(rest) = self.splitter.take_rest()
             && self.sender.send(Piece::Bytes(rest)).await.is_err()
         {
-            return End::ClientGone;
+            return TransferEnd::ClientGone;
         }
-        // The channel of an answer with a length may be closed once its last byte is out.
+        // With a Content-Length, the receiver may close once the last byte is sent.
         drop(self.sender.send(Piece::End).await);
-        End::Finished
+        TransferEnd::Completed
     }
 
-    /// Begins to take the generation along if its endpoint leaves.
-    fn escape_if_leaving(&self) -> Option<Escape> {
+    /// Starts to migrate the generation if its endpoint is leaving and its engine supports it.
+    fn migrate_if_leaving(&self) -> Option<Migration> {
         self.engine.filter(|e| e.moves)?;
-        let is_parting = lock(&self.node.tables).registry.is_parting(&self.place.endpoint.id);
-        is_parting.then(|| Escape::start(self))
+        let is_leaving = lock(&self.node.tables).registry.is_parting(&self.reservation.endpoint.id);
+        is_leaving.then(|| Migration::start(self))
     }
 
-    /// Goes on where the generation was taken; says whether the stream goes on.
-    async fn escaped(&mut self, escaped: Escaped) -> bool {
-        match escaped {
-            Escaped::Stays if self.upstream.is_some() => true,
-            Escaped::Stays => self.recover(None).await,
-            Escaped::Moved(moved) => {
+    /// Resumes the stream after a migration ended; returns whether the stream continues.
+    async fn finish_migration(&mut self, outcome: MigrationOutcome) -> bool {
+        match outcome {
+            MigrationOutcome::NotMigrated if self.upstream.is_some() => true,
+            MigrationOutcome::NotMigrated => self.recover(None).await,
+            MigrationOutcome::Migrated(generation) => {
                 self.upstream = None;
                 self.splitter.cut();
-                match splice::go_on(self, *moved).await {
-                    Some((upstream, place)) => {
-                        self.go_on(upstream, place);
+                match resume::resume_copy(self, *generation).await {
+                    Some((upstream, reservation)) => {
+                        self.switch_upstream(upstream, reservation);
                         true
                     }
                     None => self.recover(None).await,
@@ -249,26 +259,27 @@
         }
     }
 
-    fn go_on(&mut self, upstream: Upstream, place: Place) {
+    fn switch_upstream(&mut self, upstream: UpstreamBody, reservation: Reservation) {
         self.upstream = Some(upstream);
-        self.place = place;
+        self.reservation = reservation;
         self.moves += 1;
-        lock(&self.node.tables).dispatcher.book.has_read(self.place.ticket);
+        lock(&self.node.tables).dispatcher.book.has_read(self.reservation.ticket);
     }
 
-    /// Looks for another way after the endpoint broke the stream off; says whether it goes on.
+    /// Runs the request again after its endpoint broke the stream off, if its route allows that;
+    /// returns whether the stream continues.
     async fn recover(&mut self, error: Option<hyper::Error>) -> bool {
-        let endpoint = self.place.endpoint.id.clone();
+        let endpoint = self.reservation.endpoint.id.clone();
         self.node.note_health(&endpoint, Health::lost);
-        let why = error.map_or_else(|| "ended".to_owned(), |e| e.to_string());
-        tracing::info!(event = "stream_broke", request = %self.call.id, endpoint = %endpoint,
-            events = self.splitter.passed(), why);
+        let reason = error.map_or_else(|| "ended".to_owned(), |e| e.to_string());
+        tracing::info!(event = "stream_broke", request = %self.request.id, endpoint = %endpoint,
+            events = self.splitter.passed(), why = reason);
         self.attempt.lost();
-        crash::look(&self.node, &self.call, &self.place.endpoint);
+        crash::check_endpoint(&self.node, &self.request, &self.reservation.endpoint);
         self.splitter.cut();
-        match splice::run_again(self).await {
-            Some((upstream, place)) => {
-                self.go_on(upstream, place);
+        match resume::run_again(self).await {
+            Some((upstream, reservation)) => {
+                self.switch_upstream(upstream, reservation);
                 true
             }
             None => false,
@@ -276,32 +287,32 @@
     }
 }
 
-enum Step {
+enum StreamEvent {
     Bytes(Option<Result<Bytes, hyper::Error>>),
     Departure,
-    Escaped(Escaped),
+    MigrationEnded(MigrationOutcome),
 }
 
-/// Returns the next bytes, or waits for ever where nothing can come.
-async fn next(upstream: &mut Option<Upstream>) -> Option<Result<Bytes, hyper::Error>> {
+/// Returns the next bytes; without an upstream, never completes.
+async fn next_bytes(upstream: &mut Option<UpstreamBody>) -> Option<Result<Bytes, hyper::Error>> {
     match upstream {
         Some(upstream) => upstream.next().await,
         None => std::future::pending().await,
     }
 }
 
-/// Returns how the escape ended, or waits for ever where there is none.
-async fn ended(escape: &mut Option<Escape>) -> Escaped {
-    match escape {
-        Some(escape) => escape.ended().await,
+/// Returns the result of the migration; without one, never completes.
+async fn migration_outcome(migration: &mut Option<Migration>) -> MigrationOutcome {
+    match migration {
+        Some(migration) => migration.outcome().await,
         None => std::future::pending().await,
     }
 }
 
 /// Waits for the next departure of any endpoint.
-async fn changed(departures: &mut watch::Receiver<u64>) {
+async fn next_departure(departures: &mut watch::Receiver<u64>) {
     if departures.changed().await.is_err() {
-        // The instance is ending, so nobody departs any more.
+        // The instance is shutting down, so no further departure is reported.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/nutmeggrade-relay/src/relay/transfer_end.rs
+++ b/crates/nutmeggrade-relay/src/relay/transfer_end.rs
@@ -1,26 +1,26 @@
-//! How an answer that is passed on as it comes ended.
+//! The result of forwarding a response body to a client.
 
-/// How an answer that is passed on as it comes ended.
+/// How forwarding a response body ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
-    /// The client has all of it.
-    Finished,
-    /// The client left or does not read.
+pub enum TransferEnd {
+    /// The whole body was forwarded.
+    Completed,
+    /// The client closed its connection.
     ClientGone,
-    /// The time for the answer passed.
-    Overdue,
-    /// The endpoint broke it off.
-    Broken,
+    /// The request's deadline passed.
+    DeadlinePassed,
+    /// The endpoint ended the body early.
+    UpstreamBroken,
 }
 
-impl End {
+impl TransferEnd {
     /// Returns the name used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Finished => "finished",
+            Self::Completed => "finished",
             Self::ClientGone => "client_gone",
-            Self::Overdue => "overdue",
-            Self::Broken => "broken",
+            Self::DeadlinePassed => "overdue",
+            Self::UpstreamBroken => "broken",
         }
     }
 }
--- a/crates/nutmeggrade-relay/src/relay/upstream.rs
+++ b/crates/nutmeggrade-relay/src/relay/upstream.rs
@@ -1,44 +1,44 @@
-//! An endpoint's answer as it comes.
+//! The body of an endpoint's response.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use tokio::task::JoinHandle;
 
-/// Ends a task when it is dropped.
+/// Aborts a task when dropped.
 #[derive(Debug)]
-pub struct EndOnDrop<T>(pub JoinHandle<T>);
+pub struct AbortOnDrop<T>(pub JoinHandle<T>);
 
-impl<T> Drop for EndOnDrop<T> {
+impl<T> Drop for AbortOnDrop<T> {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// The body of an endpoint's answer. Dropping it closes the connection, by which the endpoint learns
-/// that nobody waits any more.
+/// The body of an endpoint's response. Dropping it closes the connection, which cancels the request
+/// at the endpoint.
 #[derive(Debug)]
-pub struct Upstream {
+pub struct UpstreamBody {
     body: Incoming,
-    _connection: EndOnDrop<()>,
+    _connection: AbortOnDrop<()>,
 }
 
-impl Upstream {
-    /// Wraps a body and the task that serves its connection.
-    pub fn new(body: Incoming, connection: EndOnDrop<()>) -> Self {
+impl UpstreamBody {
+    /// Wraps a body and the task that drives its connection.
+    pub fn new(body: Incoming, connection: AbortOnDrop<()>) -> Self {
         Self { body, _connection: connection }
     }
 
-    /// Returns the next bytes; `None` at the end of a whole answer.
+    /// Returns the next bytes, or `None` at the end of a complete body.
     ///
     /// # Errors
     ///
-    /// Fails if the answer broke off.
+    /// Fails if the body breaks off.
     pub async fn next(&mut self) -> Option<Result<Bytes, hyper::Error>> {
         loop {
             match self.body.frame().await? {
                 Ok(frame) => {
-                    // Trailers are no part of the answer's bytes.
+                    // Trailers are not part of the body.
                     if let Ok(data) = frame.into_data()
                         && !data.is_empty()
                     {
