--- a/crates/nutmeggrade-relay/src/relay/framing.rs
+++ b/crates/nutmeggrade-relay/src/relay/framing.rs
@@ -11,8 +11,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the version is not HTTP/1.1, if the `Host` header is missing or repeated, or if there is
-/// a `Transfer-Encoding` other than a single `chunked` without `Content-Length`.
+/// Fails if the version is not HTTP/1.1, if the `Host` header is missing or repeated, or if there
+/// is a `Transfer-Encoding` other than a single `chunked` without `Content-Length`.
 pub fn check(headers: &HeaderMap, version: Version, head_bytes: &[u8]) -> Result<(), Failure> {
     let reject = |detail| Err(Failure::new(Code::BadFraming, detail));
     if version != Version::HTTP_11 {
