--- a/crates/nutmeggrade-relay/src/relay/admission.rs
+++ b/crates/nutmeggrade-relay/src/relay/admission.rs
@@ -55,7 +55,7 @@
     let body = read_body(node, body, &map, deadline).await.map_err(refuse)?;
     let fingerprint = crash::fingerprint(key.as_ref(), &head.uri, asked.prompt.as_ref(), &body);
     if lock(&node.tables).crashes.holds(&fingerprint, arrived_at) {
-        let detail = "endpoints crashed repeatedly while running this request";
+        let detail = "endpoints died under this request again and again";
         return Err(refuse(
             Failure::new(Code::CrashHeld, detail).with_retry_after(CRASH_HOLD_DELAY),
         ));
@@ -128,7 +128,7 @@
     if expected < time_left {
         return Ok(());
     }
-    let detail = format!("this instance shuts down in {} ms; use another", time_left.as_millis());
+    let detail = format!("this instance ends in {} ms; use another", time_left.as_millis());
     Err(Failure::new(Code::Leaving, &detail).with_retry_after(OTHER_INSTANCE_DELAY))
 }
 
@@ -160,7 +160,7 @@
             Err(error) => Err(Failure::new(Code::BadFraming, &format!("body: {error}"))),
         },
         () = node.clock.until(deadline) => {
-            Err(Failure::new(Code::BodyTimeout, "the body did not arrive before the deadline"))
+            Err(Failure::new(Code::BodyTimeout, "the body did not come in time"))
         }
     }
 }
--- a/crates/nutmeggrade-relay/src/relay/exchange.rs
+++ b/crates/nutmeggrade-relay/src/relay/exchange.rs
@@ -140,13 +140,13 @@
 fn check_response(head: &Parts, parsed: &Answered, id: &RequestId) -> Result<(), SendError> {
     match answer::belongs(head, id.as_str()) {
         Some(true) => {}
-        Some(false) => return Err(SendError::Lost("response to another request".to_owned())),
+        Some(false) => return Err(SendError::Lost("the answer is another request's".to_owned())),
         // An endpoint may reject a request before it has read the id.
         None if !parsed.status.is_success() => {}
-        None => return Err(SendError::Lost("response without a request id".to_owned())),
+        None => return Err(SendError::Lost("the answer names no request".to_owned())),
     }
     if parsed.status.is_success() && !parsed.signed {
-        return Err(SendError::Lost("response is not signed".to_owned()));
+        return Err(SendError::Lost("the answer is not signed".to_owned()));
     }
     Ok(())
 }
--- a/crates/nutmeggrade-relay/src/relay/framing.rs
+++ b/crates/nutmeggrade-relay/src/relay/framing.rs
@@ -16,15 +16,15 @@
 pub fn check(headers: &HeaderMap, version: Version, head_bytes: &[u8]) -> Result<(), Failure> {
     let reject = |detail| Err(Failure::new(Code::BadFraming, detail));
     if version != Version::HTTP_11 {
-        return reject("the HTTP version is not 1.1");
+        return reject("not HTTP/1.1");
     }
     if headers.get_all(header::HOST).iter().count() != 1 {
-        return reject("the Host header is missing or repeated");
+        return reject("not one host");
     }
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let Some(coding) = codings.next() else { return Ok(()) };
     if codings.next().is_some() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked") {
-        return reject("the only supported Transfer-Encoding is chunked");
+        return reject("a body that is not plainly chunked");
     }
     match find_head(head_bytes) {
         Some(head)
@@ -33,9 +33,9 @@
         {
             Ok(())
         }
-        Some(_) => reject("Transfer-Encoding is repeated or combined with Content-Length"),
+        Some(_) => reject("a body with a length that is also chunked"),
         // The head arrived while the previous response was being sent, so it was not recorded.
-        None => reject("a chunked request is pipelined after another request"),
+        None => reject("a chunked body right behind another request"),
     }
 }
 
--- a/crates/nutmeggrade-relay/src/relay/handler.rs
+++ b/crates/nutmeggrade-relay/src/relay/handler.rs
@@ -159,7 +159,7 @@
             Ok(response) if response.parsed.not_run => {
                 self.attempt.refused();
                 self.record_send("refused", &endpoint.id);
-                self.retry_or_finish(&endpoint.id, "the endpoint has no room", Code::NoRoom)
+                self.retry_or_finish(&endpoint.id, "the endpoint is full", Code::NoRoom)
             }
             Ok(response) => self.handle_response(response, reservation).await,
             Err(SendError::NotSent(reason)) => {
@@ -173,18 +173,18 @@
                 self.record_send("not_sent", &endpoint.id);
                 self.node.note_health(&endpoint.id, Health::lost);
                 self.node.announce_gone(&endpoint.id);
-                self.retry_unsent(&endpoint.id, "the endpoint refused the connection")
+                self.retry_unsent(&endpoint.id, "nobody listens at the endpoint's address")
             }
             Err(SendError::EndpointLeaving) => {
                 self.attempt.not_sent();
-                self.retry_unsent(&endpoint.id, "the endpoint is leaving")
+                self.retry_unsent(&endpoint.id, "the endpoint leaves")
             }
             Err(SendError::TimedOut) => {
                 self.attempt.lost();
                 self.record_outcome(&endpoint, Outcome::Failed);
                 self.record_send("silent", &endpoint.id);
                 self.node.note_health(&endpoint.id, Health::failed);
-                self.retry_or_finish(&endpoint.id, "no response in time", Code::DeadlinePassed)
+                self.retry_or_finish(&endpoint.id, "no answer in time", Code::DeadlinePassed)
             }
             Err(SendError::Lost(reason)) => {
                 self.attempt.lost();
@@ -309,10 +309,10 @@
     fn deadline_failure(&mut self) -> Failure {
         self.attempt.end();
         if self.attempt.run() == Run::NotRun {
-            return Failure::new(Code::TooLate, "the deadline passed before an endpoint had room")
+            return Failure::new(Code::TooLate, "the time passed before an endpoint had room")
                 .with_retry_after(NOT_RUN_RETRY_DELAY);
         }
-        Failure::new(Code::DeadlinePassed, "the deadline passed").with_run(self.attempt.run())
+        Failure::new(Code::DeadlinePassed, "the time passed").with_run(self.attempt.run())
     }
 
     /// Records an outcome for the roll-out of the endpoint's version.
--- a/crates/nutmeggrade-relay/src/relay/response.rs
+++ b/crates/nutmeggrade-relay/src/relay/response.rs
@@ -37,7 +37,7 @@
     while let Some(piece) = upstream.next().await {
         body.extend_from_slice(&piece.map_err(|e| e.to_string())?);
         if body.len() > MAX_BUFFERED_BYTES {
-            return Err("response without Content-Length is too large".to_owned());
+            return Err("an answer without a length is too large".to_owned());
         }
     }
     Ok(body.freeze())
