--- a/crates/nutmeggrade-state/src/cold_load.rs
+++ b/crates/nutmeggrade-state/src/cold_load.rs
@@ -1,27 +1,27 @@
-//! What one endpoint holds, from its own reports and from this instance's own generations.
+//! Load of one endpoint, from its own reports and from this instance's generations.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-/// Age from which a report no longer shows that an endpoint is warm.
+/// Age from which a report no longer proves that an endpoint is warm.
 const STALE: Duration = Duration::from_secs(5);
 
-/// One generation's place on an endpoint.
+/// Identifies one generation at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slot(pub u64);
 
-/// What an endpoint said of itself, as of a moment on this instance's clock.
+/// An endpoint's report of its load, with its time on this instance's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadSample {
     /// Earliest moment at which the numbers can have been taken.
     pub taken: Moment,
-    /// Generations that it held, running or waiting.
+    /// Number of generations at the endpoint, running or waiting.
     pub held: u32,
     /// Whether it was in cold start.
     pub cold: bool,
-    /// Most generations that it bears while cold.
+    /// Maximum number of generations that it can take while cold.
     pub limit: u32,
 }
 
@@ -31,12 +31,12 @@
     left: Option<Moment>,
 }
 
-/// What one endpoint holds.
+/// Load of one endpoint.
 ///
-/// Its reports lag. A generation that this instance gave it after the report was taken is not in the
-/// report, one that ended since still is, and what an earlier owner gave it may run on for long.
-/// Counted from one side alone the endpoint would get too much; so everything that the report can't
-/// prove to be this instance's own counts as somebody else's, and a place that was given back counts
+/// Its reports lag: they miss a generation that this instance sent after the report was taken and
+/// still contain one that has ended since, and generations sent by an earlier owner may run for
+/// long. Relying on the report or the own count alone would overload the endpoint. So all reported
+/// generations that are not provably this instance's count as others', and a released slot counts
 /// until a later report.
 #[derive(Debug, Default)]
 pub struct ColdLoad {
@@ -45,7 +45,7 @@
 }
 
 impl ColdLoad {
-    /// Takes a report unless a later one is known.
+    /// Stores a report unless a later one is present.
     pub fn note_load(&mut self, sample: LoadSample) {
         if self.sample.is_some_and(|s| s.taken > sample.taken) {
             return;
@@ -54,34 +54,35 @@
         self.holds.retain(|_, hold| hold.left.is_none_or(|at| at >= sample.taken));
     }
 
-    /// Forgets the last report.
+    /// Drops the last report.
     pub const fn forget_load(&mut self) {
         self.sample = None;
     }
 
-    /// Says whether the endpoint must be taken for cold.
+    /// Returns whether the endpoint must be treated as cold.
     pub fn is_cold(&self, now: Moment) -> bool {
         self.sample.is_none_or(|s| s.cold || now.since(s.taken) > STALE)
     }
 
-    /// Returns how many generations of this instance it holds.
+    /// Returns the number of this instance's generations at the endpoint.
     pub fn own(&self) -> u32 {
         count(self.holds.values().filter(|s| s.left.is_none()))
     }
 
-    /// Says whether it holds nothing of this instance.
+    /// Returns whether no slot of this instance is counted.
     pub fn is_empty(&self) -> bool {
         self.holds.is_empty()
     }
 
-    /// Returns how many more it bears while cold; none before a report taken after `since`, because
-    /// only that shows what earlier owners left on it.
+    /// Returns how many more generations the endpoint can take while cold. It is 0 without a report
+    /// taken at `since` or later, because only such a report contains the generations of earlier
+    /// owners.
     pub fn room(&self, since: Moment) -> u32 {
         let Some(sample) = self.sample.filter(|s| s.taken >= since) else { return 0 };
         sample.limit.saturating_sub(self.taken_by(sample))
     }
 
-    /// Says whether what it holds at most is within its limit.
+    /// Returns whether the upper bound of its load is within its limit.
     pub fn fits(&self, since: Moment) -> bool {
         self.sample.is_some_and(|s| s.taken >= since && self.taken_by(s) <= s.limit)
     }
@@ -91,14 +92,14 @@
         self.holds.insert(slot, Hold::default());
     }
 
-    /// Notes that the endpoint surely holds the generation from `now` on.
+    /// Records that the endpoint certainly has the generation from `now` on.
     pub fn note_started(&mut self, slot: Slot, now: Moment) {
         if let Some(hold) = self.holds.get_mut(&slot) {
             hold.started.get_or_insert(now);
         }
     }
 
-    /// Notes that the generation was ended or given up.
+    /// Records that the generation ended or was abandoned.
     pub fn leave(&mut self, slot: Slot, now: Moment) {
         if let Some(hold) = self.holds.get_mut(&slot) {
             hold.left.get_or_insert(now);
--- a/crates/nutmeggrade-state/src/cold_rights.rs
+++ b/crates/nutmeggrade-state/src/cold_rights.rs
@@ -1,4 +1,4 @@
-//! Which endpoints this instance alone may use while they are cold.
+//! Exclusive rights of this instance to use cold endpoints.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::invariant;
 use crate::membership::Candidate;
 
-/// Epochs that are remembered; only those within the longest lease matter.
+/// Number of epochs that are stored; only those within the longest lease matter.
 const EPOCHS: usize = 8;
-/// A wait is this many quarters of the lease: clocks of two machines may run apart, and what was
-/// sent just before a lease ran out takes some time to arrive.
+/// Waiting time in quarters of the lease. The excess covers clock drift between two machines and
+/// the transit of requests sent just before a lease expired.
 const WAIT_QUARTERS: u32 = 5;
 
 #[derive(Debug)]
@@ -28,16 +28,16 @@
     }
 }
 
-/// The right to use cold endpoints: one owner for each, under a lease.
+/// Exclusive rights to use cold endpoints: each has one owner, under a lease.
 ///
-/// An endpoint in cold start falls over under more than a little work, and seven instances that each
-/// give it a little give it too much; one notices an engine that crashes again and again as it comes
-/// up. So each has one owner at a time. Three rules keep it one. A right counts only while the last
-/// answer of the platform that showed this epoch as the newest was *asked for* less than a lease
-/// ago; whoever was frozen or cut off sees that gap on its own clock before it sends. A new epoch
-/// takes effect only after the longest earlier lease, counted from the moment at which this instance
-/// learned of it, since no earlier epoch can be confirmed any more from then on. And an owner that
-/// takes over counts what the endpoint itself says it holds before it adds anything.
+/// An endpoint in cold start crashes under more than a little work, and seven instances that each
+/// send a little send too much; the symptom is an engine that crashes repeatedly as it starts. So
+/// each cold endpoint has one owner at a time, by three rules. A right is valid only while the last
+/// platform answer that showed this epoch as the newest was *requested* less than a lease ago; an
+/// instance that was frozen or partitioned detects that gap on its own clock before it sends. A new
+/// epoch takes effect only after the longest earlier lease, counted from the moment at which this
+/// instance learned of the epoch, since no earlier epoch can be confirmed after that moment. And a
+/// new owner takes the endpoint's own load report into account before it adds any work.
 #[derive(Debug)]
 pub struct ColdRights {
     own: InstanceId,
@@ -48,7 +48,7 @@
 }
 
 impl ColdRights {
-    /// Makes a table without any right.
+    /// Creates a table without any right.
     pub fn new(own: &InstanceId, incarnation: u64) -> Self {
         Self {
             own: own.clone(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes the newest assignment as the platform showed it in an answer asked for at `asked`.
+    /// Processes the newest assignment from a platform answer requested at `asked`.
     pub fn learn(&mut self, assignment: &Assignment, asked: Moment, now: Moment) {
         self.hint(assignment, now);
         if assignment.epoch == self.epoch() {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes a peer's word on the newest assignment; it gives no right, but may end one.
+    /// Processes the newest assignment known to a peer; it grants no right but may end one.
     pub fn hint(&mut self, assignment: &Assignment, now: Moment) {
         let known = self.epoch();
         if assignment.epoch > known {
@@ -80,27 +80,27 @@
         invariant::check(self.epoch() >= known, "epoch_never_reverts");
     }
 
-    /// Returns the newest epoch known, 0 for none.
+    /// Returns the newest known epoch, 0 for none.
     pub fn epoch(&self) -> u64 {
         self.epochs.back().map_or(0, |s| s.assignment.epoch)
     }
 
-    /// Returns the newest assignment known.
+    /// Returns the newest known assignment.
     pub fn assignment(&self) -> Option<&Assignment> {
         self.epochs.back().map(|s| &s.assignment)
     }
 
-    /// Returns the epoch under which this instance owns the endpoint now: the fencing number of
-    /// orders. Asked immediately before each use.
+    /// Returns the epoch under which this instance currently owns the endpoint, which is the
+    /// fencing number of orders. Call it immediately before each use.
     pub fn owner_epoch(&self, endpoint: &EndpointId, now: Moment) -> Option<u64> {
         self.owned_since(endpoint, now).map(|_| self.epoch())
     }
 
-    /// Makes the next epoch if the members changed and this instance is the one to write it.
+    /// Creates the next epoch if the members changed and this instance is the one to write it.
     ///
-    /// `live` are the instances in service as this one sees them, itself included. The first by name
-    /// that hears the platform writes; where views differ the conditional write lets one win, and
-    /// the time between epochs keeps two views from replacing each other's without end.
+    /// `live` are the instances in service as seen by this one, itself included. The first by name
+    /// with contact to the platform writes. If views differ, the conditional write lets one win,
+    /// and the minimum time between epochs keeps two views from replacing each other endlessly.
     pub fn propose(
         &self,
         live: &BTreeMap<InstanceId, Candidate>,
@@ -118,7 +118,7 @@
         (newest.members != members).then(|| newest.next(members, lease))
     }
 
-    /// Says whether the newest epoch has been in effect for as long as it took to get there; epochs
+    /// Returns whether the newest epoch has been in effect for as long as its waiting time. Epochs
     /// that followed each other faster would leave cold endpoints without an owner for good.
     fn is_settled(&self, now: Moment) -> bool {
         self.epochs.back().is_none_or(|s| {
@@ -127,39 +127,41 @@
         })
     }
 
-    /// Says whether a lease is of use now: this instance owns an endpoint that is not known warm.
+    /// Returns whether this instance needs its lease: it owns an endpoint that is not known to be
+    /// warm.
     pub fn wants_lease(&self, now: Moment) -> bool {
         let owns = |e: &EndpointId| self.epochs.back().is_some_and(|s| self.is_owner(s, e));
         self.loads.iter().any(|(e, load)| load.is_cold(now) && owns(e))
     }
 
-    /// Takes an endpoint's own word on its load.
+    /// Stores an endpoint's own load report.
     pub fn note_load(&mut self, endpoint: &EndpointId, sample: LoadSample) {
         self.loads.entry(endpoint.clone()).or_default().note_load(sample);
     }
 
-    /// Forgets an endpoint's last word: it did not answer, so it may have started again, cold.
+    /// Drops an endpoint's last load report: it did not answer, so it may have restarted cold.
     pub fn forget_load(&mut self, endpoint: &EndpointId) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.forget_load();
         }
     }
 
-    /// Keeps only the endpoints that are listed or still hold something of this instance.
+    /// Keeps only the endpoints that are listed or still have slots of this instance.
     pub fn retain(&mut self, listed: impl Fn(&EndpointId) -> bool) {
         self.loads.retain(|e, load| listed(e) || !load.is_empty());
     }
 
-    /// Returns how many generations this instance may have on a cold endpoint now, in all.
+    /// Returns the total number of generations that this instance may currently have at a cold
+    /// endpoint.
     pub fn cold_right(&self, endpoint: &EndpointId, now: Moment) -> u32 {
         let Some(since) = self.owned_since(endpoint, now) else { return 0 };
         self.loads.get(endpoint).map_or(0, |load| load.own() + load.room(since))
     }
 
-    /// Takes a place for one generation; the last check before its first byte goes out.
+    /// Takes a slot for one generation; this is the last check before its first byte is sent.
     ///
-    /// On a warm endpoint the place is only counted, in case it turns cold. On a cold one it is
-    /// given only to the owner and only if the endpoint bears it.
+    /// At a warm endpoint the slot is only counted, in case the endpoint turns cold. At a cold one
+    /// only the owner gets a slot, within the endpoint's limit.
     pub fn take_slot(&mut self, endpoint: &EndpointId, slot: Slot, now: Moment) -> bool {
         let since = self.owned_since(endpoint, now);
         let load = self.loads.entry(endpoint.clone()).or_default();
@@ -176,28 +178,29 @@
         true
     }
 
-    /// Notes the first token of a generation: from now on the endpoint's reports contain it.
+    /// Records the first token of a generation: from then on the endpoint's reports contain it.
     pub fn note_started(&mut self, endpoint: &EndpointId, slot: Slot, now: Moment) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.note_started(slot, now);
         }
     }
 
-    /// Gives a place back; it counts as taken until a later report of the endpoint.
+    /// Releases a slot, which counts as taken until a later report of the endpoint.
     pub fn leave_slot(&mut self, endpoint: &EndpointId, slot: Slot, now: Moment) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.leave(slot, now);
         }
     }
 
-    /// Returns since when this instance alone has owned the endpoint, if it does now.
+    /// Returns since when this instance has been the sole owner of the endpoint, if it currently
+    /// is.
     fn owned_since(&self, endpoint: &EndpointId, now: Moment) -> Option<Moment> {
         let newest = self.epochs.back()?;
         let fresh = now.since(self.confirmed?) < newest.assignment.lease;
         if !fresh || !self.is_owner(newest, endpoint) {
             return None;
         }
-        // An owner that holds the owner from one epoch to the next has nobody to wait for.
+        // An instance that owned the endpoint in the preceding epochs need not wait for itself.
         let mut first = newest;
         for earlier in self.epochs.iter().rev().skip(1) {
             let follows = earlier.assignment.epoch + 1 == first.assignment.epoch;
--- a/crates/nutmeggrade-state/src/config_table.rs
+++ b/crates/nutmeggrade-state/src/config_table.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this instance.
+//! Configuration in force on this instance.
 
 use std::sync::Arc;
 
@@ -6,12 +6,12 @@
 
 use crate::invariant;
 
-/// Holds the highest version of the configuration that this instance has seen.
+/// Holder of the highest configuration version that this instance has seen.
 ///
-/// Versions come from the platform's watch, from peers and from the operators' push, in any order.
-/// Were a late message with an older version put in force, a failure domain that operators took out
-/// would get work again; one would notice it in `status` as a version that went back. Only a higher
-/// version is ever taken.
+/// Versions arrive from the platform's watch, from peers and from the operators' push, in any
+/// order. If a late message put an older version in force, a failure domain that operators took out
+/// of service would get work again; the symptom is a version in `status` that decreases. Only a
+/// higher version is ever accepted.
 #[derive(Debug, Default)]
 pub struct ConfigTable {
     current: Option<Arc<Configuration>>,
@@ -19,12 +19,12 @@
 }
 
 impl ConfigTable {
-    /// Makes an empty table; the instance is not ready until a version is offered.
+    /// Creates an empty table; the instance is not ready until a version is offered.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a version if it is higher than the one in force; says whether it was taken.
+    /// Accepts a version if it is higher than the one in force; returns whether it was accepted.
     pub fn offer(&mut self, offered: &Configuration) -> bool {
         let before = self.version();
         if offered.version <= before {
@@ -35,17 +35,19 @@
         true
     }
 
-    /// Notes that a peer has a version in force; says whether it is higher than the one here.
+    /// Records that a peer has a version in force; returns whether a version higher than the one
+    /// here is known.
     ///
-    /// An instance that hears peers but can't get what they have is not cut off, and would go on
-    /// sending work into what operators took out. Until it has caught up, what it hears proves
-    /// nothing: the fence must not count it.
+    /// An instance that hears from peers but cannot fetch their configuration is not isolated, and
+    /// would keep sending work to what operators took out of service. Until it has caught up,
+    /// contact with peers proves nothing, and the fence must not count it.
     pub fn note(&mut self, version: u64) -> bool {
         self.highest = self.highest.max(version);
         self.wanted().is_some()
     }
 
-    /// Returns the highest version known to be in force somewhere, if it is not in force here.
+    /// Returns the highest version known to be in force on any instance, if it is not in force
+    /// here.
     pub fn wanted(&self) -> Option<u64> {
         (self.highest > self.version()).then_some(self.highest)
     }
--- a/crates/nutmeggrade-state/src/crash_log.rs
+++ b/crates/nutmeggrade-state/src/crash_log.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints die, again and again.
+//! Log of requests that repeatedly crash endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,13 +6,13 @@
 use nutmeggrade_core::peer::{Crashed, Fingerprint};
 use nutmeggrade_core::prelude::*;
 
-/// Endpoints that a request must have taken down before it is held back. One that was merely beside
-/// it on an endpoint is hardly beside it again on two others.
+/// Number of endpoints that must have crashed under a request before it is blocked. A request that
+/// only happened to run at a crashing endpoint is unlikely to be at two others too.
 const CRASHES: usize = 3;
-/// Time after its last crash for which a request is held back: longer than its client goes on
-/// sending it, and short enough that a mended endpoint is tried again.
+/// Time after its last crash for which a request is blocked: longer than its client keeps resending
+/// it, and short enough that a repaired endpoint is tried again.
 const HELD: Duration = Duration::from_mins(2);
-/// Most requests that are remembered; each crash marks those that were on the endpoint.
+/// Maximum number of stored requests; each crash is recorded for all requests at the endpoint.
 const MOST: usize = 1_024;
 
 #[derive(Debug, Clone, Default)]
@@ -21,24 +21,25 @@
     last: Moment,
 }
 
-/// Requests under which endpoints died.
+/// Log of requests that were running at endpoints when these crashed.
 ///
-/// Now and then one request takes down each endpoint that begins to run it, and its client sends it
-/// again, at any instance. Without a common memory it takes down the service one endpoint after the
-/// other, which one notices as restarts that wander over all endpoints. Instances tell each other
-/// which requests were on an endpoint when it died; a request with three such endpoints is held back.
+/// Occasionally one request crashes each endpoint that starts to run it, and its client resends it,
+/// at any instance. Without a shared log it takes down the service's endpoints one after the other;
+/// the symptom is restarts that move through all endpoints. Instances announce to each other which
+/// requests were at an endpoint when it crashed, and a request with three such endpoints is
+/// blocked.
 #[derive(Debug, Default)]
 pub struct CrashLog {
     marks: BTreeMap<Fingerprint, Marks>,
 }
 
 impl CrashLog {
-    /// Makes an empty log.
+    /// Creates an empty log.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that an endpoint died under a request.
+    /// Records that an endpoint crashed under a request.
     pub fn note(&mut self, crashed: &Crashed, now: Moment) {
         self.forget(now);
         if self.marks.len() >= MOST && !self.marks.contains_key(&crashed.request) {
@@ -49,7 +50,7 @@
         marks.last = now;
     }
 
-    /// Says whether a request is held back.
+    /// Returns whether a request is blocked.
     pub fn holds(&self, request: &Fingerprint, now: Moment) -> bool {
         let marks = self.marks.get(request);
         marks.is_some_and(|m| m.lives.len() >= CRASHES && now.since(m.last) <= HELD)
--- a/crates/nutmeggrade-state/src/endpoint_table.rs
+++ b/crates/nutmeggrade-state/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints as this instance sees them.
+//! Table of the endpoints, as seen by this instance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,13 +7,13 @@
 
 use crate::invariant;
 
-/// Addresses that are kept, those of endpoints that left the list included.
+/// Maximum number of stored addresses, including those of endpoints that are no longer listed.
 const MAX_ADDRESSES: usize = 16_384;
-/// Looks at the list in a row that show a leaving endpoint as live before it counts as live again:
-/// a minute by default, longer than the list lags.
+/// Number of consecutive listings that must show a leaving endpoint as live before it counts as
+/// live again: a minute by default, which is longer than the listing lags.
 pub const RETURN_LOOKS: u32 = 60;
 
-/// Endpoints from the platform's lagging list, less what operators took out.
+/// Endpoints from the platform's lagging listing, and those that operators took out of service.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     listed: BTreeMap<EndpointId, Endpoint>,
@@ -26,16 +26,16 @@
 }
 
 impl EndpointTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Replaces the list.
+    /// Replaces the listing.
     ///
-    /// The list lags, so an endpoint already seen as leaving stays so until the list drops it or has
-    /// shown it as live for long; else an older answer would bring it back and it would get new work
-    /// while it goes.
+    /// The listing lags, so an endpoint seen as leaving stays so until the listing drops it or has
+    /// shown it as live for long. Otherwise an older answer would revert it, and it would get new
+    /// work while it shuts down.
     pub fn set_list(&mut self, list: &[Endpoint]) {
         let mut listed = BTreeMap::new();
         for endpoint in list {
@@ -59,19 +59,20 @@
         self.listed_live.retain(|e, _| self.listed.contains_key(e));
     }
 
-    /// Says whether a list was read yet, be it empty.
+    /// Returns whether a listing was read, even an empty one.
     pub const fn is_known(&self) -> bool {
         self.known
     }
 
-    /// Says whether an endpoint seen as leaving was listed as live often enough to stay after all.
+    /// Returns whether an endpoint seen as leaving was listed as live often enough to count as live
+    /// again.
     fn stays(&mut self, endpoint: &Endpoint) -> bool {
         let looks = self.listed_live.entry(endpoint.id.clone()).or_default();
         *looks = if endpoint.state == EndpointState::Live { *looks + 1 } else { 0 };
         *looks >= RETURN_LOOKS
     }
 
-    /// Takes an endpoint's own word on whether it is about to go, which comes before the list's.
+    /// Records whether an endpoint announces its own shutdown, which is earlier than the listing.
     pub fn note_leaving(&mut self, id: &EndpointId, leaving: bool) {
         if leaving {
             self.said_leaving.insert(id.clone());
@@ -80,20 +81,20 @@
         }
     }
 
-    /// Takes a peer's list if there is none yet.
+    /// Sets the listing from a peer's if there is none yet.
     pub fn start_with(&mut self, list: &[Endpoint]) {
         if self.listed.is_empty() {
             self.set_list(list);
         }
     }
 
-    /// Takes over what operators have out.
+    /// Applies which failure domains and endpoints are out of service.
     pub fn set_config(&mut self, config: &Configuration) {
         self.out_domains.clone_from(&config.out_domains);
         self.out_endpoints.clone_from(&config.out_endpoints);
     }
 
-    /// Says whether new work may go to an endpoint; asked immediately before it is sent.
+    /// Returns whether new work may go to an endpoint; call it immediately before sending.
     pub fn may_send(&self, id: &EndpointId) -> bool {
         let Some(endpoint) = self.listed.get(id) else { return false };
         let may = self.in_service(endpoint);
@@ -104,15 +105,15 @@
         may
     }
 
-    /// Returns an endpoint that is listed, in service or not.
+    /// Returns a listed endpoint, in service or not.
     pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.listed.get(id)
     }
 
-    /// Returns where an endpoint is, or was when it was last listed.
+    /// Returns the current or last listed address of an endpoint.
     ///
-    /// The list drops an endpoint while its last streams still run; a caller that resumes one then
-    /// would be told that its generation is gone.
+    /// The listing drops an endpoint while its last streams still run. Without the last address, a
+    /// caller that resumes one of them would be told that its generation is gone.
     pub fn address(&self, id: &EndpointId) -> Option<SocketAddr> {
         self.addresses.get(id).copied()
     }
@@ -122,7 +123,7 @@
         self.listed.values()
     }
 
-    /// Says whether a listed endpoint may get new work.
+    /// Returns whether a listed endpoint may get new work.
     pub fn in_service(&self, endpoint: &Endpoint) -> bool {
         endpoint.state == EndpointState::Live
             && !self.said_leaving.contains(&endpoint.id)
--- a/crates/nutmeggrade-state/src/fence.rs
+++ b/crates/nutmeggrade-state/src/fence.rs
@@ -1,19 +1,20 @@
-//! Whether this instance may still take new work.
+//! Fence against new work on an isolated instance.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-/// Stops new work on an instance that can't know what operators took out.
+/// Stops new work on an instance that may miss what operators took out of service.
 ///
-/// An instance cut off from the platform and from most peers keeps an old configuration in force
-/// and would send work into a failure domain that was taken out; one would notice requests in that
-/// domain's engines after the change. Only two words count: an answer of the platform about the
-/// configuration, as of the moment at which it was asked for, and being together with more than half
-/// of the instances, as of the own heartbeats that they answered. In an outage of the platform all
-/// instances hear each other and go on; a few that were cut off together stop. After `limit` without
-/// either, new work is refused. A frozen process that wakes sees the gap on its monotonic clock
-/// before it sends anything, and no word that lay in a buffer meanwhile opens the fence again.
+/// An instance partitioned from the platform and from most peers keeps an old configuration in
+/// force and would send work into a failure domain that was taken out of service; the symptom is
+/// requests at that domain's engines after the change. Only two kinds of evidence count: an answer
+/// of the platform about the configuration, as of the moment of the request, and contact with more
+/// than half of the instances, as of the own heartbeats that they echoed. During an outage of the
+/// platform all instances hear from each other and continue; a minority that is partitioned
+/// together stops. After `limit` without either, new work is rejected. A process that resumes after
+/// a freeze sees the gap on its monotonic clock before it sends anything, and messages buffered
+/// meanwhile do not reopen the fence.
 #[derive(Debug)]
 pub struct Fence {
     limit: Duration,
@@ -22,27 +23,27 @@
 }
 
 impl Fence {
-    /// Makes a fence that is closed until something is heard.
+    /// Creates a fence that is closed until the first contact.
     pub const fn new(limit: Duration) -> Self {
         Self { limit, platform: None, peers: None }
     }
 
-    /// Notes that the platform answered a question about the configuration asked at `asked`.
+    /// Records an answer of the platform to a configuration request sent at `asked`.
     pub fn hear_platform(&mut self, asked: Moment) {
         self.platform = self.platform.max(Some(asked));
     }
 
-    /// Notes that this instance was together with most others as of `as_of`.
+    /// Records the moment as of which this instance was in contact with a majority.
     pub fn hear_peers(&mut self, as_of: Option<Moment>) {
         self.peers = self.peers.max(as_of);
     }
 
-    /// Returns as of when the platform was last heard.
+    /// Returns the moment of the last answered configuration request.
     pub const fn platform(&self) -> Option<Moment> {
         self.platform
     }
 
-    /// Says whether new work must be refused.
+    /// Returns whether new work must be rejected.
     pub fn is_closed(&self, now: Moment) -> bool {
         let heard = self.platform.max(self.peers);
         heard.is_none_or(|at| now.since(at) > self.limit)
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The instances that serve routes, as this one hears them.
+//! Table of the peer instances that serve routes, built from their heartbeats.
 
 mod judges;
 mod reach;
@@ -14,36 +14,40 @@
 pub use reach::{Audience, Forwarders};
 pub use sources::Reach;
 
-/// Instances in a client's failure domain from which on it is told of no others.
+/// Number of instances in a client's failure domain from which on the client is given no instances
+/// of other domains.
 const ENOUGH: usize = 3;
-/// Time between two heartbeats of an instance. What peers have placed is told at once, so that this
-/// only bounds how soon silence is noticed.
+/// Interval between two heartbeats of an instance. Changes of placed work are sent immediately, so
+/// this only bounds how soon a silent instance is detected.
 pub const PERIOD: Duration = Duration::from_millis(250);
-/// Instances that follow the endpoints in the store for all; one may be killed or cut off without a gap.
+/// Number of instances that watch the endpoints in the store on behalf of the fleet. One of them
+/// may be killed or partitioned without a gap.
 const READERS: usize = 2;
-/// Instances that follow the configuration and the failure domains that are out. They change seldom, so
-/// that one more can be afforded for the case that the store turns some away.
+/// Number of instances that watch the configuration and the failure domains out of service. These
+/// change rarely, so one more watch is affordable in case the store rejects some instances.
 const CONFIG_READERS: usize = 3;
-/// Instances whose heartbeats go to everybody: those that read for all and the next ones in turn.
+/// Number of instances whose heartbeats go to all peers: the current readers and the next ones in
+/// rank.
 const STANDBY: usize = 6;
-/// Time between two instances that read in place of others whom the store does not answer.
+/// Delay added for each rank before an instance takes over from readers that the store does not
+/// answer.
 const TAKEOVER_STEP: Duration = Duration::from_millis(500);
-/// Silence after which an instance that followed the endpoints for others is taken for gone: three
-/// of its heartbeats. Whoever takes over still has most of the time in which a leaving endpoint may
-/// get its last request.
+/// Silence after which a reader of the endpoints counts as gone: three missed heartbeats. This
+/// leaves its successor most of the time in which a draining endpoint may still get its last
+/// request.
 const READER_SILENCE: Duration = Duration::from_millis(800);
-/// Silence after which a peer no longer counts when limits are divided. One that is only cut off
-/// goes on sending its part, and it may take that long to learn that it is alone.
+/// Silence after which a peer is left out when limits are divided. A peer that is only partitioned
+/// keeps using its share, and it may take that long to detect the partition.
 const ROSTER: Duration = Duration::from_secs(30);
-/// Time after a start in which limits are divided by at least [`UNHEARD`]: heartbeats of all peers
-/// have come by then.
+/// Time after a start in which limits are divided by at least [`UNHEARD`]. After it, heartbeats of
+/// all peers have arrived.
 const SETTLING: Duration = Duration::from_secs(2);
-/// Instances that are assumed while a fresh one has not heard its peers.
+/// Minimum number of instances assumed while a new instance has not yet heard from its peers.
 const UNHEARD: usize = 12;
-/// Peers' addresses that a heartbeat hands on; with them a newcomer that knows one peer soon hears
-/// all of them.
+/// Number of peer addresses in the introduction of a heartbeat. They let a new instance that has
+/// one seed soon hear from all peers.
 const HANDED_ON: usize = 8;
-/// Most addresses that are remembered, a few times the largest deployment.
+/// Maximum number of stored peer addresses, a few times the largest deployment.
 const MOST_CONTACTS: usize = 2_048;
 
 #[derive(Debug, Clone)]
@@ -58,14 +62,14 @@
     turn_key: u64,
 }
 
-/// An address that heartbeats go to, as others told it or its instance itself.
+/// An address to send heartbeats to, learned from its instance or from other peers.
 #[derive(Debug, Clone)]
 struct Contact {
-    /// Its failure domain; only that of an address to begin with is unknown.
+    /// Failure domain; `None` only for a seed.
     domain: Option<DomainId>,
-    /// When it was last told.
+    /// When the address was last announced.
     told: Moment,
-    /// Its key in the order in which instances take turns at an endpoint.
+    /// Key that ranks the address against others for one endpoint.
     key: u64,
 }
 
@@ -75,11 +79,11 @@
     }
 }
 
-/// The instances that serve routes, as this one hears them.
+/// Table of the peer instances that serve routes, built from their heartbeats.
 ///
-/// There is no list of instances to read: each heartbeat says where its sender is reached and hands
-/// on a few others, so that those who know one know all within a few heartbeats, with the platform
-/// or without it.
+/// There is no central list of instances: each heartbeat may carry the sender's addresses and those
+/// of a few others, so an instance that has one peer's address finds all peers within a few
+/// heartbeats, with or without the platform.
 #[derive(Debug)]
 pub struct FleetView {
     own: InstanceId,
@@ -89,7 +93,7 @@
     peers: BTreeMap<InstanceId, Peer>,
     contacts: BTreeMap<SocketAddr, Contact>,
     seeds: BTreeSet<SocketAddr>,
-    /// The contacts of the same failure domain.
+    /// Contacts in the same failure domain.
     near: BTreeSet<SocketAddr>,
     near_turn: usize,
     far_turn: usize,
@@ -97,7 +101,7 @@
 }
 
 impl FleetView {
-    /// Makes the view of an instance that knows only where to begin.
+    /// Creates the view of an instance that has only its seed addresses.
     pub fn new(own: &InstanceId, seat: &Seat, seeds: &[SocketAddr]) -> Self {
         let seeds: BTreeSet<SocketAddr> =
             seeds.iter().copied().filter(|a| *a != seat.beacon).collect();
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Takes a heartbeat; says whether it was fresh.
+    /// Processes a heartbeat; returns whether it was newer than the last one of its sender.
     pub fn hear(&mut self, beacon: &FleetBeacon, now: Moment) -> bool {
         if beacon.instance == self.own {
             return false;
@@ -126,8 +130,8 @@
             self.meet_all(&intro.others, now);
         }
         let old = self.peers.get(&beacon.instance);
-        // Incarnations come from the time of day, which may have been set back before the peer's new
-        // life; once its old life is silent, any life is the newest.
+        // Incarnations are wall-clock times, and the clock may have been set back before the peer
+        // restarted. Once the stored incarnation is silent, any incarnation is accepted.
         let is_old = old.is_some_and(|p| {
             self.is_heard(p, now)
                 && (p.incarnation, p.sequence) >= (beacon.incarnation, beacon.sequence)
@@ -137,7 +141,7 @@
         }
         let intro = beacon.intro.as_ref().map(|intro| &intro.seat);
         let same_life = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.seat);
-        // A peer that was never introduced is not reached yet; its next introduction comes soon.
+        // The addresses of this peer are unknown until its next introduction, which follows soon.
         let Some(seat) = intro.or(same_life).cloned() else { return false };
         let peer = Peer {
             seat,
@@ -154,7 +158,7 @@
         true
     }
 
-    /// Takes addresses that a peer told.
+    /// Adds or refreshes addresses that a peer announced.
     pub fn meet_all(&mut self, contacts: &Contacts, now: Moment) {
         for (domain, addresses) in contacts {
             for address in addresses {
@@ -179,11 +183,12 @@
         }
     }
 
-    /// Forgets peers that have been silent for so long that they don't count any more, and addresses
-    /// that nobody has told for as long, which may be another program's by now.
+    /// Removes peers that have been silent too long to count for limits, and addresses that were
+    /// not announced for as long, which may belong to another program by then.
     ///
-    /// The addresses to begin with are kept: an instance that was cut off from all others for longer
-    /// would have nobody left to send heartbeats to, nor anybody it, and stay alone for good.
+    /// The seeds are kept: an instance that was partitioned from all others for longer would
+    /// otherwise have no address left to send heartbeats to, would get none either, and would stay
+    /// isolated for good.
     pub fn forget(&mut self, now: Moment) {
         let roster = self.roster();
         self.peers.retain(|_, peer| now.since(peer.heard) <= roster);
@@ -193,102 +198,106 @@
         self.near.retain(|a| contacts.contains_key(a));
     }
 
-    /// Returns the silence after which a peer no longer counts when limits are divided. In a fleet so
-    /// large that its turn comes seldom, it is the time after which it would be named to no client.
+    /// Returns the silence after which a peer is left out when limits are divided. In a fleet so
+    /// large that a peer's turn comes rarely, this is the silence after which the peer is not
+    /// offered to clients.
     fn roster(&self) -> Duration {
         ROSTER.max(self.longest_silence())
     }
 
-    /// Says whether a peer was heard lately.
+    /// Returns whether the peer's last heartbeat is recent enough.
     pub fn is_live(&self, instance: &InstanceId, now: Moment) -> bool {
         self.peers.get(instance).is_some_and(|p| self.is_heard(p, now))
     }
 
-    /// Lists peers that were heard lately.
+    /// Lists the peers whose last heartbeat is recent enough.
     pub fn live(&self, now: Moment) -> impl Iterator<Item = &InstanceId> {
         self.peers.iter().filter(move |(_, p)| self.is_heard(p, now)).map(|(i, _)| i)
     }
 
-    /// Says whether this instance follows the endpoints in the store for all.
+    /// Returns whether this instance watches the endpoints in the store on behalf of the fleet.
     ///
-    /// Each call to the store is paid for and counted, and in a large fleet one watch an instance uses
-    /// up what all together may call. A few instances read and hand on; which ones follows from
-    /// hashes of their names, so that they are mostly in different failure domains, among those that
-    /// were heard lately and whom the store answers. An instance that hears nobody reads for itself.
+    /// Each store call is billed and counted, and in a large fleet one watch per instance would
+    /// exceed the shared call limit. So a few readers watch and forward the changes. They are the
+    /// first live instances with access to the store, ordered by a hash of their names, which
+    /// mostly puts them in different failure domains. An instance that hears from no peer reads for
+    /// itself.
     pub fn is_reader(&self, now: Moment) -> bool {
         self.before(now, can_read) < READERS
     }
 
-    /// Says whether this instance follows the configuration and the failure domains that are out for all.
+    /// Returns whether this instance watches the configuration and the failure domains out of
+    /// service on behalf of the fleet.
     pub fn is_config_reader(&self, now: Moment) -> bool {
         self.before(now, can_read) < CONFIG_READERS
     }
 
-    /// Says whether this instance reads for all or is among the next to do so. Its silence has to be noticed
-    /// by everybody soon.
+    /// Returns whether this instance is a reader or one of the next in rank. All peers must detect
+    /// its silence soon.
     pub fn stands_by(&self, now: Moment) -> bool {
         self.before(now, can_read) < STANDBY
     }
 
-    /// Returns how long this instance waits before it reads for all in place of others whom the store does
+    /// Returns how long this instance waits before it takes over from readers that the store does
     /// not answer.
     ///
-    /// Each instance that finds the store away is passed over. Without a wait the whole fleet would ask it
-    /// within seconds of an outage.
+    /// Each instance that cannot reach the store is passed over. Without a delay, the whole fleet
+    /// would call the store within seconds of an outage.
     pub fn takeover_wait(&self, now: Moment) -> Duration {
         let rank = self.before(now, |p| !p.leaving);
         let behind = (rank + 1).saturating_sub(STANDBY);
         TAKEOVER_STEP.saturating_mul(u32::try_from(behind).unwrap_or(u32::MAX))
     }
 
-    /// Says whether a peer that was heard lately can read the store.
+    /// Returns whether any recently heard peer can read the store.
     pub fn is_read(&self, now: Moment) -> bool {
         self.just_heard(now).any(|(_, p)| can_read(p))
     }
 
-    /// Says whether this instance is the first of those that read for all, whose news the others
-    /// only have to repeat where they were lost.
+    /// Returns whether this instance is the first reader. The other readers only have to resend its
+    /// updates where they were lost.
     pub fn is_first_reader(&self, now: Moment) -> bool {
         self.before(now, can_read) == 0
     }
 
-    /// Says whether this instance would read for all if the store answered everybody alike. While it
-    /// answers nobody, these ask it again and again, and the others seldom.
+    /// Returns whether this instance would be a reader if all instances could reach the store.
+    /// While nobody can, these instances retry often and the others rarely.
     pub fn leads(&self, now: Moment) -> bool {
         self.before(now, |p| !p.leaving) < READERS
     }
 
-    /// Says whether a peer that was heard lately can't read the store.
+    /// Returns whether any recently heard peer cannot read the store.
     pub fn is_store_away(&self, now: Moment) -> bool {
         self.just_heard(now).any(|(_, p)| !p.reads && !p.leaving)
     }
 
-    /// Says whether this instance is the first of those that live, in an order that differs between
-    /// endpoints.
+    /// Returns whether this instance ranks first among the live instances for the endpoint. The
+    /// ranking differs between endpoints.
     pub fn is_first_for(&self, endpoint: &EndpointId, now: Moment) -> bool {
         let own = place_for(self.own.as_str(), endpoint);
         self.live(now).all(|peer| place_for(peer.as_str(), endpoint) > own)
     }
 
-    /// Counts the peers before this instance in the order in which instances read for all.
+    /// Counts the matching peers that rank before this instance as readers.
     fn before(&self, now: Moment, counts: impl Fn(&Peer) -> bool) -> usize {
         self.just_heard(now).filter(|(name, p)| counts(p) && self.is_after(name, p)).count()
     }
 
-    /// Says whether this instance comes after a peer in that order.
+    /// Returns whether this instance ranks after the peer as a reader.
     fn is_after(&self, name: &InstanceId, peer: &Peer) -> bool {
         (peer.turn_key, name) < (self.turn_key, &self.own)
     }
 
-    /// Lists the peers whose silence would be noticed if they read for all.
+    /// Lists the peers within [`READER_SILENCE`], among which readers are chosen.
     fn just_heard(&self, now: Moment) -> impl Iterator<Item = (&InstanceId, &Peer)> {
         self.peers.iter().filter(move |(_, p)| now.since(p.heard) <= READER_SILENCE)
     }
 
-    /// Lists where clients may connect: instances in the client's failure domain if enough are there.
+    /// Lists the addresses for clients to connect to: instances in the client's failure domain if
+    /// there are enough.
     ///
-    /// Bytes between failure domains cost more and take longer. With few instances near by, their
-    /// common failure would leave a client without any that it knows.
+    /// Traffic between failure domains costs more and is slower. If only a few instances are in the
+    /// domain, their common failure would leave the client without any address that works.
     pub fn entries(
         &self,
         near: Option<&DomainId>,
@@ -303,36 +312,37 @@
         if near_by.len() >= ENOUGH { near_by } else { all.iter().map(|s| s.client).collect() }
     }
 
-    /// Counts the instances that limits are divided by, this one included: those that were heard, and
-    /// those that others told of.
+    /// Counts the instances among which limits are divided, including this one: peers that were
+    /// heard from and peers known from announcements.
     ///
-    /// In a large fleet it takes many turns until everybody was heard. A fleet of three hundred that
-    /// started together had heard a hundred of them after the first seconds, and all together would have
-    /// used three times what is allowed.
+    /// In a large fleet it takes many heartbeat turns to hear from every peer. In a fleet of 300
+    /// instances that started together, each had heard from 100 after the first seconds, so all
+    /// together would have used three times the limit.
     pub fn sharers(&self, now: Moment) -> usize {
         let known = 1 + self.known(now).count();
         if now.since_start() < SETTLING { known.max(UNHEARD) } else { known }
     }
 
-    /// Lists those that were heard or told of lately.
+    /// Lists the contacts that were recently heard from or announced.
     fn known(&self, now: Moment) -> impl Iterator<Item = &Contact> {
         let roster = self.roster();
         self.contacts.values().filter(move |c| now.since(c.told) <= roster)
     }
 
-    /// Returns this instance's place among all that are known for one endpoint; places differ between
-    /// endpoints. It goes by addresses, which are known of those not heard yet too.
+    /// Returns the rank of this instance among all known instances for one endpoint. Ranks differ
+    /// between endpoints. They are based on addresses, which are known before the first heartbeat
+    /// of a peer.
     ///
-    /// The place is asked for ten times a second for each cold endpoint, so each address and each endpoint
-    /// has one key, and the order is that of their exclusive or. With a hash of both for each pair a day of
-    /// 100 instances before 1,000 endpoints took 177 processor seconds in place of 138.
+    /// The rank is computed ten times a second for each cold endpoint, so keys are precomputed per
+    /// address and endpoint and ordered by their exclusive or. With a hash of each pair, a day of
+    /// 100 instances and 1,000 endpoints took 177 processor seconds instead of 138.
     pub fn rank(&self, endpoint: &EndpointId, now: Moment) -> usize {
         let key = key_of(endpoint.as_str());
         let own = self.place_key ^ key;
         self.known(now).filter(|c| c.key ^ key < own).count()
     }
 
-    /// Lists where a few peers are reached that were heard lately.
+    /// Returns the addresses of a few recently heard peers for an introduction.
     pub fn others(&self, now: Moment) -> Contacts {
         let live = self.peers.values().filter(|p| self.is_heard(p, now));
         let all: Vec<&Seat> = live.map(|p| &p.seat).collect();
@@ -345,19 +355,19 @@
     }
 }
 
-/// Says whether a peer stays and the store answers it.
+/// Returns whether the peer can read the store and is not leaving.
 const fn can_read(peer: &Peer) -> bool {
     peer.reads && !peer.leaving
 }
 
-/// Returns a number that is drawn from a name, the same on all instances.
+/// Hashes a name to a key that is the same on all instances.
 fn key_of(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
     let first: [u8; 8] = std::array::from_fn(|i| hash.as_bytes()[i]);
     u64::from_be_bytes(first)
 }
 
-/// Returns the place of an instance for an endpoint, in an order that differs between endpoints.
+/// Hashes an instance and an endpoint to an ordering key that differs between endpoints.
 fn place_for(instance: &str, endpoint: &EndpointId) -> [u8; 32] {
     let text = [instance, endpoint.as_str()].join("\0");
     *blake3::hash(text.as_bytes()).as_bytes()
--- a/crates/nutmeggrade-state/src/fleet_view/reach.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/reach.rs
@@ -1,4 +1,4 @@
-//! Which instances are sent what, and how soon their silence says something.
+//! Routing of heartbeats and broadcasts, and the silence after which a peer counts as gone.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,56 +9,63 @@
 
 use super::{Contact, FleetView, PERIOD, Peer};
 
-/// Silence after which a peer is no longer named to clients, beside that of the turns in which peers
-/// send to each other: a few heartbeats, so that lost ones don't take a healthy peer's clients away.
+/// Base silence after which a peer is not offered to clients; the interval between its heartbeats
+/// to this instance is added. It spans a few heartbeats, so that lost datagrams do not cost a
+/// healthy peer its clients.
 const SILENCE: Duration = Duration::from_millis(1_500);
-/// Turns that may pass without a heartbeat.
+/// Number of heartbeat turns without a heartbeat that are tolerated.
 const TURNS: u32 = 3;
-/// Peers that a heartbeat goes to as long as there are no more.
+/// Fleet size up to which each heartbeat goes to all peers.
 const FANOUT: usize = 16;
-/// Peers of its own failure domain that a heartbeat goes to at least in a larger fleet, in turn.
+/// Minimum number of peers in the own failure domain that each heartbeat goes to in a larger fleet,
+/// in rotation.
 const NEAR: usize = 8;
-/// Peers of other failure domains that it goes to there. Bytes between failure domains are dear: at 88
-/// instances, with 16 peers whatever their place, heartbeats were half of all of them. Clients are named
-/// instances near by, so that those far away may be found silent later.
+/// Number of peers in other failure domains that each heartbeat goes to in a larger fleet. Traffic
+/// between failure domains is expensive: at 88 instances, with 16 peers chosen regardless of
+/// domain, heartbeats were half of it. Clients are offered nearby instances, so a silent remote one
+/// may be detected later.
 const FAR: usize = 4;
-/// Turns after which each neighbour has had a heartbeat. In a failure domain with more than thirty
-/// instances a heartbeat goes to more neighbours, so that one that dies is named to clients for no longer
-/// than in a small one; with eight whatever their number, it was named for nine seconds among 75.
+/// Maximum number of turns until each neighbour has had a heartbeat. In a failure domain with more
+/// than 30 instances, each heartbeat goes to more neighbours, so that a dead instance is offered to
+/// clients for no longer than in a small domain. With a fixed number of eight, it was offered for
+/// nine seconds among 75.
 const MOST_TURNS: usize = 4;
-/// Instances that one hands a message on to. At 300 instances a reader's news of 400 endpoints, sent to each
-/// neighbour by itself, took its link of ten megabits four seconds.
+/// Number of instances that one relay forwards a message to. At 300 instances, a reader's update of
+/// 400 endpoints, sent to each neighbour separately, occupied its 10 Mbit/s link for four seconds.
 const PART: usize = 24;
-/// Neighbours that are told by each sender itself what it has placed. Work is mostly placed in its own failure
-/// domain, and a choice that does not know of others a few milliseconds old costs time where memory is short.
+/// Maximum number of neighbours to which a sender sends changes of placed work directly. Most work
+/// is placed in the own failure domain, and scheduling decisions that miss the last few
+/// milliseconds cost time where memory is short.
 const MOST_DIRECT: usize = 96;
-/// Addresses that a newcomer is told at once; with twenty bytes each they fit into a datagram.
+/// Maximum number of addresses in the reply to a new instance; at 20 bytes each they fit into one
+/// datagram.
 const WELCOMED: usize = 128;
-/// Peers of another failure domain from which on one of them hands on to the others.
+/// Maximum number of peers in a remote failure domain that are sent to directly, without a relay.
 const FEW: usize = 3;
-/// Heartbeats of an instance after which it has heard its neighbours: two seconds' worth.
+/// Number of heartbeats after which an instance has heard from its neighbours, two seconds' worth.
 const FRESH: u64 = 8;
 
-/// Which peers forward a message to their failure domain.
+/// Rule by which the relays of a failure domain are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Forwarders {
-    /// Those that were heard last, which most surely live.
+    /// Most recently heard peers first, as those are most likely alive.
     LastHeard,
-    /// The same for all senders, so that what many send can be forwarded together.
+    /// Same order for all senders, so that messages of many senders can be batched.
     Common,
 }
 
-/// Who gets a message that is for everybody.
+/// Recipients of a broadcast.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Audience {
-    /// Those that get it from this instance.
+    /// Addresses that this instance sends to directly.
     pub direct: Vec<SocketAddr>,
-    /// Those that hand it on, each to a part of its failure domain.
+    /// Relays, each with the part of its failure domain that it forwards to.
     pub relays: Vec<(SocketAddr, Share)>,
 }
 
 impl FleetView {
-    /// Lists where to send a heartbeat: to everybody in a small fleet, else to some in turn.
+    /// Lists the recipients of the next heartbeat: all peers in a small fleet, else some of them in
+    /// rotation.
     pub fn targets(&mut self) -> Vec<SocketAddr> {
         if self.contacts.len() <= FANOUT {
             return self.contacts.keys().copied().collect();
@@ -67,19 +74,20 @@
             self.contacts.keys().copied().partition(|a| self.near.contains(a));
         let count = near_count(near.len());
         let mut targets = in_turn(&near, count, &mut self.near_turn);
-        // A newcomer does not know yet who is near.
+        // The failure domains of the peers are still unknown to a new instance.
         let rest = count + FAR - targets.len();
         targets.extend(in_turn(&far, rest, &mut self.far_turn));
         targets
     }
 
-    /// Returns who gets a message that is for everybody.
+    /// Returns the recipients of a broadcast.
     ///
-    /// What instances tell each other at once goes to all of them. Sent to each by itself it crosses
-    /// the lines between failure domains as often as there are instances; at 88 of them that was a
-    /// quarter of all bytes there. And one instance alone can't send what it has read to hundreds: its
-    /// link is full, and the last hear it seconds later. Some of each domain hand it on to a part of the
-    /// rest each. If one dies in that moment its part misses the message, and heartbeats make it good.
+    /// Broadcasts go to all instances. Sent to each one separately, a message would cross the links
+    /// between failure domains once per instance; at 88 instances that was a quarter of all bytes
+    /// there. Nor can one instance send what it has read to hundreds of peers: its link saturates
+    /// and the last peer gets the message seconds later. So some peers of each domain each forward
+    /// it to a part of the rest. If a relay dies at that moment, its part misses the message and
+    /// catches up through heartbeats.
     pub fn everybody(&self, forwarders: Forwarders, now: Moment) -> Audience {
         let mut domains: BTreeMap<Option<&DomainId>, Vec<SocketAddr>> = BTreeMap::new();
         for (address, contact) in &self.contacts {
@@ -109,8 +117,8 @@
         audience
     }
 
-    /// Chooses peers of a failure domain that hand a message on there, first of all not those that have
-    /// only just started and know few neighbours.
+    /// Selects peers of a failure domain as relays. Those that have only just started and have few
+    /// neighbours come last.
     fn relays(
         &self,
         domain: Option<&DomainId>,
@@ -129,12 +137,11 @@
         all.into_iter().take(count).map(|p| p.seat.beacon).collect()
     }
 
-    /// Lists instances for a peer that has just introduced itself and knows few.
+    /// Returns the address of a new instance that announced few peers, and contacts for it.
     ///
-    /// All instances of a large fleet start together, and each knows only those that it begins with. By
-    /// heartbeats alone, which hand a few addresses on, it took four seconds until all had heard those
-    /// that read the store for all; meanwhile most read for themselves, and at 88 instances that was a
-    /// third of a quiet minute's calls.
+    /// When a large fleet starts, each instance has only its seeds. With only the few addresses in
+    /// heartbeats, it took four seconds until all had heard from the readers; meanwhile most read
+    /// the store themselves, which at 88 instances was a third of the calls of a quiet minute.
     pub fn welcome(&mut self, beacon: &FleetBeacon) -> Option<(SocketAddr, Contacts)> {
         let intro = beacon.intro.as_ref()?;
         let told = intro.others.values().map(Vec::len).sum::<usize>();
@@ -145,7 +152,8 @@
         let known = |(a, c): (&SocketAddr, &Contact)| c.domain.clone().map(|d| (*a, d));
         let all: Vec<(SocketAddr, DomainId)> =
             self.contacts.iter().filter(|(a, _)| **a != newcomer).filter_map(known).collect();
-        // Each who welcomes it begins elsewhere, so that together they name everybody.
+        // Each peer that replies starts at another contact, so that the replies together cover the
+        // fleet.
         let mut others = Contacts::new();
         for (address, domain) in in_turn(&all, WELCOMED, &mut self.told_turn) {
             others.entry(domain).or_default().push(address);
@@ -153,19 +161,19 @@
         Some((newcomer, others))
     }
 
-    /// Lists the peers of the same failure domain that are in a part of it, to hand a message on to.
+    /// Lists the neighbours in one part of the failure domain, to forward a message to.
     pub fn part_of_neighbours(&self, share: Share) -> Vec<SocketAddr> {
         let is_in = |address: &SocketAddr| lot(address) % share.of.max(1) == share.part;
         self.near.iter().copied().filter(is_in).collect()
     }
 
-    /// Says whether a peer was heard lately.
+    /// Returns whether the peer's last heartbeat is recent enough.
     pub(super) fn is_heard(&self, peer: &Peer, now: Moment) -> bool {
         now.since(peer.heard) <= self.silence(peer)
     }
 
-    /// Returns the silence after which a peer counts as gone. Instances of a large fleet send to each
-    /// other in turns, so that each hears the others less often.
+    /// Returns the silence after which a peer counts as gone. In a large fleet heartbeats rotate
+    /// among the peers, so each peer hears from the others less often.
     fn silence(&self, peer: &Peer) -> Duration {
         if peer.seat.domain == self.seat.domain {
             self.near_silence()
@@ -179,7 +187,7 @@
         self.silence_of(near.div_ceil(near_count(near)))
     }
 
-    /// Returns the silence after which a peer of another failure domain counts as gone.
+    /// Returns the silence after which a peer in another failure domain counts as gone.
     pub(super) fn longest_silence(&self) -> Duration {
         let far = self.contacts.len() - self.near.len();
         self.silence_of(far.div_ceil(FAR))
@@ -192,18 +200,18 @@
     }
 }
 
-/// Returns how many neighbours a heartbeat goes to.
+/// Returns the number of neighbours that each heartbeat goes to.
 fn near_count(near: usize) -> usize {
     NEAR.max(near.div_ceil(MOST_TURNS))
 }
 
-/// Returns a number that spreads addresses evenly over the parts of a failure domain.
+/// Hashes an address to a number that spreads addresses evenly over the parts of a failure domain.
 fn lot(address: &SocketAddr) -> u32 {
     let hash = blake3::hash(address.to_string().as_bytes());
     u32::from_be_bytes(std::array::from_fn(|i| hash.as_bytes()[i]))
 }
 
-/// Takes the next `most` of a list, and the first again after the last.
+/// Returns the next `count` items of a list in rotation and advances `position`.
 fn in_turn<T: Clone>(all: &[T], most: usize, turn: &mut usize) -> Vec<T> {
     let count = all.len().min(most);
     let start = *turn;
--- a/crates/nutmeggrade-state/src/fleet_view/sources.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/sources.rs
@@ -1,4 +1,4 @@
-//! Which peer an instance asks for what it has missed.
+//! Selection of the peer to fetch missed updates from.
 
 use std::net::SocketAddr;
 
@@ -7,21 +7,23 @@
 
 use super::{FleetView, Peer};
 
-/// Which peers may be asked.
+/// Which peers may be selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
-    /// Those of the same failure domain, and others if nobody there is to ask them first.
+    /// Peers in the same failure domain; other peers only if this instance is the first of its
+    /// domain.
     Near,
-    /// All.
+    /// All peers.
     Everywhere,
 }
 
 impl FleetView {
-    /// Chooses a live peer that `is_ahead`, and says whether it is in the same failure domain.
+    /// Selects a live peer that `is_ahead`; returns its address and whether it is in the same
+    /// failure domain.
     ///
-    /// Neighbours are asked first. While none of them is ahead, only the first instance of a failure domain
-    /// asks another domain's, so that a change crosses between two domains once;
-    /// [`Reach::Everywhere`] lifts that. `lot` is drawn, and spreads the calls.
+    /// Neighbours are preferred. While none of them is ahead, only the first instance of a failure
+    /// domain fetches from another domain, so that an update crosses between two domains once.
+    /// [`Reach::Everywhere`] lifts this rule. `lot` is a random number that spreads the calls.
     pub fn source(
         &self,
         is_ahead: impl Fn(&Revisions) -> bool,
@@ -41,13 +43,12 @@
         Some((peer.seat.control, is_near))
     }
 
-    /// Lists where heartbeats of the instances of the same failure domain go.
+    /// Lists the heartbeat addresses of the instances in the same failure domain.
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         self.near.iter().copied().collect()
     }
 
-    /// Says whether this instance is the first of its failure domain in the order in which instances
-    /// read for all.
+    /// Returns whether this instance ranks first as a reader in its failure domain.
     fn is_first_near(&self, now: Moment) -> bool {
         let is_near = |p: &Peer| p.seat.domain == self.seat.domain && !p.leaving;
         let mut live = self.peers.iter().filter(|(_, p)| is_near(p) && self.is_heard(p, now));
--- a/crates/nutmeggrade-state/src/invariant.rs
+++ b/crates/nutmeggrade-state/src/invariant.rs
@@ -1,14 +1,14 @@
-//! Invariants that are asserted while the program runs.
+//! Invariants that are checked at run time.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
 static BROKEN: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
-/// Counts a broken invariant; in a debug build, which tests use, it is fatal.
+/// Counts a violated invariant; in a debug build, as used by the tests, it panics.
 ///
-/// A serving instance that stopped on every broken invariant would turn a wrong count into an
-/// outage, so there the break is counted and shown as a metric that must stay at zero.
+/// If a serving instance panicked on each violation, a wrong count would become an outage. A
+/// release build only counts the violation in a metric that must stay at zero.
 #[track_caller]
 pub fn check(holds: bool, name: &'static str) {
     if holds {
@@ -20,7 +20,7 @@
     debug_assert!(holds, "invariant broken: {name}");
 }
 
-/// Returns how often each invariant was broken since the process started.
+/// Returns the number of violations of each invariant since the process started.
 pub fn broken() -> BTreeMap<&'static str, u64> {
     BROKEN.lock().map(|b| b.clone()).unwrap_or_default()
 }
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -1,4 +1,4 @@
-//! The instances of the system as this one sees them.
+//! Table of the peer instances, built from heartbeats and the platform.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use nutmeggrade_core::peer::{Beacon, Echo, Entry};
 use nutmeggrade_core::prelude::*;
 
-/// Own heartbeats whose time of sending is remembered; an older echo counts for nothing.
+/// Number of own heartbeats whose send time is stored; echoes of older ones are ignored.
 const SENT: usize = 128;
 
 #[derive(Debug, Clone)]
@@ -24,13 +24,13 @@
 /// An instance that may be a member of the next epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its incarnation.
+    /// Incarnation of the instance.
     pub incarnation: u64,
     /// Whether it can write the epoch.
     pub hears_platform: bool,
 }
 
-/// Peers, when each was last heard, and what it said.
+/// Table of the peers with their last heartbeats.
 #[derive(Debug)]
 pub struct Membership {
     own: Entry,
@@ -40,7 +40,7 @@
 }
 
 impl Membership {
-    /// Makes a table with no peers; one silent for longer than `silence` counts as gone.
+    /// Creates a table without peers; a peer silent for longer than `silence` counts as gone.
     pub fn new(own: &Entry, silence: Duration) -> Self {
         Self { own: own.clone(), silence, peers: BTreeMap::new(), sent: VecDeque::new() }
     }
@@ -50,7 +50,8 @@
         &self.own
     }
 
-    /// Learns of an instance from the platform; says whether it is new or in a newer life.
+    /// Adds an instance listed by the platform; returns whether it is new or has a newer
+    /// incarnation.
     pub fn learn(&mut self, entry: &Entry) -> bool {
         if entry.instance == self.own.instance {
             return false;
@@ -73,13 +74,13 @@
         true
     }
 
-    /// Forgets an instance that removed itself from the platform.
+    /// Removes an instance that deregistered itself from the platform.
     pub fn forget(&mut self, instance: &InstanceId) -> Option<Entry> {
         self.peers.remove(instance).map(|p| p.entry)
     }
 
-    /// Takes a heartbeat; says whether it was fresh. Old, repeated and own ones are dropped, and those
-    /// of a life whose addresses are not known yet.
+    /// Processes a heartbeat; returns whether it was fresh. Old, repeated and own heartbeats are
+    /// dropped, and those of an incarnation whose addresses are unknown.
     pub fn hear(&mut self, beacon: &Beacon, now: Moment) -> bool {
         if beacon.instance == self.own.instance {
             return false;
@@ -105,7 +106,7 @@
         true
     }
 
-    /// Notes when an own heartbeat is about to be sent.
+    /// Records the send time of an own heartbeat.
     pub fn note_sent(&mut self, sequence: u64, now: Moment) {
         self.sent.push_back((sequence, now));
         if self.sent.len() > SENT {
@@ -113,19 +114,19 @@
         }
     }
 
-    /// Lists the last heartbeat heard of each peer, for the next own one.
+    /// Returns the last heartbeat received from each peer, for the next own heartbeat.
     pub fn echoes(&self) -> BTreeMap<InstanceId, Echo> {
         let echo = |p: &Peer| Echo { incarnation: p.entry.incarnation, sequence: p.sequence };
         let heard = self.peers.iter().filter(|(_, p)| p.heard.is_some());
         heard.map(|(instance, p)| (instance.clone(), echo(p))).collect()
     }
 
-    /// Returns the moment as of which this instance was together with more than half of `size`
+    /// Returns the latest moment at which this instance was in contact with a majority of `size`
     /// instances, itself included; `None` if it never was.
     ///
-    /// A peer counts as of the own heartbeat that it answered, not as of the arrival of its word: a
-    /// process that was frozen finds minutes of old heartbeats in its buffers, and by their arrival
-    /// all peers would seem to be there.
+    /// A peer counts as of the own heartbeat that it echoed, not as of the arrival of its
+    /// heartbeat: a process that was frozen finds minutes of old heartbeats in its buffers, and by
+    /// their arrival all peers would seem to be alive.
     pub fn together_since(&self, size: usize) -> Option<Moment> {
         let mut answered: Vec<Moment> = self.peers.values().filter_map(|p| p.as_of).collect();
         answered.sort_unstable_by(|a, b| b.cmp(a));
@@ -133,19 +134,19 @@
         answered.get(needed - 1).copied()
     }
 
-    /// Lists the peers that are known and not heard lately.
+    /// Lists the known peers without a recent heartbeat.
     pub fn silent(&self, now: Moment) -> Vec<Entry> {
         let silent = self.peers.values().filter(|p| !self.is_live(&p.entry.instance, now));
         silent.map(|p| p.entry.clone()).collect()
     }
 
-    /// Counts the instances that are known, this one included.
+    /// Returns the number of known instances, including this one.
     pub fn known(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Lists the peers that may be members of the next epoch, and which of them heard the platform
-    /// within `patience`.
+    /// Lists the peers that may be members of the next epoch, with whether each had contact with
+    /// the platform within `patience`.
     pub fn candidates(&self, patience: Duration, now: Moment) -> BTreeMap<InstanceId, Candidate> {
         let candidate = |p: &Peer| Candidate {
             incarnation: p.entry.incarnation,
@@ -155,48 +156,49 @@
         open.map(|p| (p.entry.instance.clone(), candidate(p))).collect()
     }
 
-    /// Lists the peers heard lately.
+    /// Lists the peers with a recent heartbeat.
     pub fn live(&self, now: Moment) -> Vec<&Entry> {
         self.heard_lately(now).map(|p| &p.entry).collect()
     }
 
-    /// Lists the peers that callers may be sent to: heard lately and not leaving.
+    /// Lists the peers that callers may be sent to: those with a recent heartbeat that are not
+    /// leaving.
     pub fn open(&self, now: Moment) -> Vec<&Entry> {
         self.heard_lately(now).filter(|p| !p.leaving).map(|p| &p.entry).collect()
     }
 
-    /// Says whether an instance is known to be in service, this one included.
+    /// Returns whether an instance is live, which includes this one.
     pub fn is_live(&self, instance: &InstanceId, now: Moment) -> bool {
         *instance == self.own.instance
             || self.heard_lately(now).any(|p| p.entry.instance == *instance)
     }
 
-    /// Says whether one life of an instance is known to be in service, this one included.
+    /// Returns whether one incarnation of an instance is live, which includes this one.
     pub fn is_alive(&self, instance: &InstanceId, incarnation: u64, now: Moment) -> bool {
         let same = |e: &Entry| e.instance == *instance && e.incarnation == incarnation;
         same(&self.own) || self.heard_lately(now).any(|p| same(&p.entry))
     }
 
-    /// Says whether every peer answered a heartbeat sent at or after `at`; one silent for longer than `gone` counts as
-    /// gone.
+    /// Returns whether every peer echoed a heartbeat sent at or after `at`; a peer silent for
+    /// longer than `gone` is skipped.
     pub fn all_heard(&self, at: Moment, gone: Duration, now: Moment) -> bool {
         let answered = |p: &Peer| p.as_of.is_some_and(|as_of| as_of >= at);
         let is_gone = |p: &Peer| p.heard.is_none_or(|heard| now.since(heard) > gone);
         self.peers.values().all(|p| answered(p) || is_gone(p))
     }
 
-    /// Lists the peers that have at least this version of the configuration in force.
+    /// Lists the peers whose configuration in force has at least this version.
     pub fn holders(&self, version: u64) -> Vec<Entry> {
         let holders = self.peers.values().filter(|p| p.config >= version);
         holders.map(|p| p.entry.clone()).collect()
     }
 
-    /// Lists what version each live instance has in force.
+    /// Returns the configuration version in force on each live peer.
     pub fn configs(&self, now: Moment) -> BTreeMap<InstanceId, u64> {
         self.heard_lately(now).map(|p| (p.entry.instance.clone(), p.config)).collect()
     }
 
-    /// Sums what live peers have in flight at each endpoint.
+    /// Returns the number of requests that live peers have in flight at each endpoint.
     pub fn in_flight(&self, now: Moment) -> BTreeMap<EndpointId, u32> {
         let mut sums = BTreeMap::new();
         for (endpoint, count) in self.heard_lately(now).flat_map(|p| &p.in_flight) {
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that are suspected of crashing engines.
+//! Table of requests suspected of crashing engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,29 +8,30 @@
 
 use crate::invariant;
 
-/// How long a crash is held against a request: long enough for a caller that sends it again and
-/// again, short enough that a mended engine or a wrong suspicion is forgotten.
+/// How long a crash counts against a request: long enough for a caller that keeps resending it,
+/// short enough for a repaired engine or a wrong suspicion to expire.
 const KEEP: Duration = Duration::from_mins(10);
-/// Two crashes of one engine this close are one crash, seen from two instances or requests.
+/// Maximum time between two reports of one engine's crash, seen by different instances or requests,
+/// for them to count as one crash.
 const SAME: Duration = Duration::from_secs(3);
-/// A peer's trial counts for as long as the peer was heard within this time.
+/// Time without a heartbeat after which a peer's trials are ignored.
 const FRESH: Duration = Duration::from_secs(3);
-/// Requests that one instance keeps; the oldest goes first.
+/// Maximum number of suspect requests in the own table and per peer; the oldest is evicted first.
 const MOST: usize = 128;
 
-/// Names one waiting request inside this instance.
+/// Identifies one waiting request within this instance.
 pub type TrialId = u64;
 
-/// What a request may do.
+/// Admission decision for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gate {
-    /// Start as usual.
+    /// Start it as usual.
     Free,
-    /// Start as the only suspect that runs.
+    /// Start it as the only running suspect.
     Trial,
     /// Ask again soon.
     Wait,
-    /// It crashed engines: refuse it for good.
+    /// Reject it for good, because it crashed engines.
     Refuse,
 }
 
@@ -70,13 +71,14 @@
     marks: BTreeMap<PromptHash, Mark>,
 }
 
-/// Requests that ran on an engine when it crashed, here and at peers.
+/// Table of requests that were running on an engine when it crashed, here and at peers.
 ///
-/// Now and then one request crashes each engine that runs it, and its caller sends it again. Without
-/// a memory of it every engine goes down in turn. A crash takes all requests of the engine with it,
-/// so a crash alone condemns nobody. A request whose engine crashed before its first token is tried
-/// again alone: no other such request runs anywhere meanwhile. If its engine crashes again, it is the
-/// cause, it is refused on all instances, and its crashes are no longer held against its neighbours.
+/// Occasionally one request crashes each engine that runs it, and its caller keeps resending it.
+/// Without a shared record, the engines would go down one after the other. A crash ends all
+/// requests on the engine, so a single crash is no proof. A request whose engine crashed before its
+/// first token is retried alone: no other such request runs anywhere meanwhile. If its engine
+/// crashes again, this request is the cause. All instances then reject it, and its crashes stop
+/// counting against the other requests on those engines.
 #[derive(Debug)]
 pub struct Suspects {
     own: InstanceId,
@@ -87,12 +89,12 @@
 }
 
 impl Suspects {
-    /// Makes an empty table; `beacon` is the time between two words to the peers.
+    /// Creates an empty table; `beacon` is the heartbeat interval.
     pub fn new(own: &InstanceId, beacon: Duration) -> Self {
         Self {
             own: own.clone(),
-            // A trial elsewhere that began unseen is heard of within two beacons; the rest is for
-            // the way.
+            // A trial that started at a peer is announced within two heartbeats; the rest allows
+            // for transit.
             settle: beacon * 2 + beacon / 2,
             marks: BTreeMap::new(),
             trials: BTreeMap::new(),
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Says what a request may do now; a waiting one asks again with the same id.
+    /// Returns the admission decision for a request; a waiting request asks again with the same id.
     pub fn gate(&mut self, request: PromptHash, id: TrialId, now: Moment) -> Gate {
         self.forget(now);
         if self.is_condemned(request, now) {
@@ -108,7 +110,8 @@
         }
         let held = self.held(request, now);
         if distinct(&held) >= 2 {
-            // A peer may be about to tell that another request caused the last crash.
+            // A report that another request caused the last crash may still be on its way from a
+            // peer.
             return Gate::Wait;
         }
         if !held.iter().any(|c| c.first) {
@@ -125,13 +128,14 @@
         Gate::Trial
     }
 
-    /// Ends a request's wait or trial, whatever came of it.
+    /// Ends the wait or trial of a request, whatever its result.
     pub fn end(&mut self, id: TrialId) {
         self.trials.remove(&id);
     }
 
-    /// Notes that a request's first token came, or that its answer is `whole`: it is not held to
-    /// crash engines before its first token, or at all.
+    /// Records that the first token of a request arrived, or, with `whole`, its complete answer.
+    /// Earlier crashes before a first token stop counting against the request, or with `whole` all
+    /// earlier crashes.
     pub fn clear(&mut self, request: PromptHash, whole: bool, now: Moment) {
         if self.held(request, now).is_empty() {
             return;
@@ -143,7 +147,8 @@
         }
     }
 
-    /// Notes that an engine crashed while it ran a request; `first` if no token of it had come.
+    /// Records that an engine crashed while running a request; `first` if no token of it had
+    /// arrived.
     pub fn crash(
         &mut self,
         request: PromptHash,
@@ -158,7 +163,7 @@
         self.forget(now);
     }
 
-    /// Takes what a peer knows.
+    /// Replaces the suspects that a peer reported.
     pub fn hear(&mut self, peer: &InstanceId, suspects: &[Suspect], now: Moment) {
         let mark = |s: &Suspect| {
             let seen = |c: &Crash| Seen {
@@ -180,7 +185,7 @@
         self.forget(now);
     }
 
-    /// Returns what this instance tells its peers.
+    /// Returns the suspects to report to the peers.
     pub fn tell(&mut self, now: Moment) -> Vec<Suspect> {
         self.forget(now);
         let mut told: BTreeMap<PromptHash, Mark> = self.marks.clone();
@@ -208,7 +213,7 @@
         told.into_iter().map(suspect).take(MOST).collect()
     }
 
-    /// Returns how many requests are refused.
+    /// Returns the number of rejected requests.
     pub fn condemned(&self, now: Moment) -> usize {
         let peers = self.peers.values().flat_map(|p| p.marks.keys());
         let all: std::collections::BTreeSet<_> = self.marks.keys().chain(peers).collect();
@@ -224,8 +229,8 @@
         distinct(&held) >= 2
     }
 
-    /// Lists the crashes that are held against a request: not old, not before it was cleared, and not
-    /// explained by another request that crashed its engine in a trial.
+    /// Lists the crashes that count against a request: recent, after it was last cleared, and not
+    /// caused by another request that crashed the engine in a trial.
     fn held(&self, request: PromptHash, now: Moment) -> Vec<&Seen> {
         let marks = || self.all().filter(|(r, _)| *r == request).map(|(_, m)| m);
         let cleared = marks().filter_map(|m| m.cleared).max();
@@ -249,7 +254,7 @@
         self.marks.iter().chain(peers).map(|(r, m)| (*r, m))
     }
 
-    /// Says whether no trial runs anywhere and nobody waits who goes first.
+    /// Returns whether no trial runs anywhere and no waiting suspect goes first.
     fn is_next(&self, request: PromptHash, id: TrialId, now: Moment) -> bool {
         let own = self.trials.iter().filter(|(other, _)| **other != id);
         let before_us =
