--- a/crates/nutmeggrade-state/src/registry.rs
+++ b/crates/nutmeggrade-state/src/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoints that registered themselves, less those that may get nothing new.
+//! Table of the registered endpoints and of the restrictions on new work.
 
 mod versions;
 
@@ -10,61 +10,62 @@
 
 use crate::rollout::{Standing, VersionRule};
 
-/// Time for which an endpoint stays usable that lost its entry while the platform was away. Entries
-/// lapse then although the endpoints live, and are back within two seconds of its return; a little
-/// less leaves room for the way of the last request.
+/// Time for which an endpoint stays usable after it lost its entry in a platform outage. Entries of
+/// live endpoints lapse during an outage and are back within two seconds after it; the margin is
+/// for the transit of the last request.
 const RETURN_WAIT: Duration = Duration::from_millis(1_800);
 
-/// Part of a service's endpoints, as one in so many, that may be missing at most if those are taken for
-/// leaving. Where more are, the store has lost the entries of endpoints that live.
+/// Maximum share of a service's endpoints that may be missing for these to be treated as leaving,
+/// as a divisor (3 means a third). If more are missing, the store has lost the entries of live
+/// endpoints.
 const FEW: usize = 3;
 
-/// Why an endpoint gets nothing new.
+/// Why an endpoint gets no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Leaving {
-    /// It said that it will end.
+    /// The endpoint announced its shutdown.
     Draining,
-    /// Its entry is gone.
+    /// Its entry was removed.
     Removed,
 }
 
-/// Time after which a new endpoint is no longer slow from its start.
+/// Time after registration in which an endpoint still counts as slow.
 const WARMING: Duration = Duration::from_secs(2);
 
 /// One registered endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Registered {
-    /// What it says of itself.
+    /// Information from its registration.
     pub info: EndpointInfo,
-    /// Until when it is cold.
+    /// End of its cold start.
     pub cold_until: Moment,
-    /// When this instance first knew of this life of it.
+    /// When this instance first saw this incarnation of the endpoint.
     pub joined: Moment,
-    /// Set once its entry was found missing after an outage; it is dropped at that moment.
+    /// Set when its entry is missing after an outage: the moment at which it is removed.
     pub missing_until: Option<Moment>,
 }
 
 impl Registered {
-    /// Says whether the endpoint has been there for long enough to be as fast as it gets.
+    /// Returns whether the endpoint has been registered long enough to have reached full speed.
     pub fn is_warm(&self, now: Moment) -> bool {
         self.cold_until <= now && now.since(self.joined) >= WARMING
     }
 }
 
-/// A change of what is known about an endpoint.
+/// A change of the state of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// It may get work.
     Joined(EndpointInfo),
-    /// Its entry is missing after an outage of the store and may come back. It still gets work, and nobody
-    /// is told that it leaves; what runs there may have little time left.
+    /// Its entry is missing after an outage of the store and may come back. It still gets work and
+    /// is not reported as leaving, but its running work may have little time left.
     Missing(EndpointInfo),
-    /// It gets nothing new; what runs there has little time left.
+    /// It gets no new work; its running work has little time left.
     Left(EndpointInfo, Leaving),
 }
 
 impl Change {
-    /// Returns the endpoint that joined, if one did.
+    /// Returns the endpoint that joined, if any.
     pub const fn joined(&self) -> Option<&EndpointInfo> {
         match self {
             Self::Joined(info) => Some(info),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Returns the endpoint that left, if one did.
+    /// Returns the id of the endpoint that left, if any.
     pub fn left(self) -> Option<EndpointId> {
         match self {
             Self::Left(info, _) => Some(info.id),
@@ -81,11 +82,11 @@
     }
 }
 
-/// The endpoints that registered themselves and the failure domains that are out.
+/// Table of the registered endpoints and the failure domains out of service.
 ///
-/// An endpoint that leaves must get nothing new, and one that did not leave must not lose its work
-/// because the platform's store was away. Entries lapse with the store, so an entry that is missing
-/// in the first listing after an outage counts as gone only once it had time to come back.
+/// A leaving endpoint must get no new work, and one that stays must not lose its work because the
+/// platform's store was unavailable. Entries lapse during an outage of the store, so an entry
+/// missing in the first listing after one counts as removed only after it had time to come back.
 #[derive(Debug, Default)]
 pub struct Registry {
     endpoints: BTreeMap<EndpointId, Registered>,
@@ -94,12 +95,13 @@
 }
 
 impl Registry {
-    /// Makes an empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a whole listing. `after_outage` says that entries may have lapsed.
+    /// Replaces the endpoints with a complete listing. `after_outage` means that entries may have
+    /// lapsed.
     pub fn replace(
         &mut self,
         all: &[EndpointInfo],
@@ -117,17 +119,17 @@
         changes
     }
 
-    /// Takes an endpoint's new entry.
+    /// Applies an endpoint's new entry.
     pub fn put(&mut self, info: &EndpointInfo, now: Moment) -> Option<Change> {
         let old = self.endpoints.get(&info.id);
         let was_leaving = old.is_some_and(|o| o.info.leaving && o.info.born == info.born);
-        // Two lives under one id: the later one knows nothing of what the earlier one did.
+        // Ignores an entry of an earlier incarnation with the same id.
         if old.is_some_and(|o| o.info.born > info.born) {
             return None;
         }
         let was_known = old.is_some_and(|o| o.info.born == info.born);
         let mut info = info.clone();
-        // An older entry that arrives late must not bring back an endpoint that leaves.
+        // An older entry that arrives late must not revert an endpoint from leaving.
         info.leaving |= was_leaving;
         let cold_until = now.after(info.cold_left);
         let joined = old.filter(|_| was_known).map_or(now, |o| o.joined);
@@ -140,28 +142,28 @@
         }
     }
 
-    /// Takes an endpoint's own word that it leaves.
+    /// Marks an endpoint as leaving, as announced by itself.
     pub fn leave(&mut self, id: &EndpointId) -> Option<Change> {
         let entry = self.endpoints.get_mut(id).filter(|e| !e.info.leaving)?;
         entry.info.leaving = true;
         Some(Change::Left(entry.info.clone(), Leaving::Draining))
     }
 
-    /// Takes the news that an endpoint's entry is gone.
+    /// Removes an endpoint whose entry is gone.
     pub fn remove(&mut self, id: &EndpointId) -> Option<Change> {
         let old = self.endpoints.remove(id)?;
         Some(Change::Left(old.info, Leaving::Removed))
     }
 
-    /// Notes that an entry was missing after an outage; it is dropped unless it comes back in time. Says so
-    /// once.
+    /// Marks an entry as missing after an outage; it is removed unless it comes back in time.
+    /// Returns a change only for the first call.
     pub fn miss(&mut self, id: &EndpointId, now: Moment) -> Option<Change> {
         let entry = self.endpoints.get_mut(id).filter(|e| e.missing_until.is_none())?;
         entry.missing_until = Some(now.after(RETURN_WAIT));
         Some(Change::Missing(entry.info.clone()))
     }
 
-    /// Drops entries that did not come back in time.
+    /// Removes entries that did not come back in time.
     pub fn expire(&mut self, now: Moment) -> Vec<Change> {
         let is_over = |e: &Registered| e.missing_until.is_some_and(|until| until <= now);
         let gone: Vec<EndpointId> =
@@ -169,27 +171,27 @@
         gone.iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Replaces the failure domains that are out.
+    /// Replaces the failure domains that are out of service.
     pub fn set_out(&mut self, out: &BTreeSet<DomainId>) {
         self.out.clone_from(out);
     }
 
-    /// Returns the failure domains that are out.
+    /// Returns the failure domains that are out of service.
     pub const fn out(&self) -> &BTreeSet<DomainId> {
         &self.out
     }
 
-    /// Says whether an endpoint may get new work; asked immediately before a request is sent.
+    /// Returns whether an endpoint may get new work; call it immediately before sending a request.
     pub fn may_send(&self, id: &EndpointId) -> bool {
         self.endpoints.get(id).is_some_and(|e| self.in_service(e))
     }
 
-    /// Says whether what runs at an endpoint should go on elsewhere.
+    /// Returns whether the work running at an endpoint should move elsewhere.
     ///
-    /// An endpoint may leave without a word just after an outage. Its entry then vanishes like those that
-    /// lapsed with the store, and whoever waits until it could have come back has no time left to take
-    /// along what runs there; one notices streams that break off in the moment at which the endpoint is
-    /// dropped. A few missing ones therefore count as leaving for what runs there.
+    /// An endpoint may shut down unannounced just after an outage. Its entry then disappears like
+    /// those that lapsed with the store. Waiting for it to come back would leave no time to move
+    /// its running work, and streams would break off when the endpoint is removed. If only a few
+    /// entries are missing, those endpoints therefore count as leaving for their running work.
     pub fn is_parting(&self, id: &EndpointId) -> bool {
         let Some(entry) = self.endpoints.get(id) else { return true };
         let is_missing = entry.missing_until.is_some();
@@ -198,7 +200,7 @@
             || (is_missing && self.is_mostly_there(&entry.info.service))
     }
 
-    /// Lists those whose entries are missing and may come back.
+    /// Lists the endpoints whose entries are missing and may come back.
     pub fn missing(&self) -> impl Iterator<Item = &EndpointId> {
         let missing = self.endpoints.iter().filter(|(_, e)| e.missing_until.is_some());
         missing.map(|(id, _)| id)
@@ -210,22 +212,22 @@
         missing * FEW <= of_service.count()
     }
 
-    /// Returns an endpoint that is registered.
+    /// Returns a registered endpoint.
     pub fn get(&self, id: &EndpointId) -> Option<&Registered> {
         self.endpoints.get(id)
     }
 
-    /// Lists all that are registered, in service or not.
+    /// Lists all registered endpoints, in service or not.
     pub fn all(&self) -> impl Iterator<Item = &Registered> {
         self.endpoints.values()
     }
 
-    /// Lists those that may get new work.
+    /// Lists the endpoints that may get new work.
     pub fn usable(&self) -> impl Iterator<Item = &Registered> {
         self.endpoints.values().filter(|e| self.in_service(e))
     }
 
-    /// Says whether an endpoint stays and its failure domain is in service.
+    /// Returns whether an endpoint is not leaving and its failure domain is in service.
     pub fn is_open(&self, entry: &Registered) -> bool {
         !entry.info.leaving && !self.out.contains(&entry.info.domain)
     }
--- a/crates/nutmeggrade-state/src/registry/versions.rs
+++ b/crates/nutmeggrade-state/src/registry/versions.rs
@@ -1,4 +1,4 @@
-//! What endpoints may get because of their version.
+//! Restrictions on endpoints by their version.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,20 +9,21 @@
 use super::{Registered, Registry};
 use crate::rollout::{Standing, VersionRule};
 
-/// Time for which a version that is new to a service gets nothing, unless an order says what it gets.
+/// Time for which a new version of a service gets no work, unless a roll-out order applies to it.
 const UNANNOUNCED: Duration = Duration::from_secs(1);
 
-/// When a version was there first: when this instance knew of it, and when its endpoint started.
+/// First appearance of a version: when this instance saw it, and when its endpoint started.
 type First = (Moment, u64);
 
 impl Registry {
-    /// Replaces what endpoints may get by their version, for each service with a roll-out.
+    /// Replaces the version rules of all services that have a roll-out.
     pub fn set_versions(&mut self, versions: BTreeMap<ServiceId, VersionRule>) {
         self.versions = versions;
     }
 
-    /// Returns rules that hold back all versions of a service but the first one that was there: for good while
-    /// it is not known which orders there are, else for the moment in which an order of theirs may be read.
+    /// Returns rules that hold back all versions of a service except the first that appeared:
+    /// without a time limit while the orders are unknown, else for a short time in which an order
+    /// for a new version may arrive.
     pub fn provisional(&self, knows_orders: bool, now: Moment) -> BTreeMap<ServiceId, VersionRule> {
         let mut versions: BTreeMap<&ServiceId, BTreeMap<&VersionId, First>> = BTreeMap::new();
         for entry in self.endpoints.values() {
@@ -43,15 +44,15 @@
         versions.into_iter().filter_map(rule).collect()
     }
 
-    /// Says whether an endpoint has a version that no other one of its service has.
+    /// Returns whether no other endpoint of the service has the same version.
     pub fn is_first_of_version(&self, info: &EndpointInfo) -> bool {
         let of_service = |e: &&Registered| e.info.service == info.service && e.info.id != info.id;
         let mut others = self.endpoints.values().filter(of_service).peekable();
         others.peek().is_some() && others.all(|e| e.info.version != info.version)
     }
 
-    /// Returns what an endpoint may get because of its version. Where a service has endpoints of the
-    /// version only that it is to move to, they serve it.
+    /// Returns what an endpoint may get because of its version. If a service has only endpoints of
+    /// the target version, these serve it even if the version is held.
     pub fn standing(&self, info: &EndpointInfo) -> Standing {
         let Some(rule) = self.versions.get(&info.service) else { return Standing::Serving };
         let standing = rule.standing(info.version.as_ref());
@@ -61,7 +62,7 @@
         standing
     }
 
-    /// Says whether an endpoint of another version is registered.
+    /// Returns whether the service has a registered endpoint of another version.
     pub fn has_other(&self, service: &ServiceId, version: &VersionId) -> bool {
         let is_other =
             |e: &Registered| e.info.service == *service && e.info.version.as_ref() != Some(version);
--- a/crates/nutmeggrade-state/src/rollout.rs
+++ b/crates/nutmeggrade-state/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs as one instance knows them.
+//! Roll-outs of new versions, as seen by one instance.
 
 mod entry;
 mod peer_count;
--- a/crates/nutmeggrade-state/src/rollout/entry.rs
+++ b/crates/nutmeggrade-state/src/rollout/entry.rs
@@ -1,4 +1,4 @@
-//! One roll-out as one instance knows it.
+//! State of one roll-out, as seen by one instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,34 +10,35 @@
 
 use super::peer_count::PeerCount;
 
-/// Time for which a part of the requests stays granted: a few heartbeats of whoever grants it. An instance
-/// that hears no more of it sends the new version nothing.
+/// Validity of a granted share of the requests: a few heartbeats of the granting instance. An
+/// instance that hears of no further grant sends nothing to the new version.
 const GRANTED: Duration = Duration::from_secs(1);
-/// Time in which an order has to be decided that gives none.
+/// Time limit for the decision if the order sets none.
 const DEFAULT_DURATION: Duration = Duration::from_mins(1);
 
-/// One roll-out as one instance knows it.
+/// State of one roll-out, as seen by one instance.
 #[derive(Debug, Clone)]
 pub struct Entry {
     /// The order.
     pub order: RolloutOrder,
-    /// Newest revision of the store's object that is known.
+    /// Newest known revision of the store object.
     pub revision: u64,
-    /// The last phase that the store stands for.
+    /// The last phase recorded in the store.
     pub stored: RolloutPhase,
-    /// Whether a state was written.
+    /// Whether the store records that the roll-out has begun.
     pub is_begun: bool,
-    /// How far it is.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// How old the order was at a moment of this instance's clock, which may have begun after it.
+    /// Age of the order at a moment of this instance's clock, which may have started after the
+    /// order.
     known: (Moment, Duration),
-    /// When this instance learned that it is over; unset if it was so from the start.
+    /// When this instance learned that the roll-out is over; `None` if it was over when first seen.
     pub over: Option<Moment>,
-    /// What this instance counted.
+    /// Counts of this instance.
     pub own: RolloutTally,
-    /// What peers counted, by life.
+    /// Counts of the peers, by incarnation.
     pub peers: BTreeMap<(InstanceId, u64), PeerCount>,
-    /// What the evidence says, where this instance judges it.
+    /// Verdict on the evidence, if this instance is the judge.
     pub verdict: &'static str,
     share: f64,
     until: Moment,
@@ -45,7 +46,7 @@
 }
 
 impl Entry {
-    /// Makes an entry of an order that is `age` old, as the store's object is at a revision.
+    /// Creates the entry of an order of the given age, from the store object at a revision.
     pub fn new(
         (order, revision): (&RolloutOrder, u64),
         phase: RolloutPhase,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes what the store says; says whether the phase changed.
+    /// Applies the stored roll-out; returns whether the phase changed.
     pub fn take(&mut self, stored: &StoredRollout, now: Moment) -> bool {
         if stored.revision < self.revision {
             return false;
@@ -81,7 +82,7 @@
         self.advance(stored.phase, now)
     }
 
-    /// Enters a later phase; says whether it is one.
+    /// Enters a phase if it is later than the current one; returns whether it is.
     pub fn advance(&mut self, phase: RolloutPhase, now: Moment) -> bool {
         if phase <= self.phase {
             return false;
@@ -93,7 +94,7 @@
         true
     }
 
-    /// Takes a peer's word; says whether the phase changed.
+    /// Applies a peer's notice; returns whether the phase changed.
     pub fn hear(&mut self, notice: &RolloutNotice, now: Moment) -> bool {
         self.revision = self.revision.max(notice.revision);
         if notice.age > self.age(now) {
@@ -105,13 +106,13 @@
         self.advance(notice.phase, now)
     }
 
-    /// Grants a part of the requests to the new version, for peers to hear.
+    /// Grants a share of the requests to the new version, for the peers too.
     pub fn grant(&mut self, share: f64, now: Moment) {
         self.grants = share;
         self.set_share(share, now);
     }
 
-    /// Grants nothing any more, as another instance judges.
+    /// Stops granting, because another instance judges.
     pub fn stop_granting(&mut self) {
         self.grants = 0.0;
     }
@@ -121,24 +122,24 @@
         self.until = now.after(GRANTED);
     }
 
-    /// Returns the part of the requests that may go to the new version now.
+    /// Returns the share of the requests that may currently go to the new version.
     pub fn share(&self, now: Moment) -> f64 {
         if self.phase == RolloutPhase::Canary && now <= self.until { self.share } else { 0.0 }
     }
 
-    /// Returns how long the order is known in the fleet.
+    /// Returns how long the order has been known in the fleet.
     pub fn age(&self, now: Moment) -> Duration {
         let (at, age) = self.known;
         age + now.since(at)
     }
 
-    /// Returns the time in which it has to be decided.
+    /// Returns the time limit for the decision.
     pub fn duration(&self) -> Duration {
         let given = self.order.duration;
         if given.is_zero() { DEFAULT_DURATION } else { given }
     }
 
-    /// Returns the order as it lies in the store.
+    /// Returns the order as recorded in the store.
     pub fn stored_rollout(&self) -> StoredRollout {
         StoredRollout {
             order: self.order.clone(),
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Returns what peers are told.
+    /// Returns the notice for the peers.
     #[expect(clippy::cast_possible_truncation, reason = "a part needs few digits")]
     pub fn notice(&self, now: Moment) -> RolloutNotice {
         RolloutNotice {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Returns the state that the store should hold but does not.
+    /// Returns the state that the store should contain but does not.
     pub fn unwritten(&self) -> Option<RolloutState> {
         if self.stored.is_over() {
             return None;
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Returns what this instance and its peers counted.
+    /// Returns the combined counts of this instance and its peers.
     pub fn tally(&self) -> RolloutTally {
         let mut all = self.own.clone();
         for peer in self.peers.values() {
--- a/crates/nutmeggrade-state/src/rollout/peer_count.rs
+++ b/crates/nutmeggrade-state/src/rollout/peer_count.rs
@@ -1,30 +1,30 @@
-//! What a peer reported of a roll-out.
+//! Counts that a peer reported for a roll-out.
 
 use nutmeggrade_core::rollout::{RolloutPhase, RolloutReport, RolloutTally};
 
-/// What a peer reported of a roll-out in one of its lives.
+/// Counts that one incarnation of a peer reported for a roll-out.
 #[derive(Debug, Clone)]
 pub struct PeerCount {
-    /// The phase that it has in force.
+    /// Phase in force at the peer.
     pub phase: RolloutPhase,
-    /// Requests that it has at other versions.
+    /// Number of requests that it has at other versions.
     pub running: u32,
-    /// What it counted.
+    /// Its counts.
     pub tally: RolloutTally,
 }
 
 impl PeerCount {
-    /// Takes a report's counts.
+    /// Creates the counts from a report.
     pub fn new(report: &RolloutReport) -> Self {
         Self { phase: report.phase, running: report.running, tally: report.tally.clone() }
     }
 
-    /// Says whether the peer sends nothing to other versions any more and has nothing there.
+    /// Returns whether the peer no longer sends to other versions and has no requests there.
     pub fn is_clear(&self) -> bool {
         self.phase >= RolloutPhase::Switching && self.running == 0
     }
 
-    /// Says whether a report is newer than this; counts only grow.
+    /// Returns whether a report is not older than these counts, which only grow.
     pub fn is_before(&self, report: &RolloutReport) -> bool {
         (self.phase, self.tally.requests) <= (report.phase, report.tally.requests)
     }
--- a/crates/nutmeggrade-state/src/rollout/reported.rs
+++ b/crates/nutmeggrade-state/src/rollout/reported.rs
@@ -1,14 +1,14 @@
-//! When an instance reports what it counted.
+//! Rules for when an instance sends its counts.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::{RolloutPhase, RolloutReport};
 
-/// Longest time between two reports while nothing new was learned of the new version.
+/// Maximum time between two reports while the counts for the new version are unchanged.
 const IDLE: Duration = Duration::from_secs(1);
 
-/// What the last report of a service said.
+/// Content of the last report on a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reported {
     at: Moment,
@@ -19,7 +19,7 @@
 }
 
 impl Reported {
-    /// Notes a report.
+    /// Creates the summary of a report.
     pub fn new(report: &RolloutReport, now: Moment) -> Self {
         Self {
             at: now,
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Says whether another report tells anything that can't wait.
+    /// Returns whether the new report is due: it differs in a relevant value, or the last one is
+    /// too old.
     pub fn is_old(&self, fresh: &Self) -> bool {
         let is_settling = fresh.phase.is_switched() && fresh.running != self.running;
         (self.answers, self.exposed, self.phase) != (fresh.answers, fresh.exposed, fresh.phase)
--- a/crates/nutmeggrade-state/src/rollout/surroundings.rs
+++ b/crates/nutmeggrade-state/src/rollout/surroundings.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a service that moves to another version.
+//! Load of the endpoints of a service during a roll-out.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
@@ -9,29 +9,29 @@
 /// Load of one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointLoad {
-    /// Requests that it works on at a time.
+    /// Number of requests that it can process at a time.
     pub slots: u32,
-    /// Requests that all instances have there.
+    /// Number of requests of all instances at the endpoint.
     pub running: u32,
-    /// Requests that this instance has there.
+    /// Number of requests of this instance at the endpoint.
     pub own: u32,
-    /// Whether what runs there can move.
+    /// Whether its running work can move.
     pub is_movable: bool,
 }
 
-/// The endpoints of a service that moves to another version.
+/// Load of the endpoints of a service during a roll-out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Surroundings {
-    /// What the endpoints can bear.
+    /// Capacity and load by version.
     pub capacity: Capacity,
-    /// Requests that this instance has at other versions.
+    /// Number of requests of this instance at other versions.
     pub own_running: u32,
-    /// Generations at other versions that have to move.
+    /// Number of generations at other versions that have to move.
     pub movable: u32,
 }
 
 impl Surroundings {
-    /// Looks at all endpoints of the service.
+    /// Sums the load of all endpoints of the service.
     pub fn new(
         registry: &Registry,
         (service, version): (&ServiceId, &VersionId),
--- a/crates/nutmeggrade-state/src/rollout/table.rs
+++ b/crates/nutmeggrade-state/src/rollout/table.rs
@@ -1,4 +1,4 @@
-//! All roll-outs as one instance knows them.
+//! Table of all roll-outs, as seen by one instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,49 +15,50 @@
 use super::peer_count::PeerCount;
 use super::version_rule::VersionRule;
 
-/// Time after the end of a roll-out for which endpoints of other versions get nothing: they stop, and their
-/// entries take some heartbeats to lapse. Endpoints that register later are to serve, whatever their version.
+/// Time after the end of a roll-out for which endpoints of other versions get nothing: they shut
+/// down, and their entries lapse some heartbeats later. Endpoints that register after that serve,
+/// whatever their version.
 const STOPPING: Duration = Duration::from_secs(10);
 
-/// A state that is to be written to the store.
+/// A state to write to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateChange {
-    /// The service, which is the object's name too.
+    /// The service, whose name is also the name of the object.
     pub service: ServiceId,
-    /// The version that the state is about.
+    /// The version that the state applies to.
     pub version: VersionId,
     /// Revision that the object must still have.
     pub revision: u64,
-    /// The state.
+    /// The state to write.
     pub state: RolloutState,
 }
 
-/// One roll-out, for operators.
+/// One roll-out, as shown to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutView {
     /// The service.
     pub service: ServiceId,
-    /// The order.
+    /// Id of the order.
     pub id: RolloutId,
-    /// How far it is.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// Part of the requests that goes to the new version now.
+    /// Share of the requests that currently goes to the new version.
     pub share: f64,
-    /// Time since the first instance knew of it.
+    /// Time since the first instance learned of it.
     pub age: Duration,
-    /// Time in which it has to be decided.
+    /// Time limit for the decision.
     pub duration: Duration,
-    /// What this instance knows to be counted.
+    /// Counts known to this instance.
     pub tally: RolloutTally,
-    /// What the evidence says, where this instance judges it.
+    /// Verdict on the evidence, if this instance is the judge.
     pub verdict: &'static str,
 }
 
-/// All roll-outs as one instance knows them.
+/// Table of all roll-outs, as seen by one instance.
 ///
-/// The order and its outcome lie in the platform's store, and how far a roll-out is between them is told from
-/// instance to instance: phases only advance, so it does not matter by which way or how often they are heard.
-/// Instances that were all lost begin to watch the version anew.
+/// The order and its outcome are in the platform's store; the progress between them is gossiped.
+/// Phases only advance, so the path and the number of deliveries do not matter. If all instances
+/// are lost, the observation of the version starts again.
 #[derive(Debug, Default)]
 pub struct RolloutTable {
     entries: BTreeMap<ServiceId, Entry>,
@@ -65,12 +66,12 @@
 }
 
 impl RolloutTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes all orders that there are; returns those whose phase changed.
+    /// Replaces all orders by a listing; returns those whose phase changed.
     pub fn replace(&mut self, all: &[StoredRollout], now: Moment) -> Vec<RolloutNotice> {
         self.is_known = true;
         let listed = |service: &ServiceId| all.iter().any(|r| r.order.service == *service);
@@ -80,12 +81,12 @@
         changed
     }
 
-    /// Says whether it is known which orders there are.
+    /// Returns whether the orders have been read.
     pub const fn is_known(&self) -> bool {
         self.is_known
     }
 
-    /// Takes an order as it lies in the store now; returns it if its phase changed.
+    /// Applies an order from the store; returns its notice if the phase changed.
     pub fn put(&mut self, stored: &StoredRollout, now: Moment) -> Option<RolloutNotice> {
         let StoredRollout { order, revision, phase, .. } = stored;
         let known = self.entries.get(&order.service);
@@ -102,7 +103,7 @@
         (is_changed || is_new).then(|| entry.notice(now))
     }
 
-    /// Takes the news that an order is gone; returns it if it was not decided yet.
+    /// Removes an order that is gone from the store; returns its notice if it was still undecided.
     pub fn remove(&mut self, service: &ServiceId, now: Moment) -> Option<RolloutNotice> {
         let entry = self.entries.get_mut(service)?;
         if entry.phase.is_over() {
@@ -115,12 +116,12 @@
         Some(entry.notice(now))
     }
 
-    /// Takes a peer's word; says whether a phase changed.
+    /// Applies a peer's notice; returns whether a phase changed.
     pub fn hear(&mut self, notice: &RolloutNotice, now: Moment) -> bool {
         let RolloutNotice { order, revision, phase, age, .. } = notice;
         let known = self.entries.get(&order.service);
-        // What peers tell of an order that this instance has not read counts, or it would use endpoints that
-        // are held everywhere else.
+        // A notice of an order that this instance has not read counts too; otherwise it would use
+        // endpoints that are held everywhere else.
         let is_new = known.is_none_or(|e| e.order.id != order.id);
         if is_new {
             if known.is_some_and(|e| e.revision >= *revision) {
@@ -133,20 +134,20 @@
         entry.hear(notice, now) || is_new
     }
 
-    /// Takes a peer's counts.
+    /// Stores a peer's counts.
     pub fn take_report(&mut self, report: &RolloutReport) {
         let Some(entry) = self.entries.get_mut(&report.service) else { return };
         if entry.order.id != report.id {
             return;
         }
         let life = (report.instance.clone(), report.incarnation);
-        // Datagrams may overtake each other.
+        // Datagrams may arrive out of order.
         if entry.peers.get(&life).is_none_or(|known| known.is_before(report)) {
             entry.peers.insert(life, PeerCount::new(report));
         }
     }
 
-    /// Returns what endpoints may get by their version, for each service with a roll-out.
+    /// Returns the version rule of each service with a roll-out.
     pub fn rules(&self, now: Moment) -> BTreeMap<ServiceId, VersionRule> {
         let has_stopped = |e: &Entry| {
             e.phase == RolloutPhase::Completed
@@ -157,24 +158,24 @@
         ruled.map(|(service, e)| (service.clone(), rule(e))).collect()
     }
 
-    /// Says whether a service's last order was completed.
+    /// Returns whether the last order of a service was completed.
     pub fn is_decided(&self, service: &ServiceId) -> bool {
         self.entries.get(service).is_some_and(|e| e.phase == RolloutPhase::Completed)
     }
 
-    /// Returns the part of a service's requests that may go to the new version now.
+    /// Returns the share of a service's requests that may currently go to the new version.
     pub fn share(&self, service: &ServiceId, now: Moment) -> f64 {
         self.entries.get(service).map_or(0.0, |e| e.share(now))
     }
 
-    /// Notes a request for a service.
+    /// Counts a request for a service.
     pub fn count_request(&mut self, service: &ServiceId) {
         if let Some(entry) = self.undecided(service) {
             entry.own.requests = entry.own.requests.saturating_add(1);
         }
     }
 
-    /// Notes that a request goes to an endpoint of a version.
+    /// Counts a request that is sent to an endpoint of a version.
     pub fn note_sent(&mut self, service: &ServiceId, version: Option<&VersionId>) {
         let entry = self.undecided(service);
         if let Some(entry) = entry.filter(|e| Some(&e.order.id.version) == version) {
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Notes what a request tells of the version that served it.
+    /// Records a request's outcome for the version that served it.
     pub fn note_outcome(
         &mut self,
         service: &ServiceId,
@@ -206,13 +207,13 @@
         open.map(|(service, e)| (service, &e.order.id))
     }
 
-    /// Says whether a service has a roll-out that is not over.
+    /// Returns whether a service has a roll-out that is not over.
     pub fn is_open(&self, service: &ServiceId) -> bool {
         self.entries.get(service).is_some_and(|e| !e.phase.is_over())
     }
 
-    /// Says whether every one of `peers` and this instance, which has `running` requests at other versions,
-    /// sends nothing there any more and has nothing there.
+    /// Returns whether this instance, which has `running` requests at other versions, and all
+    /// `peers` have stopped sending to other versions and have no requests there.
     pub fn is_clear<'a>(
         &self,
         service: &ServiceId,
@@ -229,7 +230,7 @@
             && peers.all(|peer| newest(peer).is_some_and(PeerCount::is_clear))
     }
 
-    /// Takes a ruling of this instance; returns what the peers are told if the phase changed.
+    /// Applies a ruling of this instance; returns the notice for the peers if the phase changed.
     pub fn rule(
         &mut self,
         service: &ServiceId,
@@ -243,15 +244,16 @@
         is_changed.then(|| entry.notice(now))
     }
 
-    /// Grants nothing any more, as another instance judges.
+    /// Stops granting, because another instance judges.
     pub fn stop_granting(&mut self) {
         self.entries.values_mut().for_each(Entry::stop_granting);
     }
 
-    /// Lists the states that the store should hold but does not.
+    /// Lists the states that the store should contain but does not.
     pub fn unwritten(&self) -> Vec<StateChange> {
         let change = |(service, e): (&ServiceId, &Entry)| {
-            // Without a revision the order was only heard of; whoever has read it writes.
+            // Without a revision, the order is known only from peers; an instance that has read it
+            // writes.
             let state = e.unwritten().filter(|_| e.revision > 0)?;
             let version = e.order.id.version.clone();
             Some(StateChange { service: service.clone(), version, revision: e.revision, state })
@@ -259,7 +261,7 @@
         self.entries.iter().filter_map(change).collect()
     }
 
-    /// Returns what peers are told in heartbeats.
+    /// Returns the notices for the next heartbeat.
     pub fn notices(&self, now: Moment) -> Vec<RolloutNotice> {
         let is_news = |e: &&Entry| {
             !e.phase.is_over() || e.over.is_some_and(|over| now.since(over) <= STOPPING)
@@ -267,14 +269,14 @@
         self.entries.values().filter(is_news).map(|e| e.notice(now)).collect()
     }
 
-    /// Returns all orders as they lie in the store, as far as is known.
+    /// Returns all orders as recorded in the store, as far as known.
     pub fn stored(&self) -> Vec<StoredRollout> {
         let there = self.entries.values().filter(|e| e.phase != RolloutPhase::Withdrawn);
         there.map(Entry::stored_rollout).collect()
     }
 
-    /// Returns what those who judge are told of a service's roll-out, unless it is over. `instance` and
-    /// `incarnation` name this instance, which has `running` requests at other versions.
+    /// Returns the report to the judges on a service's roll-out, unless it is over. `instance` and
+    /// `incarnation` identify this instance, which has `running` requests at other versions.
     pub fn report(
         &self,
         service: &ServiceId,
@@ -313,7 +315,7 @@
         })
     }
 
-    /// Forgets orders that were taken back once no endpoint of their version is registered.
+    /// Removes withdrawn orders once no endpoint of their version is registered.
     pub fn forget(&mut self, is_there: impl Fn(&ServiceId, &VersionId) -> bool) {
         self.entries.retain(|service, e| {
             e.phase != RolloutPhase::Withdrawn || is_there(service, &e.order.id.version)
--- a/crates/nutmeggrade-state/src/rollout/version_rule.rs
+++ b/crates/nutmeggrade-state/src/rollout/version_rule.rs
@@ -1,34 +1,34 @@
-//! What endpoints of two versions may get.
+//! Rules for the work of endpoints by their version.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::RolloutPhase;
 
-/// What an endpoint may get because of its version.
+/// Work that an endpoint may get because of its version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// Every request.
+    /// All requests.
     Serving,
-    /// Requests that are drawn for it.
+    /// Only the share of the requests selected for it.
     Canary,
-    /// Nothing.
+    /// No requests.
     Held,
-    /// Nothing, and what runs there goes elsewhere.
+    /// No requests, and its running work moves elsewhere.
     Retired,
 }
 
-/// What the endpoints of a service may get by their version.
+/// Work that the endpoints of a service may get by their version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionRule {
-    /// The version that the service moves to.
+    /// The target version of the service.
     pub version: VersionId,
-    /// What endpoints of that version may get.
+    /// Work for endpoints of that version.
     pub new: Standing,
-    /// What all others may get.
+    /// Work for all other endpoints.
     pub old: Standing,
 }
 
 impl VersionRule {
-    /// Makes the rule of a phase; none where the version makes no difference.
+    /// Creates the rule that applies in a phase.
     pub fn new(version: &VersionId, phase: RolloutPhase) -> Self {
         use RolloutPhase::{
             Canary, Cleared, Completed, Held, Reverted, Reverting, Switching, Withdrawn,
@@ -42,7 +42,7 @@
         Self { version: version.clone(), new, old }
     }
 
-    /// Returns what an endpoint of a version may get.
+    /// Returns the work that an endpoint of a version may get.
     pub fn standing(&self, version: Option<&VersionId>) -> Standing {
         if version == Some(&self.version) { self.new } else { self.old }
     }
