--- a/crates/nutmeggrade-state/src/audit_log.rs
+++ b/crates/nutmeggrade-state/src/audit_log.rs
@@ -1,4 +1,4 @@
-//! Entries of the audit trail on their way to the platform, and the latest ones for operators.
+//! Queue of audit entries to write to the platform, and the latest entries for operators.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,15 +6,15 @@
 use nutmeggrade_core::audit::{AuditEntry, AuditEvent};
 use nutmeggrade_core::prelude::*;
 
-/// Entries that wait for the platform; the oldest is given up when there are more.
+/// Maximum number of entries that wait for the platform; the oldest is dropped when there are more.
 pub const MAX_PENDING: usize = 64;
-/// Latest entries that are kept for operators during an outage.
+/// Number of latest entries that are kept for operators during an outage.
 pub const MAX_RECENT: usize = 256;
-/// Time in which an event that says the same is only counted.
+/// Time in which repeats of an event are only counted.
 pub const QUIET: Duration = Duration::from_mins(1);
-/// Longest detail, in bytes.
+/// Maximum length of a detail, in bytes.
 const MAX_DETAIL: usize = 240;
-/// Different events that are remembered to leave out their repeats.
+/// Maximum number of different events that are stored to detect repeats.
 const MAX_KINDS: usize = 256;
 
 #[derive(Debug)]
@@ -23,12 +23,13 @@
     repeats: u64,
 }
 
-/// The audit trail of one instance, bounded on every side.
+/// Audit log of one instance, with all its parts bounded.
 ///
-/// What an instance refuses, it may refuse thousands of times a second: a script with a wrong token,
-/// callers of an instance that is cut off. Were each a write, the platform would be overrun by its
-/// own trail and one would notice changes that take long; were each kept, the instance would run out
-/// of memory in an outage. Repeats within a minute are counted, not kept.
+/// An instance may reject thousands of requests a second: a script with a wrong token, or the
+/// callers of an isolated instance. If each rejection were written, the platform would be
+/// overloaded by audit entries and configuration changes would take long; if each were kept, the
+/// instance would run out of memory in an outage. Repeats within a minute are therefore only
+/// counted.
 #[derive(Debug)]
 pub struct AuditLog {
     own: InstanceId,
@@ -41,7 +42,7 @@
 }
 
 impl AuditLog {
-    /// Makes an empty log of one life of an instance.
+    /// Creates an empty log for one incarnation of an instance.
     pub fn new(own: &InstanceId, incarnation: u64) -> Self {
         Self {
             own: own.clone(),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Notes an event; returns the entry unless it only repeats one of the last minute.
+    /// Records an event; returns the new entry, or `None` for a repeat within the last minute.
     pub fn note(
         &mut self,
         event: AuditEvent,
@@ -81,12 +82,12 @@
         self.recent.back()
     }
 
-    /// Returns the oldest entry that the platform does not have yet.
+    /// Returns the oldest entry that is not yet written to the platform.
     pub fn first_pending(&self) -> Option<&AuditEntry> {
         self.pending.front()
     }
 
-    /// Notes that the platform has an entry.
+    /// Removes an entry from the queue after it was written to the platform.
     pub fn written(&mut self, number: u64) {
         self.pending.retain(|e| e.number != number);
     }
@@ -96,12 +97,14 @@
         self.recent.iter()
     }
 
-    /// Returns how many entries were given up because the platform was away for too long.
+    /// Returns the number of entries that were dropped because the platform was unavailable for too
+    /// long.
     pub const fn lost(&self) -> u64 {
         self.lost
     }
 
-    /// Counts an event; `None` if it only repeats one of the last minute.
+    /// Returns the number of suppressed repeats before this event; `None` if it is itself a repeat
+    /// within the last minute.
     fn repeats(&mut self, event: AuditEvent, detail: &str, now: Moment) -> Option<u64> {
         self.kinds.retain(|_, k| k.repeats > 0 || now.since(k.at) < QUIET);
         if self.kinds.len() >= MAX_KINDS {
@@ -120,7 +123,7 @@
     }
 }
 
-/// Adds an entry and returns how many old ones had to go.
+/// Adds an entry and returns the number of old ones that were dropped.
 fn push(list: &mut VecDeque<AuditEntry>, entry: AuditEntry, most: usize) -> u64 {
     list.push_back(entry);
     if list.len() <= most {
--- a/crates/nutmeggrade-state/src/claiming.rs
+++ b/crates/nutmeggrade-state/src/claiming.rs
@@ -1,12 +1,12 @@
-//! How an attempt gets the right to send a non-idempotent call.
+//! State machine that claims the right to send a non-idempotent call.
 
 use crate::intent::{Claim, Intent, Owner};
 use nutmeggrade_core::prelude::*;
 
-/// Writes that one attempt tries before it gives up.
+/// Maximum number of writes per attempt.
 const WRITES: u32 = 3;
 
-/// What to do next for a claim.
+/// Next step of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
     /// Create the record if absent.
@@ -15,37 +15,39 @@
     Replace(u64),
     /// Read the record.
     Read,
-    /// The claim is decided; the version is that of the own record for [`Claim::Send`].
+    /// The claim is decided, with the version of the record; for [`Claim::Send`] it is the own
+    /// record.
     Decided(Claim, u64),
-    /// The platform could not be asked; `doubt` if a write may still take effect later.
+    /// The platform could not be reached; `doubt` if a write may still take effect later.
     GaveUp {
         /// Whether a write of this attempt may still take effect.
         doubt: bool,
     },
 }
 
-/// What the platform said.
+/// Response of the platform to a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Said {
-    /// The write took effect and made this version.
+    /// The write took effect and created this version.
     Written(u64),
-    /// Another version is there; nothing was written.
+    /// The record has another version; nothing was written.
     Conflict,
     /// Nothing was written.
     Refused,
-    /// The answer was lost; the write may have taken effect, or may still.
+    /// The answer was lost; the write may have taken effect or may still do so.
     Lost,
-    /// The record as read, with its version and what is known of its owner.
+    /// The record as read, with its version and the state of its owner.
     Found(Box<Intent>, u64, Owner),
-    /// No record is there.
+    /// The record does not exist.
     Absent,
 }
 
-/// Claims a record without I/O: steps go out, what the platform said comes in.
+/// State machine that claims a record. It does no I/O: the caller executes each step and passes in
+/// the response.
 ///
 /// The answer of a write can be lost after the write took effect, and a write can take effect long
-/// after its sender gave up on it. The record is then read back, and its nonce tells whether it is
-/// this attempt's. If that can't be learned, nothing is sent, now or later.
+/// after its sender gave up on it. The record is then read back, and its nonce shows whether it
+/// belongs to this attempt. If that cannot be determined, the call is never sent.
 #[derive(Debug)]
 pub struct Claiming {
     intent: Intent,
@@ -55,7 +57,7 @@
 }
 
 impl Claiming {
-    /// Starts with the attempt's record.
+    /// Starts a claim with the attempt's record.
     pub const fn new(intent: Intent) -> Self {
         Self { intent, step: ClaimStep::Create, writes: 0, doubt: false }
     }
@@ -65,12 +67,12 @@
         &self.intent
     }
 
-    /// Returns what to do next.
+    /// Returns the next step.
     pub const fn step(&self) -> &ClaimStep {
         &self.step
     }
 
-    /// Takes what the platform said to the last step.
+    /// Processes the response of the platform to the last step.
     pub fn take(&mut self, said: Said) {
         self.step = match said {
             Said::Written(version) => ClaimStep::Decided(Claim::Send, version),
@@ -103,7 +105,7 @@
     }
 }
 
-/// Says what a caller may be told about the run of a refused claim.
+/// Returns what the caller is told about the execution of a call whose claim was rejected.
 pub const fn refused_run(code: Code) -> Run {
     match code {
         Code::KeyReused => Run::NotRun,
--- a/crates/nutmeggrade-state/src/delivery.rs
+++ b/crates/nutmeggrade-state/src/delivery.rs
@@ -1,4 +1,4 @@
-//! The order in which a generation's tokens reach its caller.
+//! Ordered delivery of a generation's tokens to its caller.
 
 use nutmeggrade_core::engine::Token;
 use nutmeggrade_core::prelude::*;
@@ -8,21 +8,21 @@
 /// What to do with a token that came from an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Hand it to the caller.
+    /// Pass it on to the caller.
     Deliver,
-    /// Already delivered; drop it.
+    /// Drop it, as it was already delivered.
     Repeat,
-    /// Tokens are missing before it; ask the engine again from the next offset.
+    /// Request the stream again from the next offset, as tokens before this one are missing.
     Gap,
-    /// From another generation; drop it.
+    /// Drop it, as it belongs to another generation.
     Foreign,
 }
 
-/// Passes each token of one generation once and in order.
+/// Delivers each token of one generation once and in order.
 ///
-/// Engines repeat tokens after a reconnect, streams of two attempts can cross, and a resumed stream
-/// may start at the wrong place. A caller would see a doubled or missing word. Every token is
-/// checked against the one generation and the next offset before it is handed on.
+/// Engines repeat tokens after a reconnect, streams of two attempts can interleave, and a resumed
+/// stream may start at the wrong offset. A caller would see a duplicate or missing word. Every
+/// token's generation and offset are checked before it is delivered.
 #[derive(Debug)]
 pub struct Delivery {
     generation: GenerationId,
@@ -36,7 +36,7 @@
         Self { generation, next: 0, ended: false }
     }
 
-    /// Starts after what the caller already has.
+    /// Sets the first offset that the caller does not have yet.
     #[must_use]
     pub const fn with_next(mut self, offset: u64) -> Self {
         self.next = offset;
@@ -48,7 +48,7 @@
         self.ended = true;
     }
 
-    /// Judges one token.
+    /// Decides what to do with a token.
     pub fn accept(&mut self, token: &Token) -> Step {
         if token.generation != self.generation {
             return Step::Foreign;
@@ -75,7 +75,7 @@
         self.next
     }
 
-    /// Says whether the last token was delivered.
+    /// Returns whether the last token was delivered.
     pub const fn ended(&self) -> bool {
         self.ended
     }
--- a/crates/nutmeggrade-state/src/event_splitter.rs
+++ b/crates/nutmeggrade-state/src/event_splitter.rs
@@ -1,17 +1,17 @@
-//! Cuts the bytes of an event stream into whole events.
+//! Splits the bytes of an event stream into complete events.
 
 use bytes::{Buf, Bytes, BytesMut};
 use nutmeggrade_core::routing::EventPosition;
 
-/// Largest event that is kept together; longer ones are passed on in pieces.
+/// Maximum size of an event that is buffered, in bytes; longer ones are passed on in pieces.
 const MAX_EVENT: usize = 1 << 20;
 
-/// Cuts the bytes of an event stream into whole events and follows their ids.
+/// Splits the bytes of an event stream into complete events and tracks their ids.
 ///
-/// An engine may die in the middle of an event. If its half is passed on and the stream goes on at
-/// another engine, the client reads one event made of two halves. Only whole events are passed on,
-/// exactly as they came, so that at any moment another engine can go on behind the last one. Events
-/// that were passed on before, which an engine may make again, are dropped.
+/// An engine may die in the middle of an event. If a partial event were passed on and the stream
+/// continued at another engine, the client would read one event made of two halves. Only complete
+/// events are passed on, unchanged, so that another engine can continue after the last one at any
+/// time. Events that were already passed on, which an engine may generate again, are dropped.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     rest: BytesMut,
@@ -20,12 +20,12 @@
 }
 
 impl EventSplitter {
-    /// Makes a splitter for a client that has the event at `position`, if any.
+    /// Creates a splitter for a client that already has the event at `position`, if any.
     pub fn new(position: Option<EventPosition>) -> Self {
         Self { rest: BytesMut::new(), last: position, passed: 0 }
     }
 
-    /// Takes bytes of the stream and returns the events that they complete.
+    /// Adds bytes of the stream and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.rest.extend_from_slice(bytes);
         let end = last_boundary(&self.rest)
@@ -35,27 +35,27 @@
         (!fresh.is_empty()).then_some(fresh)
     }
 
-    /// Forgets the part of an event that has come, because the stream goes on elsewhere.
+    /// Drops a buffered partial event, because the stream continues elsewhere.
     pub fn cut(&mut self) {
         self.rest.clear();
     }
 
-    /// Returns the part of an event that the stream ended with, exactly as it came.
+    /// Removes and returns the buffered partial event at the end of the stream, unchanged.
     pub fn take_rest(&mut self) -> Option<Bytes> {
         (!self.rest.is_empty()).then(|| self.rest.split().freeze())
     }
 
-    /// Returns the last event that was passed on.
+    /// Returns the id of the last event that was passed on.
     pub const fn position(&self) -> Option<EventPosition> {
         self.last
     }
 
-    /// Returns how many events were passed on.
+    /// Returns the number of events that were passed on.
     pub const fn passed(&self) -> u64 {
         self.passed
     }
 
-    /// Leaves out events that were passed on before, and notes the others.
+    /// Removes events that were already passed on, and records the others as passed on.
     fn fresh(&mut self, whole: &Bytes) -> Bytes {
         let mut start = 0;
         let mut kept = whole.clone();
@@ -65,7 +65,7 @@
             let event = &whole[start..end];
             match event_id(event) {
                 Some(id) if self.last.is_some_and(|last| id <= last) => {
-                    // From the first repeat on, what is kept is copied event by event.
+                    // From the first duplicate on, the remaining events are copied one by one.
                     out.get_or_insert_with(|| BytesMut::from(&whole[..start]));
                 }
                 id => {
@@ -85,17 +85,17 @@
     }
 }
 
-/// Returns where the first event ends.
+/// Returns the end of the first event.
 fn first_boundary(bytes: &[u8]) -> Option<usize> {
     (0..bytes.len()).find_map(|at| boundary_at(bytes, at))
 }
 
-/// Returns where the last whole event ends.
+/// Returns the end of the last complete event.
 fn last_boundary(bytes: &[u8]) -> Option<usize> {
     (0..bytes.len()).rev().find_map(|at| boundary_at(bytes, at))
 }
 
-/// Returns where an event ends if the empty line behind it begins at `at`.
+/// Returns the end of an event if the empty line that terminates it starts at `at`.
 fn boundary_at(bytes: &[u8], at: usize) -> Option<usize> {
     let tail = &bytes[at..];
     if tail.starts_with(b"\n\n") {
@@ -104,7 +104,7 @@
     tail.starts_with(b"\n\r\n").then_some(at + 3)
 }
 
-/// Reads the id of an event.
+/// Parses the id of an event.
 fn event_id(event: &[u8]) -> Option<EventPosition> {
     let line = event.split(|b| *b == b'\n').find_map(|l| l.strip_prefix(b"id:"))?;
     let text = std::str::from_utf8(line).ok()?;
--- a/crates/nutmeggrade-state/src/explain_log.rs
+++ b/crates/nutmeggrade-state/src/explain_log.rs
@@ -1,26 +1,26 @@
-//! What was decided about recent requests.
+//! Log of the decisions about recent requests.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use nutmeggrade_core::prelude::*;
 
-/// Most bytes that all records may take together, counted by [`ExplainLog::bytes`].
+/// Maximum total size of all records in bytes, as counted by [`ExplainLog::bytes`].
 pub const MAX_BYTES: usize = 8 << 20;
-/// Most steps of one request; further ones push out those in the middle.
+/// Maximum number of steps per request; further ones replace those in the middle.
 pub const MAX_STEPS: usize = 64;
-/// Longest detail of a step, in bytes.
+/// Maximum length of a step's detail, in bytes.
 pub const MAX_DETAIL: usize = 240;
 
-/// Bytes that a step takes beside its detail, and a record beside its steps; counted generously.
+/// Generous estimates of the bytes of a step without its detail and of a record without its steps.
 const STEP_BYTES: usize = 128;
 const RECORD_BYTES: usize = 512;
 
-/// One decision about a request with the numbers it was made on.
+/// One decision about a request, with the numbers it was based on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Step {
-    /// When it was made.
+    /// Time of the decision.
     pub at: Moment,
-    /// What was decided.
+    /// Name of the decision.
     pub step: &'static str,
     /// The numbers, as key=value.
     pub detail: String,
@@ -29,9 +29,9 @@
 /// The decisions about one request, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Record {
-    /// What was decided.
+    /// The decisions that are kept.
     pub steps: Vec<Step>,
-    /// Steps in the middle that were dropped.
+    /// Number of steps that were dropped from the middle.
     pub dropped: u64,
 }
 
@@ -50,10 +50,10 @@
     }
 }
 
-/// Keeps the decisions about the latest requests within a fixed size.
+/// Log of the decisions about the latest requests, with a fixed maximum size.
 ///
-/// Operators ask about a request minutes after it failed. A record without a bound would grow with
-/// the traffic until the instance is killed for its memory, so the oldest requests are forgotten
+/// Operators ask about a request minutes after it failed. An unbounded log would grow with the
+/// traffic until the instance is killed for its memory use, so the oldest requests are dropped
 /// first, and a caller that repeats one id or sends a long error fills no more than its share.
 #[derive(Debug)]
 pub struct ExplainLog {
@@ -70,7 +70,7 @@
 }
 
 impl ExplainLog {
-    /// Makes an empty log that takes at most `limit` bytes.
+    /// Creates an empty log of at most `limit` bytes.
     pub const fn new(limit: usize) -> Self {
         Self { records: BTreeMap::new(), order: VecDeque::new(), bytes: 0, limit }
     }
@@ -91,22 +91,22 @@
         }
     }
 
-    /// Returns what is known of a request.
+    /// Returns the record of a request.
     pub fn get(&self, request: &RequestId) -> Option<&Record> {
         self.records.get(request)
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of requests in the log.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Says whether no request is remembered.
+    /// Returns whether the log is empty.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns the bytes that the records take.
+    /// Returns the size of the records in bytes.
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/nutmeggrade-state/src/forward_queue.rs
+++ b/crates/nutmeggrade-state/src/forward_queue.rs
@@ -1,4 +1,4 @@
-//! Changes of placed work that wait to be forwarded together.
+//! Queue of changes of placed work that are forwarded in batches.
 
 use std::collections::BTreeMap;
 
@@ -6,28 +6,29 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::Placed;
 
-/// Instances whose changes go into one datagram; each takes some hundred bytes.
+/// Maximum number of instances whose changes go into one datagram; each takes about a hundred
+/// bytes.
 const MOST_INSTANCES: usize = 32;
 
 type ByEndpoint = BTreeMap<EndpointId, Placed>;
 
-/// Changes of placed work that wait to be forwarded together, by the part of the failure domain that
-/// they go to.
+/// Queue of changes of placed work that are forwarded in batches, by the part of the failure domain
+/// that they go to.
 ///
-/// Every change is for everybody. Forwarded one by one they cost an instance of a large fleet hundreds of
-/// datagrams a second.
+/// Every change goes to all instances. Forwarded one by one, they cost an instance of a large fleet
+/// hundreds of datagrams a second.
 #[derive(Debug, Default)]
 pub struct ForwardQueue {
     waiting: BTreeMap<Share, BTreeMap<InstanceId, ByEndpoint>>,
 }
 
 impl ForwardQueue {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds what an instance has placed; says whether nothing waited before.
+    /// Adds changes of several instances; returns whether the queue was empty before.
     pub fn add(&mut self, share: Share, changes: &[FleetPlaced]) -> bool {
         let was_empty = self.waiting.is_empty();
         let of_share = self.waiting.entry(share).or_default();
@@ -38,7 +39,7 @@
         was_empty
     }
 
-    /// Drops what waits of an instance at the endpoints of a change that overtakes it.
+    /// Removes queued changes of an instance at the endpoints of a newer change.
     pub fn overtake(&mut self, change: &FleetPlaced) {
         for instances in self.waiting.values_mut() {
             if let Some(of_instance) = instances.get_mut(&change.instance) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Takes all that waits, in messages that fit into a datagram each.
+    /// Removes and returns all queued changes, in messages that each fit into a datagram.
     pub fn take(&mut self) -> Vec<(Share, Vec<FleetPlaced>)> {
         let mut messages = Vec::new();
         for (share, instances) in std::mem::take(&mut self.waiting) {
--- a/crates/nutmeggrade-state/src/intent.rs
+++ b/crates/nutmeggrade-state/src/intent.rs
@@ -1,4 +1,4 @@
-//! Intents of non-idempotent calls, as the platform keeps them.
+//! Intent records of non-idempotent calls in the platform.
 
 use nutmeggrade_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -8,73 +8,74 @@
 /// Prefix of the platform keys that hold intents.
 pub const INTENT_PREFIX: &str = "intents/";
 
-/// How far a non-idempotent call has come.
+/// Progress of a non-idempotent call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum Progress {
     /// Claimed; the call may have been sent.
     Started,
-    /// Ended with this answer of the endpoint.
+    /// Finished with this answer of the endpoint.
     Done {
         /// The answer.
         answer: Recorded,
     },
-    /// Proved not to have run; the next attempt may take the record over.
+    /// Proved not to have run; the next attempt may take over the record.
     Released,
     /// Sent, and its answer was lost for good.
     Unknown,
 }
 
-/// The record that lets one attempt, and no other, send a non-idempotent call.
+/// The record that lets exactly one attempt send a non-idempotent call.
 ///
-/// A caller that retries at three instances at once would otherwise book a plot three times. The
-/// record is created only if absent, before the first byte goes out, so the platform picks the one
-/// attempt that may send. A paused attempt that wakes is still that one: no retry ever took over.
-/// A record is never removed by an attempt: a removal that arrives late could hit the record of the
-/// next attempt, since versions may start again with a new object. It is marked as released instead.
+/// Without it, a caller that retries at three instances at once would book a plot three times. The
+/// record is created only if absent, before the first byte is sent, so the platform selects the one
+/// attempt that may send. An attempt that resumes after a pause still holds the right, since no
+/// retry takes over its record. No attempt ever removes a record: a late removal could hit the
+/// record of the next attempt, since versions may start again with a new object. It is marked as
+/// released instead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// Drawn by the attempt; tells after a lost answer whose record this is.
+    /// Random id of the attempt; identifies the owner of the record after a lost answer.
     pub nonce: GenerationId,
-    /// The instance that claimed it.
+    /// The instance that claimed the record.
     pub instance: InstanceId,
-    /// The life of that instance; a later one of the same name knows nothing of the attempt.
+    /// Incarnation of that instance; a later one has no state of the attempt.
     pub incarnation: u64,
-    /// Hash of the request, to notice a key used for two different requests.
+    /// Hash of the request, to detect a key that is reused for a different request.
     pub request: String,
-    /// How far the call has come.
+    /// Progress of the call.
     #[serde(flatten)]
     pub progress: Progress,
 }
 
-/// What is known of the attempt that owns a record.
+/// State of the attempt that owns a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Owner {
-    /// Its instance is gone or silent: nobody can tell what it did.
+    /// Its instance is gone or silent; the state of the attempt is unknown.
     Gone,
     /// It may still be running.
     Busy,
     /// It ended without sending and will never send.
     Never,
-    /// It ended so, but the record does not say it yet.
+    /// It ended with this result, which is not yet in the record.
     Ended(Progress),
 }
 
-/// What an attempt may do after it looked at the record.
+/// What an attempt may do after reading the record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claim {
-    /// The record is this attempt's: send the call.
+    /// The record belongs to this attempt: send the call.
     Send,
     /// Nothing was sent under the record: replace it by this attempt's own.
     TakeOver,
-    /// The call ended before: give this answer.
+    /// The call has ended: return this answer.
     Answer(Recorded),
-    /// Refuse with this code.
+    /// Reject the request with this code.
     Refuse(Code),
 }
 
 impl Intent {
-    /// Makes the record of a new attempt in one life of an instance.
+    /// Creates the record of a new attempt by one incarnation of an instance.
     pub fn new(
         nonce: GenerationId,
         instance: &InstanceId,
@@ -86,19 +87,19 @@
         Self { nonce, instance, incarnation, request, progress: Progress::Started }
     }
 
-    /// Sets how far the call has come.
+    /// Sets the progress of the call.
     #[must_use]
     pub fn with_progress(mut self, progress: Progress) -> Self {
         self.progress = progress;
         self
     }
 
-    /// Returns the platform key of a workspace's idempotency key.
+    /// Returns the platform key for the digest of a workspace's idempotency key.
     pub fn key(digest: &str) -> String {
         format!("{INTENT_PREFIX}{digest}")
     }
 
-    /// Judges the record that this attempt found in place of its own.
+    /// Decides what this attempt may do, given the record found under its key.
     pub fn judge(&self, found: &Self, owner: &Owner) -> Claim {
         if found.nonce == self.nonce {
             return Claim::Send;
--- a/crates/nutmeggrade-state/src/lib.rs
+++ b/crates/nutmeggrade-state/src/lib.rs
@@ -1,7 +1,8 @@
-//! Tables and state machines of an instance: what it knows and which rights it holds.
+//! Tables and state machines of an instance: its view of the system and the rights it holds.
 //!
-//! Nothing here does I/O or reads a clock: events and `now` go in, actions come out. The instance
-//! runs the tables on its workers; a randomised test runs several instances' tables on one thread.
+//! This crate does no I/O and reads no clock: events and `now` go in, actions come out. The
+//! instance runs the tables on its workers; a randomised test runs the tables of several instances
+//! on one thread.
 
 pub mod attempt;
 pub mod audit_log;
--- a/crates/nutmeggrade-state/src/order_plan.rs
+++ b/crates/nutmeggrade-state/src/order_plan.rs
@@ -1,13 +1,13 @@
-//! What an owner does next to bring an engine where operators want it.
+//! Plan of the orders that bring an engine to the state operators want.
 
 use nutmeggrade_core::order::{Desired, EngineState, Order};
 
-/// What an owner does next.
+/// Next step of an engine's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
-    /// The engine has and does what is wanted.
+    /// The engine is in the desired state.
     Done,
-    /// The last order still has its effect to show.
+    /// The last order is still being executed.
     Busy,
     /// Send this order.
     Send(Order),
@@ -15,12 +15,12 @@
     Outdated,
 }
 
-/// Compares what is wanted with what the engine says, and picks one order at a time.
+/// Compares the desired state with the engine's state and selects the next order.
 ///
-/// The state is read back before every order, whoever gave the last one. So an owner that takes over
-/// in the middle repeats nothing that took effect, and an order that was lost, or undone by a late
-/// order of an earlier owner at an engine that does not check fencing numbers, is given again.
-/// Memory is freed before it is needed: what must go goes first.
+/// The state is read back before every order, whichever owner sent the last one. So a new owner
+/// that takes over midway repeats no completed order, and an order that was lost, or undone by a
+/// late order of an earlier owner at an engine without fencing checks, is sent again. Unloads come
+/// first, to free memory before it is needed.
 pub fn next_step(desired: &Desired, state: &EngineState, epoch: u64) -> NextStep {
     if state.fence > epoch {
         return NextStep::Outdated;
--- a/crates/nutmeggrade-state/src/order_table.rs
+++ b/crates/nutmeggrade-state/src/order_table.rs
@@ -1,23 +1,24 @@
-//! What operators want of each engine, as this instance knows it.
+//! Desired state of each engine, as known to this instance.
 
 use std::collections::BTreeMap;
 
 use nutmeggrade_core::order::Desired;
 use nutmeggrade_core::prelude::*;
 
-/// Holds the highest version of what is wanted of each engine.
+/// Table of the highest known version of each engine's desired state.
 #[derive(Debug, Default)]
 pub struct OrderTable {
     wanted: BTreeMap<EndpointId, Desired>,
 }
 
 impl OrderTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a version if it is higher than the one known; a late older one would undo an order.
+    /// Stores a version if it is higher than the known one; an older one that arrives late would
+    /// undo an order.
     pub fn offer(&mut self, endpoint: &EndpointId, desired: &Desired) {
         let known = self.wanted.get(endpoint).map_or(0, |d| d.version);
         if desired.version > known {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Lists what is wanted of each engine.
+    /// Lists the desired state of each engine.
     pub fn wanted(&self) -> impl Iterator<Item = (&EndpointId, &Desired)> {
         self.wanted.iter()
     }
--- a/crates/nutmeggrade-state/src/orphans.rs
+++ b/crates/nutmeggrade-state/src/orphans.rs
@@ -1,4 +1,4 @@
-//! Generations whose callers left.
+//! Generations whose callers disconnected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,11 +6,12 @@
 
 use nutmeggrade_core::prelude::*;
 
-/// How long a caller that lost its connection has to resume.
+/// Time in which a caller that lost its connection can resume.
 pub const GRACE: Duration = Duration::from_secs(10);
-/// How long a resumed generation is told to the peers: until each that lost its caller has looked.
+/// How long a resumed generation is announced to the peers: until each peer that lost its caller
+/// has processed it.
 const TELL: Duration = Duration::from_secs(30);
-/// Generations that are told at a time.
+/// Maximum number of generations in one announcement.
 const MOST: usize = 256;
 
 #[derive(Debug)]
@@ -19,13 +20,14 @@
     since: Moment,
 }
 
-/// Generations whose callers left, until they resume or their time is over.
+/// Generations whose callers disconnected, until they resume or their grace period ends.
 ///
-/// A generation that nobody reads holds the engine's memory until it ends, which crowds out others;
-/// one notices running generations that no instance counts. It is cancelled after a grace. But its
-/// caller may have resumed at another instance, and a cancel would then cut a good stream: instances
-/// tell each other what was resumed, and no generation is cancelled before each peer was heard after
-/// the grace.
+/// A generation without a reader occupies the engine's memory until it ends, which crowds out
+/// others; the symptom is running generations that no instance counts. It is cancelled after a
+/// grace period. Its caller may have resumed at another instance, though, and the cancellation
+/// would then cut a stream in use. So instances announce resumed generations to each other, and a
+/// generation is cancelled only after a heartbeat from each peer that is later than its grace
+/// period.
 #[derive(Debug, Default)]
 pub struct Orphans {
     left: BTreeMap<GenerationId, Orphan>,
@@ -33,29 +35,29 @@
 }
 
 impl Orphans {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a caller left.
+    /// Records that a caller disconnected.
     pub fn leave(&mut self, generation: GenerationId, address: SocketAddr, now: Moment) {
         self.left.insert(generation, Orphan { address, since: now });
     }
 
-    /// Notes that a caller resumed here.
+    /// Records that a caller resumed at this instance.
     pub fn resume(&mut self, generation: GenerationId, now: Moment) {
         self.left.remove(&generation);
         self.resumed.retain(|_, at| now.since(*at) <= TELL);
         self.resumed.insert(generation, now);
     }
 
-    /// Takes what a peer resumed.
+    /// Removes generations that were resumed at a peer.
     pub fn hear(&mut self, resumed: &BTreeSet<GenerationId>) {
         self.left.retain(|generation, _| !resumed.contains(generation));
     }
 
-    /// Returns what was resumed here lately, the newest if there are too many.
+    /// Returns the generations recently resumed at this instance, the newest if there are too many.
     pub fn tell(&self, now: Moment) -> BTreeSet<GenerationId> {
         let mut recent: Vec<_> =
             self.resumed.iter().filter(|(_, at)| now.since(**at) <= TELL).collect();
@@ -63,8 +65,8 @@
         recent.into_iter().map(|(g, _)| *g).take(MOST).collect()
     }
 
-    /// Takes out what is to be cancelled now; `heard` tells whether every peer was heard at or after
-    /// a moment.
+    /// Removes and returns the generations to cancel. `heard` returns whether every peer was heard
+    /// from at or after a moment.
     pub fn due(
         &mut self,
         now: Moment,
@@ -79,7 +81,7 @@
         due
     }
 
-    /// Returns how many wait for their callers.
+    /// Returns the number of generations that wait for their callers.
     pub fn waiting(&self) -> usize {
         self.left.len()
     }
--- a/crates/nutmeggrade-state/src/own_intents.rs
+++ b/crates/nutmeggrade-state/src/own_intents.rs
@@ -1,4 +1,4 @@
-//! The attempts of this instance whose records are not settled.
+//! Unsettled attempts of this instance.
 
 use std::collections::BTreeMap;
 
@@ -15,46 +15,46 @@
     Ended(Progress),
 }
 
-/// The attempts of this instance whose records in the platform do not yet say how they ended.
+/// Attempts of this instance whose records in the platform do not yet contain their outcome.
 ///
-/// A record that says "started" under a live instance would otherwise be in progress for ever: after
-/// a claim whose write took effect late, or while an outage keeps the outcome out of the platform.
-/// The instance itself knows better, for as long as it lives.
+/// A "started" record of a live instance would otherwise stay in progress for ever: after a claim
+/// whose write took effect late, or while an outage keeps the outcome from being written. The
+/// instance has the true state in memory for as long as it runs.
 #[derive(Debug, Default)]
 pub struct OwnIntents {
     attempts: BTreeMap<GenerationId, State>,
 }
 
 impl OwnIntents {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes an attempt before its first write.
+    /// Registers an attempt before its first write.
     pub fn begin(&mut self, nonce: GenerationId) {
         self.attempts.insert(nonce, State::Claiming);
     }
 
-    /// Notes that the record is the attempt's.
+    /// Records that the attempt owns the record.
     pub fn claimed(&mut self, nonce: GenerationId) {
         let old = self.attempts.insert(nonce, State::Claimed);
         invariant::check(old == Some(State::Claiming), "claim_of_open_attempt");
     }
 
-    /// Notes that the call is handed over now; only the owner of a record may do that, and only
-    /// while no byte of it can have run.
+    /// Records that the call is about to be sent. Only the owner of the record may send, and only
+    /// while no part of the call can have run.
     pub fn sending(&mut self, nonce: GenerationId) {
         let old = self.attempts.insert(nonce, State::Sending);
         invariant::check(old == Some(State::Claimed), "call_sent_once_by_owner");
     }
 
-    /// Notes that the last hand-over is proved not to have run.
+    /// Records that the last send is proved not to have run.
     pub fn not_run(&mut self, nonce: GenerationId) {
         self.attempts.insert(nonce, State::Claimed);
     }
 
-    /// Notes how the attempt ended; it never sends again.
+    /// Records the outcome of the attempt, which never sends again.
     pub fn end(&mut self, nonce: GenerationId, progress: Progress) {
         let sending = self.attempts.get(&nonce) == Some(&State::Sending);
         let quiet = progress != Progress::Released || !sending;
@@ -62,12 +62,12 @@
         self.attempts.insert(nonce, State::Ended(progress));
     }
 
-    /// Forgets an attempt whose record says how it ended, or that never sends.
+    /// Removes an attempt whose record contains its outcome, or that never sends.
     pub fn settle(&mut self, nonce: GenerationId) {
         self.attempts.remove(&nonce);
     }
 
-    /// Tells what is known of the attempt behind a record of this instance's present life.
+    /// Returns the state of the attempt behind a record of this incarnation.
     pub fn owner(&self, nonce: GenerationId) -> Owner {
         match self.attempts.get(&nonce) {
             None => Owner::Never,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns how many are not settled.
+    /// Returns the number of unsettled attempts.
     pub fn open(&self) -> usize {
         self.attempts.len()
     }
--- a/crates/nutmeggrade-state/src/read_range.rs
+++ b/crates/nutmeggrade-state/src/read_range.rs
@@ -1,9 +1,10 @@
-//! How far one kind of object is read.
+//! Read position for one kind of object.
 
-/// How far one kind of object is read in a store whose revision counts the changes of all kinds.
+/// Read position for one kind of object, in a store whose revision counts the changes of all kinds.
 ///
-/// A watch that brings nothing advances the revision of its reader alone. What is told to others therefore
-/// begins at the last change; they would take it for incomplete if it began at the last answer.
+/// A watch without changes advances the read revision of its reader alone. Updates for peers
+/// therefore start at the last change; a range that started at the last answer would look
+/// incomplete to them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadRange {
     listed: u64,
@@ -12,30 +13,30 @@
 }
 
 impl ReadRange {
-    /// Returns the revision up to which everything is read.
+    /// Returns the revision up to which everything has been read.
     pub const fn read(&self) -> u64 {
         self.read
     }
 
-    /// Returns the revision of the last answer that held news.
+    /// Returns the revision of the last answer that contained a change.
     pub const fn news(&self) -> u64 {
         self.news
     }
 
-    /// Returns the revision from which on others lack nothing but the next news. A listing does not show
-    /// what was removed before it, so it is not before the last one.
+    /// Returns the revision from which peers miss only the next change. A listing does not show
+    /// earlier removals, so this is never before the last listing.
     pub fn since(&self) -> u64 {
         self.news.max(self.listed)
     }
 
-    /// Notes an answer that leads up to `read`; `news` is the revision of what was new in it, 0 if
-    /// nothing was.
+    /// Records an answer that is complete up to `read`; `news` is the revision of the last change
+    /// in it, 0 for none.
     pub fn note(&mut self, read: u64, news: u64) {
         self.read = self.read.max(read);
         self.news = self.news.max(news);
     }
 
-    /// Notes a whole listing.
+    /// Records a complete listing.
     pub fn note_listing(&mut self, read: u64, news: u64) {
         self.note(read, news);
         self.listed = self.listed.max(read);
--- a/crates/nutmeggrade-state/src/recent_changes.rs
+++ b/crates/nutmeggrade-state/src/recent_changes.rs
@@ -1,4 +1,4 @@
-//! Accepted changes that this instance has seen, for operators during an outage of the platform.
+//! Recently accepted configuration changes, for operators during an outage of the platform.
 
 use std::collections::BTreeMap;
 
@@ -6,28 +6,28 @@
 use nutmeggrade_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Changes that are kept; at 4,100 changes a day the last hour and a half.
+/// Maximum number of stored changes; at 4,100 changes a day, those of the last hour and a half.
 pub const MAX_CHANGES: usize = 256;
 
-/// One accepted change without the content of a preset.
+/// One accepted change, without the content of a preset.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Version of the configuration that it made.
+    /// Version of the configuration that resulted from the change.
     pub version: u64,
-    /// The change's id.
+    /// Id of the change.
     pub id: ChangeId,
-    /// Who made it.
+    /// Operator who made the change.
     pub who: String,
-    /// Why.
+    /// Reason given by the operator.
     pub why: String,
-    /// Wall time, milliseconds since 1970, for people only.
+    /// Wall-clock time, in milliseconds since 1970, for display only.
     pub at_ms: u64,
-    /// What was changed, in words.
+    /// Description of the change.
     pub change: String,
 }
 
 impl Accepted {
-    /// Takes the change out of the configuration that it made.
+    /// Extracts the change from the resulting configuration.
     pub fn new(config: &Configuration) -> Self {
         Self {
             version: config.version,
@@ -51,18 +51,18 @@
     }
 }
 
-/// Keeps the latest accepted changes by version.
+/// Table of the latest accepted changes, by version.
 ///
-/// The audit trail is the platform's; with the platform down nobody could tell who took a failure
-/// domain out an hour ago. Each instance keeps a bounded copy of what it saw, without the presets'
-/// content, so that it stays small.
+/// The audit trail is in the platform; during an outage nobody could tell who took a failure domain
+/// out of service an hour ago. Each instance stores a bounded copy of the changes it saw, without
+/// the content of presets to keep it small.
 #[derive(Debug, Default)]
 pub struct RecentChanges {
     changes: BTreeMap<u64, Accepted>,
 }
 
 impl RecentChanges {
-    /// Notes the change that a configuration made.
+    /// Records the change from which a configuration resulted.
     pub fn note(&mut self, config: &Configuration) {
         self.changes.entry(config.version).or_insert_with(|| Accepted::new(config));
         while self.changes.len() > MAX_CHANGES {
--- a/crates/nutmeggrade-state/src/recorded.rs
+++ b/crates/nutmeggrade-state/src/recorded.rs
@@ -1,25 +1,25 @@
-//! An endpoint's answer as the platform keeps it.
+//! Stored form of an endpoint's answer.
 
 use serde::{Deserialize, Serialize};
 use serde_with::hex::Hex;
 use serde_with::serde_as;
 
-/// Largest body that is kept, in bytes of its encoded form; a platform value holds one megabyte,
-/// and the rest of the record needs far less than what is left.
+/// Maximum encoded body size, in bytes. A platform value holds 1 MB, and the rest of the record
+/// needs far less than the remainder.
 const MAX_ENCODED: usize = 960 << 10;
 
-/// An endpoint's answer as the platform keeps it.
+/// Stored form of an endpoint's answer.
 ///
-/// Control characters and quotes take up to six bytes in JSON, and an answer that is not UTF-8
-/// takes two per byte. An answer that doesn't fit would make the platform refuse the record: every
-/// retry would then be told that the call is still running. Such an answer is kept without its body,
-/// so that a retry learns at least that the call ran.
+/// In JSON, control characters and quotes take up to six bytes, and a body that is not UTF-8 takes
+/// two per byte. The platform would reject a record that is too large, and every retry would then
+/// be told that the call is still running. An answer that does not fit is therefore stored without
+/// its body, so that a retry at least learns that the call ran.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recorded {
     /// HTTP status.
     pub status: u16,
-    /// Content type, if the endpoint named one.
+    /// Content type, if the endpoint sent one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -30,7 +30,7 @@
 }
 
 impl Recorded {
-    /// Keeps an answer, without its body if that is too large.
+    /// Creates the record of an answer, without its body if that is too large.
     pub fn new(status: u16, body: &[u8]) -> Self {
         let text = std::str::from_utf8(body).ok();
         let fits = text.map_or(body.len() * 2, encoded) <= MAX_ENCODED;
@@ -46,13 +46,13 @@
         self
     }
 
-    /// Returns the body, byte for byte as it came; `None` if it was too large to be kept.
+    /// Returns the exact body; `None` if it was too large to be stored.
     pub fn body(&self) -> Option<&[u8]> {
         self.text.as_deref().map(str::as_bytes).or(self.bytes.as_deref())
     }
 }
 
-/// Returns how many bytes a text takes inside JSON.
+/// Returns the size of a text in JSON, in bytes.
 fn encoded(text: &str) -> usize {
     let cost = |b: u8| match b {
         b'"' | b'\\' => 2,
--- a/crates/nutmeggrade-state/src/settling.rs
+++ b/crates/nutmeggrade-state/src/settling.rs
@@ -1,26 +1,27 @@
-//! How the end of an attempt gets into its record.
+//! State machine that writes the outcome of an attempt to its record.
 
 use crate::claiming::Said;
 use crate::intent::{Intent, Progress};
 
-/// What to do next to settle a record.
+/// Next step to settle a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SettleStep {
     /// Replace the record if it has this version.
     Replace(u64),
-    /// Read the record, then go on.
+    /// Read the record, then continue.
     Read,
-    /// Wait a while, then read the record.
+    /// Wait, then read the record.
     Wait,
-    /// The record says it, or belongs to a later attempt.
+    /// The record contains the outcome or belongs to a later attempt.
     Settled,
 }
 
-/// Writes how an attempt ended without I/O: steps go out, what the platform said comes in.
+/// State machine that writes the outcome of an attempt. It does no I/O: the caller executes each
+/// step and passes in the response.
 ///
-/// An outage or a lost answer just after the call would leave the record at "started": a retry at
-/// another instance would be told that the call runs. The write is repeated until the record says
-/// how it ended; only this attempt's own record is ever replaced.
+/// An outage or a lost answer just after the call would leave the record at "started", and a retry
+/// at another instance would be told that the call is still running. The write is repeated until
+/// the record contains the outcome. Only this attempt's own record is ever replaced.
 #[derive(Debug)]
 pub struct Settling {
     intent: Intent,
@@ -28,8 +29,8 @@
 }
 
 impl Settling {
-    /// Starts with the ended attempt's record and the version it had when claimed; `None` if the
-    /// claim itself is in doubt.
+    /// Starts with the record of the ended attempt and the version from its claim; `None` if the
+    /// claim is in doubt.
     pub fn new(intent: Intent, version: Option<u64>) -> Self {
         let step = version.map_or(SettleStep::Read, SettleStep::Replace);
         Self { intent, step }
@@ -40,17 +41,17 @@
         &self.intent
     }
 
-    /// Returns what to do next.
+    /// Returns the next step.
     pub const fn step(&self) -> SettleStep {
         self.step
     }
 
-    /// Goes on after a wait.
+    /// Continues after a wait.
     pub const fn waited(&mut self) {
         self.step = SettleStep::Read;
     }
 
-    /// Takes what the platform said to the last step.
+    /// Processes the response of the platform to the last step.
     pub fn take(&mut self, said: &Said) {
         self.step = match said {
             Said::Written(_) => SettleStep::Settled,
