--- a/crates/nutmeggrade-state/src/cold_load.rs
+++ b/crates/nutmeggrade-state/src/cold_load.rs
@@ -6,7 +6,7 @@
 use nutmeggrade_core::prelude::*;
 
 /// Age from which a report no longer proves that an endpoint is warm.
-const STALE: Duration = Duration::from_secs(5);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 
 /// Identifies one generation at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,9 +26,9 @@
 }
 
 #[derive(Debug, Default)]
-struct Hold {
+struct SlotTimes {
     started: Option<Moment>,
-    left: Option<Moment>,
+    released: Option<Moment>,
 }
 
 /// Load of one endpoint.
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub struct ColdLoad {
     sample: Option<LoadSample>,
-    holds: BTreeMap<Slot, Hold>,
+    slots: BTreeMap<Slot, SlotTimes>,
 }
 
 impl ColdLoad {
@@ -51,7 +51,7 @@
             return;
         }
         self.sample = Some(sample);
-        self.holds.retain(|_, hold| hold.left.is_none_or(|at| at >= sample.taken));
+        self.slots.retain(|_, times| times.released.is_none_or(|at| at >= sample.taken));
     }
 
     /// Drops the last report.
@@ -61,17 +61,17 @@
 
     /// Returns whether the endpoint must be treated as cold.
     pub fn is_cold(&self, now: Moment) -> bool {
-        self.sample.is_none_or(|s| s.cold || now.since(s.taken) > STALE)
+        self.sample.is_none_or(|s| s.cold || now.since(s.taken) > MAX_REPORT_AGE)
     }
 
     /// Returns the number of this instance's generations at the endpoint.
     pub fn own(&self) -> u32 {
-        count(self.holds.values().filter(|s| s.left.is_none()))
+        count(self.slots.values().filter(|s| s.released.is_none()))
     }
 
     /// Returns whether no slot of this instance is counted.
     pub fn is_empty(&self) -> bool {
-        self.holds.is_empty()
+        self.slots.is_empty()
     }
 
     /// Returns how many more generations the endpoint can take while cold. It is 0 without a report
@@ -79,41 +79,41 @@
     /// owners.
     pub fn room(&self, since: Moment) -> u32 {
         let Some(sample) = self.sample.filter(|s| s.taken >= since) else { return 0 };
-        sample.limit.saturating_sub(self.taken_by(sample))
+        sample.limit.saturating_sub(self.max_held(sample))
     }
 
     /// Returns whether the upper bound of its load is within its limit.
     pub fn fits(&self, since: Moment) -> bool {
-        self.sample.is_some_and(|s| s.taken >= since && self.taken_by(s) <= s.limit)
+        self.sample.is_some_and(|s| s.taken >= since && self.max_held(s) <= s.limit)
     }
 
     /// Counts a generation.
     pub fn take(&mut self, slot: Slot) {
-        self.holds.insert(slot, Hold::default());
+        self.slots.insert(slot, SlotTimes::default());
     }
 
     /// Records that the endpoint certainly has the generation from `now` on.
     pub fn note_started(&mut self, slot: Slot, now: Moment) {
-        if let Some(hold) = self.holds.get_mut(&slot) {
-            hold.started.get_or_insert(now);
+        if let Some(times) = self.slots.get_mut(&slot) {
+            times.started.get_or_insert(now);
         }
     }
 
     /// Records that the generation ended or was abandoned.
     pub fn leave(&mut self, slot: Slot, now: Moment) {
-        if let Some(hold) = self.holds.get_mut(&slot) {
-            hold.left.get_or_insert(now);
+        if let Some(times) = self.slots.get_mut(&slot) {
+            times.released.get_or_insert(now);
         }
     }
 
-    fn taken_by(&self, sample: LoadSample) -> u32 {
-        let surely = |s: &&Hold| {
-            let inside = s.started.is_some_and(|at| at < sample.taken);
-            inside && s.left.is_none_or(|at| at > sample.taken)
+    fn max_held(&self, sample: LoadSample) -> u32 {
+        let is_in_report = |s: &&SlotTimes| {
+            let was_started = s.started.is_some_and(|at| at < sample.taken);
+            was_started && s.released.is_none_or(|at| at > sample.taken)
         };
-        let in_report = count(self.holds.values().filter(surely));
-        let others = sample.held.saturating_sub(in_report);
-        others.saturating_add(count(self.holds.values()))
+        let own_reported = count(self.slots.values().filter(is_in_report));
+        let others = sample.held.saturating_sub(own_reported);
+        others.saturating_add(count(self.slots.values()))
     }
 }
 
--- a/crates/nutmeggrade-state/src/cold_rights.rs
+++ b/crates/nutmeggrade-state/src/cold_rights.rs
@@ -11,20 +11,20 @@
 use crate::membership::Candidate;
 
 /// Number of epochs that are stored; only those within the longest lease matter.
-const EPOCHS: usize = 8;
+const MAX_EPOCHS: usize = 8;
 /// Waiting time in quarters of the lease. The excess covers clock drift between two machines and
 /// the transit of requests sent just before a lease expired.
 const WAIT_QUARTERS: u32 = 5;
 
 #[derive(Debug)]
-struct Seen {
+struct KnownEpoch {
     assignment: Assignment,
-    at: Moment,
+    learned_at: Moment,
 }
 
-impl Seen {
-    fn in_effect(&self) -> Moment {
-        self.at.after(self.assignment.wait * WAIT_QUARTERS / 4)
+impl KnownEpoch {
+    fn effective_at(&self) -> Moment {
+        self.learned_at.after(self.assignment.wait * WAIT_QUARTERS / 4)
     }
 }
 
@@ -40,18 +40,18 @@
 /// new owner takes the endpoint's own load report into account before it adds any work.
 #[derive(Debug)]
 pub struct ColdRights {
-    own: InstanceId,
+    own_id: InstanceId,
     incarnation: u64,
-    epochs: VecDeque<Seen>,
+    epochs: VecDeque<KnownEpoch>,
     confirmed: Option<Moment>,
     loads: BTreeMap<EndpointId, ColdLoad>,
 }
 
 impl ColdRights {
     /// Creates a table without any right.
-    pub fn new(own: &InstanceId, incarnation: u64) -> Self {
+    pub fn new(own_id: &InstanceId, incarnation: u64) -> Self {
         Self {
-            own: own.clone(),
+            own_id: own_id.clone(),
             incarnation,
             epochs: VecDeque::new(),
             confirmed: None,
@@ -71,10 +71,10 @@
     pub fn hint(&mut self, assignment: &Assignment, now: Moment) {
         let known = self.epoch();
         if assignment.epoch > known {
-            self.epochs.push_back(Seen { assignment: assignment.clone(), at: now });
+            self.epochs.push_back(KnownEpoch { assignment: assignment.clone(), learned_at: now });
             self.confirmed = None;
         }
-        if self.epochs.len() > EPOCHS {
+        if self.epochs.len() > MAX_EPOCHS {
             self.epochs.pop_front();
         }
         invariant::check(self.epoch() >= known, "epoch_never_reverts");
@@ -82,12 +82,12 @@
 
     /// Returns the newest known epoch, 0 for none.
     pub fn epoch(&self) -> u64 {
-        self.epochs.back().map_or(0, |s| s.assignment.epoch)
+        self.epochs.back().map_or(0, |epoch| epoch.assignment.epoch)
     }
 
     /// Returns the newest known assignment.
     pub fn assignment(&self) -> Option<&Assignment> {
-        self.epochs.back().map(|s| &s.assignment)
+        self.epochs.back().map(|epoch| &epoch.assignment)
     }
 
     /// Returns the epoch under which this instance currently owns the endpoint, which is the
@@ -108,7 +108,7 @@
         now: Moment,
     ) -> Option<Assignment> {
         let writer = live.iter().find(|(_, c)| c.hears_platform);
-        if writer.is_none_or(|(instance, _)| *instance != self.own) || !self.is_settled(now) {
+        if writer.is_none_or(|(instance, _)| *instance != self.own_id) || !self.is_settled(now) {
             return None;
         }
         let members = live.iter().map(|(i, c)| (i.clone(), c.incarnation)).collect();
@@ -121,17 +121,18 @@
     /// Returns whether the newest epoch has been in effect for as long as its waiting time. Epochs
     /// that followed each other faster would leave cold endpoints without an owner for good.
     fn is_settled(&self, now: Moment) -> bool {
-        self.epochs.back().is_none_or(|s| {
-            let wait = s.in_effect().since(s.at);
-            now.since(s.at) >= wait * 2
+        self.epochs.back().is_none_or(|epoch| {
+            let wait = epoch.effective_at().since(epoch.learned_at);
+            now.since(epoch.learned_at) >= wait * 2
         })
     }
 
     /// Returns whether this instance needs its lease: it owns an endpoint that is not known to be
     /// warm.
     pub fn wants_lease(&self, now: Moment) -> bool {
-        let owns = |e: &EndpointId| self.epochs.back().is_some_and(|s| self.is_owner(s, e));
-        self.loads.iter().any(|(e, load)| load.is_cold(now) && owns(e))
+        let is_own =
+            |e: &EndpointId| self.epochs.back().is_some_and(|epoch| self.is_owner(epoch, e));
+        self.loads.iter().any(|(e, load)| load.is_cold(now) && is_own(e))
     }
 
     /// Stores an endpoint's own load report.
@@ -196,8 +197,8 @@
     /// is.
     fn owned_since(&self, endpoint: &EndpointId, now: Moment) -> Option<Moment> {
         let newest = self.epochs.back()?;
-        let fresh = now.since(self.confirmed?) < newest.assignment.lease;
-        if !fresh || !self.is_owner(newest, endpoint) {
+        let is_confirmed = now.since(self.confirmed?) < newest.assignment.lease;
+        if !is_confirmed || !self.is_owner(newest, endpoint) {
             return None;
         }
         // An instance that owned the endpoint in the preceding epochs need not wait for itself.
@@ -209,12 +210,12 @@
             }
             first = earlier;
         }
-        let since = first.in_effect();
+        let since = first.effective_at();
         (now >= since).then_some(since)
     }
 
-    fn is_owner(&self, seen: &Seen, endpoint: &EndpointId) -> bool {
-        let owner = seen.assignment.owner(endpoint);
-        owner.is_some_and(|(i, life)| *i == self.own && life == self.incarnation)
+    fn is_owner(&self, known: &KnownEpoch, endpoint: &EndpointId) -> bool {
+        let owner = known.assignment.owner(endpoint);
+        owner.is_some_and(|(i, incarnation)| *i == self.own_id && incarnation == self.incarnation)
     }
 }
--- a/crates/nutmeggrade-state/src/config_table.rs
+++ b/crates/nutmeggrade-state/src/config_table.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub struct ConfigTable {
     current: Option<Arc<Configuration>>,
-    highest: u64,
+    highest_known: u64,
 }
 
 impl ConfigTable {
@@ -25,12 +25,12 @@
     }
 
     /// Accepts a version if it is higher than the one in force; returns whether it was accepted.
-    pub fn offer(&mut self, offered: &Configuration) -> bool {
+    pub fn offer(&mut self, config: &Configuration) -> bool {
         let before = self.version();
-        if offered.version <= before {
+        if config.version <= before {
             return false;
         }
-        self.current = Some(Arc::new(offered.clone()));
+        self.current = Some(Arc::new(config.clone()));
         invariant::check(self.version() > before, "config_never_reverts");
         true
     }
@@ -42,14 +42,14 @@
     /// would keep sending work to what operators took out of service. Until it has caught up,
     /// contact with peers proves nothing, and the fence must not count it.
     pub fn note(&mut self, version: u64) -> bool {
-        self.highest = self.highest.max(version);
+        self.highest_known = self.highest_known.max(version);
         self.wanted().is_some()
     }
 
     /// Returns the highest version known to be in force on any instance, if it is not in force
     /// here.
     pub fn wanted(&self) -> Option<u64> {
-        (self.highest > self.version()).then_some(self.highest)
+        (self.highest_known > self.version()).then_some(self.highest_known)
     }
 
     /// Returns the version in force, 0 for none.
--- a/crates/nutmeggrade-state/src/crash_log.rs
+++ b/crates/nutmeggrade-state/src/crash_log.rs
@@ -8,17 +8,17 @@
 
 /// Number of endpoints that must have crashed under a request before it is blocked. A request that
 /// only happened to run at a crashing endpoint is unlikely to be at two others too.
-const CRASHES: usize = 3;
+const MIN_CRASHED_ENDPOINTS: usize = 3;
 /// Time after its last crash for which a request is blocked: longer than its client keeps resending
 /// it, and short enough that a repaired endpoint is tried again.
-const HELD: Duration = Duration::from_mins(2);
+const BLOCK_PERIOD: Duration = Duration::from_mins(2);
 /// Maximum number of stored requests; each crash is recorded for all requests at the endpoint.
-const MOST: usize = 1_024;
+const MAX_REQUESTS: usize = 1_024;
 
 #[derive(Debug, Clone, Default)]
-struct Marks {
-    lives: BTreeSet<(EndpointId, u64)>,
-    last: Moment,
+struct CrashRecord {
+    endpoints: BTreeSet<(EndpointId, u64)>,
+    last_crash: Moment,
 }
 
 /// Log of requests that were running at endpoints when these crashed.
@@ -30,7 +30,7 @@
 /// blocked.
 #[derive(Debug, Default)]
 pub struct CrashLog {
-    marks: BTreeMap<Fingerprint, Marks>,
+    records: BTreeMap<Fingerprint, CrashRecord>,
 }
 
 impl CrashLog {
@@ -41,22 +41,24 @@
 
     /// Records that an endpoint crashed under a request.
     pub fn note(&mut self, crashed: &Crashed, now: Moment) {
-        self.forget(now);
-        if self.marks.len() >= MOST && !self.marks.contains_key(&crashed.request) {
+        self.remove_expired(now);
+        if self.records.len() >= MAX_REQUESTS && !self.records.contains_key(&crashed.request) {
             return;
         }
-        let marks = self.marks.entry(crashed.request).or_default();
-        marks.lives.insert((crashed.endpoint.clone(), crashed.born));
-        marks.last = now;
+        let record = self.records.entry(crashed.request).or_default();
+        record.endpoints.insert((crashed.endpoint.clone(), crashed.born));
+        record.last_crash = now;
     }
 
     /// Returns whether a request is blocked.
     pub fn holds(&self, request: &Fingerprint, now: Moment) -> bool {
-        let marks = self.marks.get(request);
-        marks.is_some_and(|m| m.lives.len() >= CRASHES && now.since(m.last) <= HELD)
+        let record = self.records.get(request);
+        record.is_some_and(|r| {
+            r.endpoints.len() >= MIN_CRASHED_ENDPOINTS && now.since(r.last_crash) <= BLOCK_PERIOD
+        })
     }
 
-    fn forget(&mut self, now: Moment) {
-        self.marks.retain(|_, m| now.since(m.last) <= HELD);
+    fn remove_expired(&mut self, now: Moment) {
+        self.records.retain(|_, r| now.since(r.last_crash) <= BLOCK_PERIOD);
     }
 }
--- a/crates/nutmeggrade-state/src/endpoint_table.rs
+++ b/crates/nutmeggrade-state/src/endpoint_table.rs
@@ -17,12 +17,12 @@
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     listed: BTreeMap<EndpointId, Endpoint>,
-    known: bool,
+    has_list: bool,
     out_domains: BTreeSet<DomainId>,
     out_endpoints: BTreeSet<EndpointId>,
     addresses: BTreeMap<EndpointId, SocketAddr>,
-    said_leaving: BTreeSet<EndpointId>,
-    listed_live: BTreeMap<EndpointId, u32>,
+    announced_leaving: BTreeSet<EndpointId>,
+    live_listings: BTreeMap<EndpointId, u32>,
 }
 
 impl EndpointTable {
@@ -44,7 +44,7 @@
             let was_leaving = old.is_some_and(|o| {
                 o.state == EndpointState::Leaving && o.address == endpoint.address
             });
-            if was_leaving && !self.stays(&endpoint) {
+            if was_leaving && !self.has_returned(&endpoint) {
                 endpoint.state = EndpointState::Leaving;
             }
             listed.insert(endpoint.id.clone(), endpoint);
@@ -54,30 +54,30 @@
         }
         self.addresses.extend(listed.values().map(|e| (e.id.clone(), e.address)));
         self.listed = listed;
-        self.known = true;
-        self.said_leaving.retain(|e| self.listed.contains_key(e));
-        self.listed_live.retain(|e, _| self.listed.contains_key(e));
+        self.has_list = true;
+        self.announced_leaving.retain(|e| self.listed.contains_key(e));
+        self.live_listings.retain(|e, _| self.listed.contains_key(e));
     }
 
     /// Returns whether a listing was read, even an empty one.
     pub const fn is_known(&self) -> bool {
-        self.known
+        self.has_list
     }
 
     /// Returns whether an endpoint seen as leaving was listed as live often enough to count as live
     /// again.
-    fn stays(&mut self, endpoint: &Endpoint) -> bool {
-        let looks = self.listed_live.entry(endpoint.id.clone()).or_default();
-        *looks = if endpoint.state == EndpointState::Live { *looks + 1 } else { 0 };
-        *looks >= RETURN_LOOKS
+    fn has_returned(&mut self, endpoint: &Endpoint) -> bool {
+        let live_count = self.live_listings.entry(endpoint.id.clone()).or_default();
+        *live_count = if endpoint.state == EndpointState::Live { *live_count + 1 } else { 0 };
+        *live_count >= RETURN_LOOKS
     }
 
     /// Records whether an endpoint announces its own shutdown, which is earlier than the listing.
     pub fn note_leaving(&mut self, id: &EndpointId, leaving: bool) {
         if leaving {
-            self.said_leaving.insert(id.clone());
+            self.announced_leaving.insert(id.clone());
         } else {
-            self.said_leaving.remove(id);
+            self.announced_leaving.remove(id);
         }
     }
 
@@ -97,12 +97,13 @@
     /// Returns whether new work may go to an endpoint; call it immediately before sending.
     pub fn may_send(&self, id: &EndpointId) -> bool {
         let Some(endpoint) = self.listed.get(id) else { return false };
-        let may = self.in_service(endpoint);
-        let is_leaving = self.said_leaving.contains(id) || endpoint.state == EndpointState::Leaving;
+        let is_allowed = self.in_service(endpoint);
+        let is_leaving =
+            self.announced_leaving.contains(id) || endpoint.state == EndpointState::Leaving;
         let is_out = self.out_endpoints.contains(id) || self.out_domains.contains(&endpoint.domain);
-        invariant::check(!(may && is_leaving), "leaving_gets_no_work");
-        invariant::check(!(may && is_out), "out_gets_no_work");
-        may
+        invariant::check(!(is_allowed && is_leaving), "leaving_gets_no_work");
+        invariant::check(!(is_allowed && is_out), "out_gets_no_work");
+        is_allowed
     }
 
     /// Returns a listed endpoint, in service or not.
@@ -126,7 +127,7 @@
     /// Returns whether a listed endpoint may get new work.
     pub fn in_service(&self, endpoint: &Endpoint) -> bool {
         endpoint.state == EndpointState::Live
-            && !self.said_leaving.contains(&endpoint.id)
+            && !self.announced_leaving.contains(&endpoint.id)
             && !self.out_domains.contains(&endpoint.domain)
             && !self.out_endpoints.contains(&endpoint.id)
     }
--- a/crates/nutmeggrade-state/src/fence.rs
+++ b/crates/nutmeggrade-state/src/fence.rs
@@ -18,34 +18,34 @@
 #[derive(Debug)]
 pub struct Fence {
     limit: Duration,
-    platform: Option<Moment>,
-    peers: Option<Moment>,
+    platform_contact: Option<Moment>,
+    peer_contact: Option<Moment>,
 }
 
 impl Fence {
     /// Creates a fence that is closed until the first contact.
     pub const fn new(limit: Duration) -> Self {
-        Self { limit, platform: None, peers: None }
+        Self { limit, platform_contact: None, peer_contact: None }
     }
 
     /// Records an answer of the platform to a configuration request sent at `asked`.
     pub fn hear_platform(&mut self, asked: Moment) {
-        self.platform = self.platform.max(Some(asked));
+        self.platform_contact = self.platform_contact.max(Some(asked));
     }
 
     /// Records the moment as of which this instance was in contact with a majority.
     pub fn hear_peers(&mut self, as_of: Option<Moment>) {
-        self.peers = self.peers.max(as_of);
+        self.peer_contact = self.peer_contact.max(as_of);
     }
 
     /// Returns the moment of the last answered configuration request.
     pub const fn platform(&self) -> Option<Moment> {
-        self.platform
+        self.platform_contact
     }
 
     /// Returns whether new work must be rejected.
     pub fn is_closed(&self, now: Moment) -> bool {
-        let heard = self.platform.max(self.peers);
-        heard.is_none_or(|at| now.since(at) > self.limit)
+        let last_contact = self.platform_contact.max(self.peer_contact);
+        last_contact.is_none_or(|at| now.since(at) > self.limit)
     }
 }
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -1,7 +1,7 @@
 //! Table of the peer instances that serve routes, built from their heartbeats.
 
 mod judges;
-mod reach;
+mod recipients;
 mod sources;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,44 +11,44 @@
 use nutmeggrade_core::peer::{Contacts, FleetBeacon, Revisions, Seat};
 use nutmeggrade_core::prelude::*;
 
-pub use reach::{Audience, Forwarders};
+pub use recipients::{Audience, Forwarders};
 pub use sources::Reach;
 
 /// Number of instances in a client's failure domain from which on the client is given no instances
 /// of other domains.
-const ENOUGH: usize = 3;
+const MIN_NEARBY_ENTRIES: usize = 3;
 /// Interval between two heartbeats of an instance. Changes of placed work are sent immediately, so
 /// this only bounds how soon a silent instance is detected.
 pub const PERIOD: Duration = Duration::from_millis(250);
 /// Number of instances that watch the endpoints in the store on behalf of the fleet. One of them
 /// may be killed or partitioned without a gap.
-const READERS: usize = 2;
+const READER_COUNT: usize = 2;
 /// Number of instances that watch the configuration and the failure domains out of service. These
 /// change rarely, so one more watch is affordable in case the store rejects some instances.
-const CONFIG_READERS: usize = 3;
+const CONFIG_READER_COUNT: usize = 3;
 /// Number of instances whose heartbeats go to all peers: the current readers and the next ones in
 /// rank.
-const STANDBY: usize = 6;
+const STANDBY_COUNT: usize = 6;
 /// Delay added for each rank before an instance takes over from readers that the store does not
 /// answer.
 const TAKEOVER_STEP: Duration = Duration::from_millis(500);
 /// Silence after which a reader of the endpoints counts as gone: three missed heartbeats. This
 /// leaves its successor most of the time in which a draining endpoint may still get its last
 /// request.
-const READER_SILENCE: Duration = Duration::from_millis(800);
+const READER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Silence after which a peer is left out when limits are divided. A peer that is only partitioned
 /// keeps using its share, and it may take that long to detect the partition.
-const ROSTER: Duration = Duration::from_secs(30);
-/// Time after a start in which limits are divided by at least [`UNHEARD`]. After it, heartbeats of
-/// all peers have arrived.
-const SETTLING: Duration = Duration::from_secs(2);
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time after a start in which limits are divided by at least [`ASSUMED_INSTANCES`]. After it,
+/// heartbeats of all peers have arrived.
+const STARTUP_PERIOD: Duration = Duration::from_secs(2);
 /// Minimum number of instances assumed while a new instance has not yet heard from its peers.
-const UNHEARD: usize = 12;
+const ASSUMED_INSTANCES: usize = 12;
 /// Number of peer addresses in the introduction of a heartbeat. They let a new instance that has
 /// one seed soon hear from all peers.
-const HANDED_ON: usize = 8;
+const MAX_INTRODUCED_PEERS: usize = 8;
 /// Maximum number of stored peer addresses, a few times the largest deployment.
-const MOST_CONTACTS: usize = 2_048;
+const MAX_CONTACTS: usize = 2_048;
 
 #[derive(Debug, Clone)]
 struct Peer {
@@ -59,7 +59,7 @@
     leaving: bool,
     reads: bool,
     revisions: Revisions,
-    turn_key: u64,
+    reader_key: u64,
 }
 
 /// An address to send heartbeats to, learned from its instance or from other peers.
@@ -68,14 +68,14 @@
     /// Failure domain; `None` only for a seed.
     domain: Option<DomainId>,
     /// When the address was last announced.
-    told: Moment,
+    last_announced: Moment,
     /// Key that ranks the address against others for one endpoint.
     key: u64,
 }
 
 impl Contact {
-    fn new(address: SocketAddr, domain: Option<&DomainId>, told: Moment) -> Self {
-        Self { domain: domain.cloned(), told, key: key_of(&address.to_string()) }
+    fn new(address: SocketAddr, domain: Option<&DomainId>, last_announced: Moment) -> Self {
+        Self { domain: domain.cloned(), last_announced, key: hash_key(&address.to_string()) }
     }
 }
 
@@ -86,44 +86,44 @@
 /// heartbeats, with or without the platform.
 #[derive(Debug)]
 pub struct FleetView {
-    own: InstanceId,
-    turn_key: u64,
-    place_key: u64,
+    own_id: InstanceId,
+    reader_key: u64,
+    address_key: u64,
     seat: Seat,
     peers: BTreeMap<InstanceId, Peer>,
     contacts: BTreeMap<SocketAddr, Contact>,
     seeds: BTreeSet<SocketAddr>,
     /// Contacts in the same failure domain.
     near: BTreeSet<SocketAddr>,
-    near_turn: usize,
-    far_turn: usize,
-    told_turn: usize,
+    near_position: usize,
+    far_position: usize,
+    welcome_position: usize,
 }
 
 impl FleetView {
     /// Creates the view of an instance that has only its seed addresses.
-    pub fn new(own: &InstanceId, seat: &Seat, seeds: &[SocketAddr]) -> Self {
+    pub fn new(own_id: &InstanceId, seat: &Seat, seeds: &[SocketAddr]) -> Self {
         let seeds: BTreeSet<SocketAddr> =
             seeds.iter().copied().filter(|a| *a != seat.beacon).collect();
         let seed = |a: &SocketAddr| (*a, Contact::new(*a, None, Moment::ZERO));
         Self {
-            own: own.clone(),
-            turn_key: key_of(own.as_str()),
-            place_key: key_of(&seat.beacon.to_string()),
+            own_id: own_id.clone(),
+            reader_key: hash_key(own_id.as_str()),
+            address_key: hash_key(&seat.beacon.to_string()),
             seat: seat.clone(),
             peers: BTreeMap::new(),
             contacts: seeds.iter().map(seed).collect(),
             seeds,
             near: BTreeSet::new(),
-            near_turn: 0,
-            far_turn: 0,
-            told_turn: 0,
+            near_position: 0,
+            far_position: 0,
+            welcome_position: 0,
         }
     }
 
     /// Processes a heartbeat; returns whether it was newer than the last one of its sender.
     pub fn hear(&mut self, beacon: &FleetBeacon, now: Moment) -> bool {
-        if beacon.instance == self.own {
+        if beacon.instance == self.own_id {
             return false;
         }
         if let Some(intro) = &beacon.intro {
@@ -132,17 +132,17 @@
         let old = self.peers.get(&beacon.instance);
         // Incarnations are wall-clock times, and the clock may have been set back before the peer
         // restarted. Once the stored incarnation is silent, any incarnation is accepted.
-        let is_old = old.is_some_and(|p| {
+        let is_stale = old.is_some_and(|p| {
             self.is_heard(p, now)
                 && (p.incarnation, p.sequence) >= (beacon.incarnation, beacon.sequence)
         });
-        if is_old {
+        if is_stale {
             return false;
         }
         let intro = beacon.intro.as_ref().map(|intro| &intro.seat);
-        let same_life = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.seat);
+        let known_seat = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.seat);
         // The addresses of this peer are unknown until its next introduction, which follows soon.
-        let Some(seat) = intro.or(same_life).cloned() else { return false };
+        let Some(seat) = intro.or(known_seat).cloned() else { return false };
         let peer = Peer {
             seat,
             incarnation: beacon.incarnation,
@@ -151,9 +151,9 @@
             leaving: beacon.leaving,
             reads: beacon.reads,
             revisions: beacon.revisions,
-            turn_key: key_of(beacon.instance.as_str()),
+            reader_key: hash_key(beacon.instance.as_str()),
         };
-        self.meet(peer.seat.beacon, &peer.seat.domain, now);
+        self.add_contact(peer.seat.beacon, &peer.seat.domain, now);
         self.peers.insert(beacon.instance.clone(), peer);
         true
     }
@@ -162,16 +162,16 @@
     pub fn meet_all(&mut self, contacts: &Contacts, now: Moment) {
         for (domain, addresses) in contacts {
             for address in addresses {
-                self.meet(*address, domain, now);
+                self.add_contact(*address, domain, now);
             }
         }
     }
 
-    fn meet(&mut self, address: SocketAddr, domain: &DomainId, now: Moment) {
+    fn add_contact(&mut self, address: SocketAddr, domain: &DomainId, now: Moment) {
         if let Some(contact) = self.contacts.get_mut(&address) {
-            contact.told = now;
+            contact.last_announced = now;
             contact.domain = Some(domain.clone());
-        } else if address != self.seat.beacon && self.contacts.len() < MOST_CONTACTS {
+        } else if address != self.seat.beacon && self.contacts.len() < MAX_CONTACTS {
             self.contacts.insert(address, Contact::new(address, Some(domain), now));
         }
         if self.contacts.contains_key(&address) {
@@ -190,10 +190,11 @@
     /// otherwise have no address left to send heartbeats to, would get none either, and would stay
     /// isolated for good.
     pub fn forget(&mut self, now: Moment) {
-        let roster = self.roster();
-        self.peers.retain(|_, peer| now.since(peer.heard) <= roster);
+        let member_timeout = self.member_timeout();
+        self.peers.retain(|_, peer| now.since(peer.heard) <= member_timeout);
         let seeds = &self.seeds;
-        self.contacts.retain(|a, c| now.since(c.told) <= roster || seeds.contains(a));
+        self.contacts
+            .retain(|a, c| now.since(c.last_announced) <= member_timeout || seeds.contains(a));
         let contacts = &self.contacts;
         self.near.retain(|a| contacts.contains_key(a));
     }
@@ -201,8 +202,8 @@
     /// Returns the silence after which a peer is left out when limits are divided. In a fleet so
     /// large that a peer's turn comes rarely, this is the silence after which the peer is not
     /// offered to clients.
-    fn roster(&self) -> Duration {
-        ROSTER.max(self.longest_silence())
+    fn member_timeout(&self) -> Duration {
+        MEMBER_TIMEOUT.max(self.far_timeout())
     }
 
     /// Returns whether the peer's last heartbeat is recent enough.
@@ -223,19 +224,19 @@
     /// mostly puts them in different failure domains. An instance that hears from no peer reads for
     /// itself.
     pub fn is_reader(&self, now: Moment) -> bool {
-        self.before(now, can_read) < READERS
+        self.count_before(now, can_read) < READER_COUNT
     }
 
     /// Returns whether this instance watches the configuration and the failure domains out of
     /// service on behalf of the fleet.
     pub fn is_config_reader(&self, now: Moment) -> bool {
-        self.before(now, can_read) < CONFIG_READERS
+        self.count_before(now, can_read) < CONFIG_READER_COUNT
     }
 
     /// Returns whether this instance is a reader or one of the next in rank. All peers must detect
     /// its silence soon.
     pub fn stands_by(&self, now: Moment) -> bool {
-        self.before(now, can_read) < STANDBY
+        self.count_before(now, can_read) < STANDBY_COUNT
     }
 
     /// Returns how long this instance waits before it takes over from readers that the store does
@@ -244,53 +245,55 @@
     /// Each instance that cannot reach the store is passed over. Without a delay, the whole fleet
     /// would call the store within seconds of an outage.
     pub fn takeover_wait(&self, now: Moment) -> Duration {
-        let rank = self.before(now, |p| !p.leaving);
-        let behind = (rank + 1).saturating_sub(STANDBY);
+        let rank = self.count_before(now, |p| !p.leaving);
+        let behind = (rank + 1).saturating_sub(STANDBY_COUNT);
         TAKEOVER_STEP.saturating_mul(u32::try_from(behind).unwrap_or(u32::MAX))
     }
 
     /// Returns whether any recently heard peer can read the store.
     pub fn is_read(&self, now: Moment) -> bool {
-        self.just_heard(now).any(|(_, p)| can_read(p))
+        self.recently_heard(now).any(|(_, p)| can_read(p))
     }
 
     /// Returns whether this instance is the first reader. The other readers only have to resend its
     /// updates where they were lost.
     pub fn is_first_reader(&self, now: Moment) -> bool {
-        self.before(now, can_read) == 0
+        self.count_before(now, can_read) == 0
     }
 
     /// Returns whether this instance would be a reader if all instances could reach the store.
     /// While nobody can, these instances retry often and the others rarely.
     pub fn leads(&self, now: Moment) -> bool {
-        self.before(now, |p| !p.leaving) < READERS
+        self.count_before(now, |p| !p.leaving) < READER_COUNT
     }
 
     /// Returns whether any recently heard peer cannot read the store.
     pub fn is_store_away(&self, now: Moment) -> bool {
-        self.just_heard(now).any(|(_, p)| !p.reads && !p.leaving)
+        self.recently_heard(now).any(|(_, p)| !p.reads && !p.leaving)
     }
 
     /// Returns whether this instance ranks first among the live instances for the endpoint. The
     /// ranking differs between endpoints.
     pub fn is_first_for(&self, endpoint: &EndpointId, now: Moment) -> bool {
-        let own = place_for(self.own.as_str(), endpoint);
-        self.live(now).all(|peer| place_for(peer.as_str(), endpoint) > own)
+        let own_key = endpoint_order_key(self.own_id.as_str(), endpoint);
+        self.live(now).all(|peer| endpoint_order_key(peer.as_str(), endpoint) > own_key)
     }
 
     /// Counts the matching peers that rank before this instance as readers.
-    fn before(&self, now: Moment, counts: impl Fn(&Peer) -> bool) -> usize {
-        self.just_heard(now).filter(|(name, p)| counts(p) && self.is_after(name, p)).count()
+    fn count_before(&self, now: Moment, is_counted: impl Fn(&Peer) -> bool) -> usize {
+        self.recently_heard(now)
+            .filter(|(name, p)| is_counted(p) && self.ranks_after(name, p))
+            .count()
     }
 
     /// Returns whether this instance ranks after the peer as a reader.
-    fn is_after(&self, name: &InstanceId, peer: &Peer) -> bool {
-        (peer.turn_key, name) < (self.turn_key, &self.own)
+    fn ranks_after(&self, name: &InstanceId, peer: &Peer) -> bool {
+        (peer.reader_key, name) < (self.reader_key, &self.own_id)
     }
 
-    /// Lists the peers within [`READER_SILENCE`], among which readers are chosen.
-    fn just_heard(&self, now: Moment) -> impl Iterator<Item = (&InstanceId, &Peer)> {
-        self.peers.iter().filter(move |(_, p)| now.since(p.heard) <= READER_SILENCE)
+    /// Lists the peers within [`READER_TIMEOUT`], among which readers are chosen.
+    fn recently_heard(&self, now: Moment) -> impl Iterator<Item = (&InstanceId, &Peer)> {
+        self.peers.iter().filter(move |(_, p)| now.since(p.heard) <= READER_TIMEOUT)
     }
 
     /// Lists the addresses for clients to connect to: instances in the client's failure domain if
@@ -304,12 +307,16 @@
         is_leaving: bool,
         now: Moment,
     ) -> Vec<SocketAddr> {
-        let own = (!is_leaving).then_some(&self.seat);
+        let own_seat = (!is_leaving).then_some(&self.seat);
         let live = self.peers.values().filter(|p| self.is_heard(p, now) && !p.leaving);
-        let all: Vec<&Seat> = own.into_iter().chain(live.map(|p| &p.seat)).collect();
+        let all: Vec<&Seat> = own_seat.into_iter().chain(live.map(|p| &p.seat)).collect();
         let is_near = |seat: &&&Seat| near == Some(&seat.domain);
-        let near_by: Vec<SocketAddr> = all.iter().filter(is_near).map(|s| s.client).collect();
-        if near_by.len() >= ENOUGH { near_by } else { all.iter().map(|s| s.client).collect() }
+        let nearby: Vec<SocketAddr> = all.iter().filter(is_near).map(|s| s.client).collect();
+        if nearby.len() >= MIN_NEARBY_ENTRIES {
+            nearby
+        } else {
+            all.iter().map(|s| s.client).collect()
+        }
     }
 
     /// Counts the instances among which limits are divided, including this one: peers that were
@@ -319,14 +326,14 @@
     /// instances that started together, each had heard from 100 after the first seconds, so all
     /// together would have used three times the limit.
     pub fn sharers(&self, now: Moment) -> usize {
-        let known = 1 + self.known(now).count();
-        if now.since_start() < SETTLING { known.max(UNHEARD) } else { known }
+        let known = 1 + self.known_contacts(now).count();
+        if now.since_start() < STARTUP_PERIOD { known.max(ASSUMED_INSTANCES) } else { known }
     }
 
     /// Lists the contacts that were recently heard from or announced.
-    fn known(&self, now: Moment) -> impl Iterator<Item = &Contact> {
-        let roster = self.roster();
-        self.contacts.values().filter(move |c| now.since(c.told) <= roster)
+    fn known_contacts(&self, now: Moment) -> impl Iterator<Item = &Contact> {
+        let member_timeout = self.member_timeout();
+        self.contacts.values().filter(move |c| now.since(c.last_announced) <= member_timeout)
     }
 
     /// Returns the rank of this instance among all known instances for one endpoint. Ranks differ
@@ -337,9 +344,9 @@
     /// address and endpoint and ordered by their exclusive or. With a hash of each pair, a day of
     /// 100 instances and 1,000 endpoints took 177 processor seconds instead of 138.
     pub fn rank(&self, endpoint: &EndpointId, now: Moment) -> usize {
-        let key = key_of(endpoint.as_str());
-        let own = self.place_key ^ key;
-        self.known(now).filter(|c| c.key ^ key < own).count()
+        let key = hash_key(endpoint.as_str());
+        let own_key = self.address_key ^ key;
+        self.known_contacts(now).filter(|c| c.key ^ key < own_key).count()
     }
 
     /// Returns the addresses of a few recently heard peers for an introduction.
@@ -347,8 +354,8 @@
         let live = self.peers.values().filter(|p| self.is_heard(p, now));
         let all: Vec<&Seat> = live.map(|p| &p.seat).collect();
         let mut others = Contacts::new();
-        for i in 0..all.len().min(HANDED_ON) {
-            let seat = all[(self.far_turn + i) % all.len()];
+        for i in 0..all.len().min(MAX_INTRODUCED_PEERS) {
+            let seat = all[(self.far_position + i) % all.len()];
             others.entry(seat.domain.clone()).or_default().push(seat.beacon);
         }
         others
@@ -361,14 +368,14 @@
 }
 
 /// Hashes a name to a key that is the same on all instances.
-fn key_of(name: &str) -> u64 {
+fn hash_key(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
-    let first: [u8; 8] = std::array::from_fn(|i| hash.as_bytes()[i]);
-    u64::from_be_bytes(first)
+    let prefix: [u8; 8] = std::array::from_fn(|i| hash.as_bytes()[i]);
+    u64::from_be_bytes(prefix)
 }
 
 /// Hashes an instance and an endpoint to an ordering key that differs between endpoints.
-fn place_for(instance: &str, endpoint: &EndpointId) -> [u8; 32] {
+fn endpoint_order_key(instance: &str, endpoint: &EndpointId) -> [u8; 32] {
     let text = [instance, endpoint.as_str()].join("\0");
     *blake3::hash(text.as_bytes()).as_bytes()
 }
--- a/crates/nutmeggrade-state/src/fleet_view/judges.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/judges.rs
@@ -7,14 +7,14 @@
 use super::{FleetView, Peer};
 
 /// Number of instances that receive the roll-out counts: the judge and its next replacements.
-const JUDGES: usize = 3;
+const JUDGE_COUNT: usize = 3;
 
 impl FleetView {
     /// Returns whether this instance judges roll-outs. The judge is the first instance in reader
     /// order, with or without access to the store, so that a bad version is reverted during an
     /// outage too.
     pub fn judges_first(&self, now: Moment) -> bool {
-        self.before(now, |p| !p.leaving) == 0
+        self.count_before(now, |p| !p.leaving) == 0
     }
 
     /// Lists the peers that count when limits are divided: all that were heard from in the last 30
@@ -32,15 +32,15 @@
 
     /// Lists the heartbeat addresses of the peers that judge roll-outs or are next in line.
     pub fn judges(&self, now: Moment) -> Vec<SocketAddr> {
-        let mut order: Vec<_> = self
-            .just_heard(now)
+        let mut ranked: Vec<_> = self
+            .recently_heard(now)
             .filter(|(_, p)| !p.leaving)
-            .map(|(name, p)| ((p.turn_key, name), p.seat.beacon))
+            .map(|(name, p)| ((p.reader_key, name), p.seat.beacon))
             .collect();
-        order.sort_unstable();
-        let before = |(key, _): &&(_, SocketAddr)| *key < (self.turn_key, &self.own);
-        let own = order.iter().take_while(before).count();
-        let others = if own < JUDGES { JUDGES - 1 } else { JUDGES };
-        order.into_iter().take(others).map(|(_, beacon)| beacon).collect()
+        ranked.sort_unstable();
+        let ranks_before = |(key, _): &&(_, SocketAddr)| *key < (self.reader_key, &self.own_id);
+        let own_rank = ranked.iter().take_while(ranks_before).count();
+        let others = if own_rank < JUDGE_COUNT { JUDGE_COUNT - 1 } else { JUDGE_COUNT };
+        ranked.into_iter().take(others).map(|(_, beacon)| beacon).collect()
     }
 }
--- a/crates/nutmeggrade-state/src/fleet_view/reach.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/recipients.rs
@@ -12,38 +12,38 @@
 /// Base silence after which a peer is not offered to clients; the interval between its heartbeats
 /// to this instance is added. It spans a few heartbeats, so that lost datagrams do not cost a
 /// healthy peer its clients.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const BASE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Number of heartbeat turns without a heartbeat that are tolerated.
-const TURNS: u32 = 3;
+const MAX_MISSED_TURNS: u32 = 3;
 /// Fleet size up to which each heartbeat goes to all peers.
-const FANOUT: usize = 16;
+const MAX_FULL_FANOUT: usize = 16;
 /// Minimum number of peers in the own failure domain that each heartbeat goes to in a larger fleet,
 /// in rotation.
-const NEAR: usize = 8;
+const MIN_NEAR_FANOUT: usize = 8;
 /// Number of peers in other failure domains that each heartbeat goes to in a larger fleet. Traffic
 /// between failure domains is expensive: at 88 instances, with 16 peers chosen regardless of
 /// domain, heartbeats were half of it. Clients are offered nearby instances, so a silent remote one
 /// may be detected later.
-const FAR: usize = 4;
+const FAR_FANOUT: usize = 4;
 /// Maximum number of turns until each neighbour has had a heartbeat. In a failure domain with more
 /// than 30 instances, each heartbeat goes to more neighbours, so that a dead instance is offered to
 /// clients for no longer than in a small domain. With a fixed number of eight, it was offered for
 /// nine seconds among 75.
-const MOST_TURNS: usize = 4;
+const MAX_NEAR_TURNS: usize = 4;
 /// Number of instances that one relay forwards a message to. At 300 instances, a reader's update of
 /// 400 endpoints, sent to each neighbour separately, occupied its 10 Mbit/s link for four seconds.
-const PART: usize = 24;
+const INSTANCES_PER_RELAY: usize = 24;
 /// Maximum number of neighbours to which a sender sends changes of placed work directly. Most work
 /// is placed in the own failure domain, and scheduling decisions that miss the last few
 /// milliseconds cost time where memory is short.
-const MOST_DIRECT: usize = 96;
+const MAX_DIRECT_NEIGHBOURS: usize = 96;
 /// Maximum number of addresses in the reply to a new instance; at 20 bytes each they fit into one
 /// datagram.
-const WELCOMED: usize = 128;
+const MAX_WELCOME_CONTACTS: usize = 128;
 /// Maximum number of peers in a remote failure domain that are sent to directly, without a relay.
-const FEW: usize = 3;
+const MAX_DIRECT_REMOTE: usize = 3;
 /// Number of heartbeats after which an instance has heard from its neighbours, two seconds' worth.
-const FRESH: u64 = 8;
+const STARTUP_HEARTBEATS: u64 = 8;
 
 /// Rule by which the relays of a failure domain are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -67,16 +67,16 @@
     /// Lists the recipients of the next heartbeat: all peers in a small fleet, else some of them in
     /// rotation.
     pub fn targets(&mut self) -> Vec<SocketAddr> {
-        if self.contacts.len() <= FANOUT {
+        if self.contacts.len() <= MAX_FULL_FANOUT {
             return self.contacts.keys().copied().collect();
         }
         let (near, far): (Vec<SocketAddr>, Vec<SocketAddr>) =
             self.contacts.keys().copied().partition(|a| self.near.contains(a));
-        let count = near_count(near.len());
-        let mut targets = in_turn(&near, count, &mut self.near_turn);
-        // The failure domains of the peers are still unknown to a new instance.
-        let rest = count + FAR - targets.len();
-        targets.extend(in_turn(&far, rest, &mut self.far_turn));
+        let count = near_fanout(near.len());
+        let mut targets = next_in_rotation(&near, count, &mut self.near_position);
+        // A new instance may have few known neighbours; the remaining slots go to other peers.
+        let far_limit = count + FAR_FANOUT - targets.len();
+        targets.extend(next_in_rotation(&far, far_limit, &mut self.far_position));
         targets
     }
 
@@ -96,22 +96,23 @@
         let mut audience = Audience { direct: Vec::new(), relays: Vec::new() };
         for (domain, all) in domains {
             let is_near = domain == Some(&self.seat.domain);
-            let most = match (is_near, forwarders) {
-                (true, Forwarders::LastHeard) => PART,
-                (true, Forwarders::Common) => MOST_DIRECT,
-                (false, _) => FEW,
+            let max_direct = match (is_near, forwarders) {
+                (true, Forwarders::LastHeard) => INSTANCES_PER_RELAY,
+                (true, Forwarders::Common) => MAX_DIRECT_NEIGHBOURS,
+                (false, _) => MAX_DIRECT_REMOTE,
             };
-            if domain.is_none() || all.len() <= most {
+            if domain.is_none() || all.len() <= max_direct {
                 audience.direct.extend(all);
                 continue;
             }
-            let relays = self.relays(domain, all.len().div_ceil(PART), forwarders, now);
+            let relays =
+                self.relays(domain, all.len().div_ceil(INSTANCES_PER_RELAY), forwarders, now);
             if relays.is_empty() {
                 audience.direct.extend(all);
                 continue;
             }
-            let of = u32::try_from(relays.len()).unwrap_or(1);
-            let parts = (0..of).map(|part| Share { part, of });
+            let part_count = u32::try_from(relays.len()).unwrap_or(1);
+            let parts = (0..part_count).map(|part| Share { part, of: part_count });
             audience.relays.extend(relays.into_iter().zip(parts));
         }
         audience
@@ -126,13 +127,13 @@
         forwarders: Forwarders,
         now: Moment,
     ) -> Vec<SocketAddr> {
-        let fits =
+        let is_candidate =
             |p: &&Peer| Some(&p.seat.domain) == domain && !p.leaving && self.is_heard(p, now);
-        let mut all: Vec<&Peer> = self.peers.values().filter(fits).collect();
-        let is_fresh = |p: &Peer| p.sequence <= FRESH;
+        let mut all: Vec<&Peer> = self.peers.values().filter(is_candidate).collect();
+        let is_new = |p: &Peer| p.sequence <= STARTUP_HEARTBEATS;
         match forwarders {
-            Forwarders::LastHeard => all.sort_by_key(|p| (is_fresh(p), std::cmp::Reverse(p.heard))),
-            Forwarders::Common => all.sort_by_key(|p| (is_fresh(p), p.turn_key)),
+            Forwarders::LastHeard => all.sort_by_key(|p| (is_new(p), std::cmp::Reverse(p.heard))),
+            Forwarders::Common => all.sort_by_key(|p| (is_new(p), p.reader_key)),
         }
         all.into_iter().take(count).map(|p| p.seat.beacon).collect()
     }
@@ -144,8 +145,8 @@
     /// the store themselves, which at 88 instances was a third of the calls of a quiet minute.
     pub fn welcome(&mut self, beacon: &FleetBeacon) -> Option<(SocketAddr, Contacts)> {
         let intro = beacon.intro.as_ref()?;
-        let told = intro.others.values().map(Vec::len).sum::<usize>();
-        if self.contacts.len() <= FANOUT || told >= super::HANDED_ON {
+        let announced = intro.others.values().map(Vec::len).sum::<usize>();
+        if self.contacts.len() <= MAX_FULL_FANOUT || announced >= super::MAX_INTRODUCED_PEERS {
             return None;
         }
         let newcomer = intro.seat.beacon;
@@ -155,7 +156,9 @@
         // Each peer that replies starts at another contact, so that the replies together cover the
         // fleet.
         let mut others = Contacts::new();
-        for (address, domain) in in_turn(&all, WELCOMED, &mut self.told_turn) {
+        for (address, domain) in
+            next_in_rotation(&all, MAX_WELCOME_CONTACTS, &mut self.welcome_position)
+        {
             others.entry(domain).or_default().push(address);
         }
         Some((newcomer, others))
@@ -163,58 +166,55 @@
 
     /// Lists the neighbours in one part of the failure domain, to forward a message to.
     pub fn part_of_neighbours(&self, share: Share) -> Vec<SocketAddr> {
-        let is_in = |address: &SocketAddr| lot(address) % share.of.max(1) == share.part;
-        self.near.iter().copied().filter(is_in).collect()
+        let is_in_part =
+            |address: &SocketAddr| address_hash(address) % share.of.max(1) == share.part;
+        self.near.iter().copied().filter(is_in_part).collect()
     }
 
     /// Returns whether the peer's last heartbeat is recent enough.
     pub(super) fn is_heard(&self, peer: &Peer, now: Moment) -> bool {
-        now.since(peer.heard) <= self.silence(peer)
+        now.since(peer.heard) <= self.peer_timeout(peer)
     }
 
     /// Returns the silence after which a peer counts as gone. In a large fleet heartbeats rotate
     /// among the peers, so each peer hears from the others less often.
-    fn silence(&self, peer: &Peer) -> Duration {
-        if peer.seat.domain == self.seat.domain {
-            self.near_silence()
-        } else {
-            self.longest_silence()
-        }
+    fn peer_timeout(&self, peer: &Peer) -> Duration {
+        if peer.seat.domain == self.seat.domain { self.near_timeout() } else { self.far_timeout() }
     }
 
-    fn near_silence(&self) -> Duration {
+    fn near_timeout(&self) -> Duration {
         let near = self.near.len();
-        self.silence_of(near.div_ceil(near_count(near)))
+        self.timeout_for(near.div_ceil(near_fanout(near)))
     }
 
     /// Returns the silence after which a peer in another failure domain counts as gone.
-    pub(super) fn longest_silence(&self) -> Duration {
+    pub(super) fn far_timeout(&self) -> Duration {
         let far = self.contacts.len() - self.near.len();
-        self.silence_of(far.div_ceil(FAR))
+        self.timeout_for(far.div_ceil(FAR_FANOUT))
     }
 
-    fn silence_of(&self, turns: usize) -> Duration {
-        let turns = if self.contacts.len() <= FANOUT { 1 } else { turns };
-        let turns = u32::try_from(turns).unwrap_or(u32::MAX);
-        SILENCE + PERIOD.saturating_mul(turns.saturating_mul(TURNS))
+    fn timeout_for(&self, turns: usize) -> Duration {
+        let turn_count = if self.contacts.len() <= MAX_FULL_FANOUT { 1 } else { turns };
+        let turn_count = u32::try_from(turn_count).unwrap_or(u32::MAX);
+        BASE_TIMEOUT + PERIOD.saturating_mul(turn_count.saturating_mul(MAX_MISSED_TURNS))
     }
 }
 
 /// Returns the number of neighbours that each heartbeat goes to.
-fn near_count(near: usize) -> usize {
-    NEAR.max(near.div_ceil(MOST_TURNS))
+fn near_fanout(near: usize) -> usize {
+    MIN_NEAR_FANOUT.max(near.div_ceil(MAX_NEAR_TURNS))
 }
 
 /// Hashes an address to a number that spreads addresses evenly over the parts of a failure domain.
-fn lot(address: &SocketAddr) -> u32 {
+fn address_hash(address: &SocketAddr) -> u32 {
     let hash = blake3::hash(address.to_string().as_bytes());
     u32::from_be_bytes(std::array::from_fn(|i| hash.as_bytes()[i]))
 }
 
-/// Returns the next `count` items of a list in rotation and advances `position`.
-fn in_turn<T: Clone>(all: &[T], most: usize, turn: &mut usize) -> Vec<T> {
-    let count = all.len().min(most);
-    let start = *turn;
-    *turn = start.wrapping_add(count);
+/// Returns up to `limit` next items of a list in rotation and advances `position`.
+fn next_in_rotation<T: Clone>(all: &[T], limit: usize, position: &mut usize) -> Vec<T> {
+    let count = all.len().min(limit);
+    let start = *position;
+    *position = start.wrapping_add(count);
     (0..count).map(|i| all[(start + i) % all.len()].clone()).collect()
 }
--- a/crates/nutmeggrade-state/src/fleet_view/sources.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/sources.rs
@@ -23,23 +23,23 @@
     ///
     /// Neighbours are preferred. While none of them is ahead, only the first instance of a failure
     /// domain fetches from another domain, so that an update crosses between two domains once.
-    /// [`Reach::Everywhere`] lifts this rule. `lot` is a random number that spreads the calls.
+    /// [`Reach::Everywhere`] lifts this rule. `random` is a random number that spreads the calls.
     pub fn source(
         &self,
         is_ahead: impl Fn(&Revisions) -> bool,
-        reach: Reach,
-        lot: usize,
+        scope: Reach,
+        random: usize,
         now: Moment,
     ) -> Option<(SocketAddr, bool)> {
         let is_source = |p: &&Peer| self.is_heard(p, now) && !p.leaving && is_ahead(&p.revisions);
         let (near, far): (Vec<&Peer>, Vec<&Peer>) =
             self.peers.values().filter(is_source).partition(|p| p.seat.domain == self.seat.domain);
         let is_near = !near.is_empty();
-        if !is_near && reach == Reach::Near && !self.is_first_near(now) {
+        if !is_near && scope == Reach::Near && !self.is_first_in_domain(now) {
             return None;
         }
         let all = if is_near { near } else { far };
-        let peer = all.get(lot.checked_rem(all.len())?)?;
+        let peer = all.get(random.checked_rem(all.len())?)?;
         Some((peer.seat.control, is_near))
     }
 
@@ -49,9 +49,9 @@
     }
 
     /// Returns whether this instance ranks first as a reader in its failure domain.
-    fn is_first_near(&self, now: Moment) -> bool {
-        let is_near = |p: &Peer| p.seat.domain == self.seat.domain && !p.leaving;
-        let mut live = self.peers.iter().filter(|(_, p)| is_near(p) && self.is_heard(p, now));
-        !live.any(|(name, p)| self.is_after(name, p))
+    fn is_first_in_domain(&self, now: Moment) -> bool {
+        let is_neighbour = |p: &Peer| p.seat.domain == self.seat.domain && !p.leaving;
+        let mut live = self.peers.iter().filter(|(_, p)| is_neighbour(p) && self.is_heard(p, now));
+        !live.any(|(name, p)| self.ranks_after(name, p))
     }
 }
--- a/crates/nutmeggrade-state/src/invariant.rs
+++ b/crates/nutmeggrade-state/src/invariant.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-static BROKEN: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
+static VIOLATIONS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
 /// Counts a violated invariant; in a debug build, as used by the tests, it panics.
 ///
@@ -14,13 +14,13 @@
     if holds {
         return;
     }
-    if let Ok(mut broken) = BROKEN.lock() {
-        *broken.entry(name).or_default() += 1;
+    if let Ok(mut violations) = VIOLATIONS.lock() {
+        *violations.entry(name).or_default() += 1;
     }
     debug_assert!(holds, "invariant broken: {name}");
 }
 
 /// Returns the number of violations of each invariant since the process started.
 pub fn broken() -> BTreeMap<&'static str, u64> {
-    BROKEN.lock().map(|b| b.clone()).unwrap_or_default()
+    VIOLATIONS.lock().map(|b| b.clone()).unwrap_or_default()
 }
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -7,18 +7,18 @@
 use nutmeggrade_core::prelude::*;
 
 /// Number of own heartbeats whose send time is stored; echoes of older ones are ignored.
-const SENT: usize = 128;
+const MAX_SENT_HEARTBEATS: usize = 128;
 
 #[derive(Debug, Clone)]
 struct Peer {
     entry: Entry,
     heard: Option<Moment>,
     sequence: u64,
-    config: u64,
+    config_version: u64,
     leaving: bool,
     in_flight: BTreeMap<EndpointId, u32>,
-    platform: Option<Duration>,
-    as_of: Option<Moment>,
+    platform_age: Option<Duration>,
+    last_contact: Option<Moment>,
 }
 
 /// An instance that may be a member of the next epoch.
@@ -33,27 +33,32 @@
 /// Table of the peers with their last heartbeats.
 #[derive(Debug)]
 pub struct Membership {
-    own: Entry,
-    silence: Duration,
+    own_entry: Entry,
+    timeout: Duration,
     peers: BTreeMap<InstanceId, Peer>,
     sent: VecDeque<(u64, Moment)>,
 }
 
 impl Membership {
-    /// Creates a table without peers; a peer silent for longer than `silence` counts as gone.
-    pub fn new(own: &Entry, silence: Duration) -> Self {
-        Self { own: own.clone(), silence, peers: BTreeMap::new(), sent: VecDeque::new() }
+    /// Creates a table without peers; a peer silent for longer than `timeout` counts as gone.
+    pub fn new(own_entry: &Entry, timeout: Duration) -> Self {
+        Self {
+            own_entry: own_entry.clone(),
+            timeout,
+            peers: BTreeMap::new(),
+            sent: VecDeque::new(),
+        }
     }
 
     /// Returns this instance's own entry.
     pub const fn own(&self) -> &Entry {
-        &self.own
+        &self.own_entry
     }
 
     /// Adds an instance listed by the platform; returns whether it is new or has a newer
     /// incarnation.
     pub fn learn(&mut self, entry: &Entry) -> bool {
-        if entry.instance == self.own.instance {
+        if entry.instance == self.own_entry.instance {
             return false;
         }
         let known = self.peers.get(&entry.instance);
@@ -64,11 +69,11 @@
             entry: entry.clone(),
             heard: None,
             sequence: 0,
-            config: 0,
+            config_version: 0,
             leaving: false,
             in_flight: BTreeMap::new(),
-            platform: None,
-            as_of: None,
+            platform_age: None,
+            last_contact: None,
         };
         self.peers.insert(entry.instance.clone(), peer);
         true
@@ -82,7 +87,7 @@
     /// Processes a heartbeat; returns whether it was fresh. Old, repeated and own heartbeats are
     /// dropped, and those of an incarnation whose addresses are unknown.
     pub fn hear(&mut self, beacon: &Beacon, now: Moment) -> bool {
-        if beacon.instance == self.own.instance {
+        if beacon.instance == self.own_entry.instance {
             return false;
         }
         if let Some(entry) = &beacon.entry {
@@ -95,21 +100,21 @@
         }
         peer.heard = Some(now);
         peer.sequence = beacon.sequence;
-        peer.config = beacon.config;
+        peer.config_version = beacon.config;
         peer.leaving = beacon.leaving;
         peer.in_flight.clone_from(&beacon.in_flight);
-        peer.platform = beacon.platform;
-        let echo = beacon.echoes.get(&self.own.instance);
-        let echo = echo.filter(|e| e.incarnation == self.own.incarnation);
+        peer.platform_age = beacon.platform;
+        let echo = beacon.echoes.get(&self.own_entry.instance);
+        let echo = echo.filter(|e| e.incarnation == self.own_entry.incarnation);
         let sent = echo.and_then(|e| self.sent.iter().find(|(n, _)| *n == e.sequence));
-        peer.as_of = peer.as_of.max(sent.map(|(_, at)| *at));
+        peer.last_contact = peer.last_contact.max(sent.map(|(_, at)| *at));
         true
     }
 
     /// Records the send time of an own heartbeat.
     pub fn note_sent(&mut self, sequence: u64, now: Moment) {
         self.sent.push_back((sequence, now));
-        if self.sent.len() > SENT {
+        if self.sent.len() > MAX_SENT_HEARTBEATS {
             self.sent.pop_front();
         }
     }
@@ -128,10 +133,11 @@
     /// heartbeat: a process that was frozen finds minutes of old heartbeats in its buffers, and by
     /// their arrival all peers would seem to be alive.
     pub fn together_since(&self, size: usize) -> Option<Moment> {
-        let mut answered: Vec<Moment> = self.peers.values().filter_map(|p| p.as_of).collect();
+        let mut answered: Vec<Moment> =
+            self.peers.values().filter_map(|p| p.last_contact).collect();
         answered.sort_unstable_by(|a, b| b.cmp(a));
-        let needed = (size / 2).max(1);
-        answered.get(needed - 1).copied()
+        let majority_peers = (size / 2).max(1);
+        answered.get(majority_peers - 1).copied()
     }
 
     /// Lists the known peers without a recent heartbeat.
@@ -146,69 +152,69 @@
     }
 
     /// Lists the peers that may be members of the next epoch, with whether each had contact with
-    /// the platform within `patience`.
-    pub fn candidates(&self, patience: Duration, now: Moment) -> BTreeMap<InstanceId, Candidate> {
+    /// the platform within `max_age`.
+    pub fn candidates(&self, max_age: Duration, now: Moment) -> BTreeMap<InstanceId, Candidate> {
         let candidate = |p: &Peer| Candidate {
             incarnation: p.entry.incarnation,
-            hears_platform: p.platform.is_some_and(|age| age <= patience),
+            hears_platform: p.platform_age.is_some_and(|age| age <= max_age),
         };
-        let open = self.heard_lately(now).filter(|p| !p.leaving);
-        open.map(|p| (p.entry.instance.clone(), candidate(p))).collect()
+        let eligible = self.recently_heard(now).filter(|p| !p.leaving);
+        eligible.map(|p| (p.entry.instance.clone(), candidate(p))).collect()
     }
 
     /// Lists the peers with a recent heartbeat.
     pub fn live(&self, now: Moment) -> Vec<&Entry> {
-        self.heard_lately(now).map(|p| &p.entry).collect()
+        self.recently_heard(now).map(|p| &p.entry).collect()
     }
 
     /// Lists the peers that callers may be sent to: those with a recent heartbeat that are not
     /// leaving.
     pub fn open(&self, now: Moment) -> Vec<&Entry> {
-        self.heard_lately(now).filter(|p| !p.leaving).map(|p| &p.entry).collect()
+        self.recently_heard(now).filter(|p| !p.leaving).map(|p| &p.entry).collect()
     }
 
     /// Returns whether an instance is live, which includes this one.
     pub fn is_live(&self, instance: &InstanceId, now: Moment) -> bool {
-        *instance == self.own.instance
-            || self.heard_lately(now).any(|p| p.entry.instance == *instance)
+        *instance == self.own_entry.instance
+            || self.recently_heard(now).any(|p| p.entry.instance == *instance)
     }
 
     /// Returns whether one incarnation of an instance is live, which includes this one.
     pub fn is_alive(&self, instance: &InstanceId, incarnation: u64, now: Moment) -> bool {
         let same = |e: &Entry| e.instance == *instance && e.incarnation == incarnation;
-        same(&self.own) || self.heard_lately(now).any(|p| same(&p.entry))
+        same(&self.own_entry) || self.recently_heard(now).any(|p| same(&p.entry))
     }
 
     /// Returns whether every peer echoed a heartbeat sent at or after `at`; a peer silent for
     /// longer than `gone` is skipped.
     pub fn all_heard(&self, at: Moment, gone: Duration, now: Moment) -> bool {
-        let answered = |p: &Peer| p.as_of.is_some_and(|as_of| as_of >= at);
+        let answered = |p: &Peer| p.last_contact.is_some_and(|contact| contact >= at);
         let is_gone = |p: &Peer| p.heard.is_none_or(|heard| now.since(heard) > gone);
         self.peers.values().all(|p| answered(p) || is_gone(p))
     }
 
     /// Lists the peers whose configuration in force has at least this version.
     pub fn holders(&self, version: u64) -> Vec<Entry> {
-        let holders = self.peers.values().filter(|p| p.config >= version);
+        let holders = self.peers.values().filter(|p| p.config_version >= version);
         holders.map(|p| p.entry.clone()).collect()
     }
 
     /// Returns the configuration version in force on each live peer.
     pub fn configs(&self, now: Moment) -> BTreeMap<InstanceId, u64> {
-        self.heard_lately(now).map(|p| (p.entry.instance.clone(), p.config)).collect()
+        self.recently_heard(now).map(|p| (p.entry.instance.clone(), p.config_version)).collect()
     }
 
     /// Returns the number of requests that live peers have in flight at each endpoint.
     pub fn in_flight(&self, now: Moment) -> BTreeMap<EndpointId, u32> {
         let mut sums = BTreeMap::new();
-        for (endpoint, count) in self.heard_lately(now).flat_map(|p| &p.in_flight) {
+        for (endpoint, count) in self.recently_heard(now).flat_map(|p| &p.in_flight) {
             *sums.entry(endpoint.clone()).or_default() += count;
         }
         sums
     }
 
-    fn heard_lately(&self, now: Moment) -> impl Iterator<Item = &Peer> {
-        let recent = move |at: Moment| now.since(at) <= self.silence;
+    fn recently_heard(&self, now: Moment) -> impl Iterator<Item = &Peer> {
+        let recent = move |at: Moment| now.since(at) <= self.timeout;
         self.peers.values().filter(move |p| p.heard.is_some_and(recent))
     }
 }
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -10,14 +10,14 @@
 
 /// How long a crash counts against a request: long enough for a caller that keeps resending it,
 /// short enough for a repaired engine or a wrong suspicion to expire.
-const KEEP: Duration = Duration::from_mins(10);
+const CRASH_RETENTION: Duration = Duration::from_mins(10);
 /// Maximum time between two reports of one engine's crash, seen by different instances or requests,
 /// for them to count as one crash.
-const SAME: Duration = Duration::from_secs(3);
+const CRASH_MERGE_WINDOW: Duration = Duration::from_secs(3);
 /// Time without a heartbeat after which a peer's trials are ignored.
-const FRESH: Duration = Duration::from_secs(3);
+const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum number of suspect requests in the own table and per peer; the oldest is evicted first.
-const MOST: usize = 128;
+const MAX_REQUESTS: usize = 128;
 
 /// Identifies one waiting request within this instance.
 pub type TrialId = u64;
@@ -36,25 +36,25 @@
 }
 
 #[derive(Debug, Clone)]
-struct Seen {
+struct CrashRecord {
     engine: EndpointId,
     at: Moment,
-    first: bool,
+    before_token: bool,
     trial: bool,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Mark {
-    crashes: Vec<Seen>,
+struct RequestRecord {
+    crashes: Vec<CrashRecord>,
     cleared: Option<Moment>,
-    whole: Option<Moment>,
+    completed: Option<Moment>,
     waiting: bool,
     running: bool,
 }
 
-impl Mark {
-    fn newest(&self) -> Option<Moment> {
-        self.crashes.iter().map(|c| c.at).max().max(self.cleared).max(self.whole)
+impl RequestRecord {
+    fn last_event(&self) -> Option<Moment> {
+        self.crashes.iter().map(|c| c.at).max().max(self.cleared).max(self.completed)
     }
 }
 
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 struct Peer {
     heard: Moment,
-    marks: BTreeMap<PromptHash, Mark>,
+    records: BTreeMap<PromptHash, RequestRecord>,
 }
 
 /// Table of requests that were running on an engine when it crashed, here and at peers.
@@ -81,22 +81,22 @@
 /// counting against the other requests on those engines.
 #[derive(Debug)]
 pub struct Suspects {
-    own: InstanceId,
-    settle: Duration,
-    marks: BTreeMap<PromptHash, Mark>,
+    own_id: InstanceId,
+    gossip_delay: Duration,
+    records: BTreeMap<PromptHash, RequestRecord>,
     trials: BTreeMap<TrialId, Trial>,
     peers: BTreeMap<InstanceId, Peer>,
 }
 
 impl Suspects {
     /// Creates an empty table; `beacon` is the heartbeat interval.
-    pub fn new(own: &InstanceId, beacon: Duration) -> Self {
+    pub fn new(own_id: &InstanceId, beacon: Duration) -> Self {
         Self {
-            own: own.clone(),
+            own_id: own_id.clone(),
             // A trial that started at a peer is announced within two heartbeats; the rest allows
             // for transit.
-            settle: beacon * 2 + beacon / 2,
-            marks: BTreeMap::new(),
+            gossip_delay: beacon * 2 + beacon / 2,
+            records: BTreeMap::new(),
             trials: BTreeMap::new(),
             peers: BTreeMap::new(),
         }
@@ -104,22 +104,22 @@
 
     /// Returns the admission decision for a request; a waiting request asks again with the same id.
     pub fn gate(&mut self, request: PromptHash, id: TrialId, now: Moment) -> Gate {
-        self.forget(now);
-        if self.is_condemned(request, now) {
+        self.remove_expired(now);
+        if self.is_rejected(request, now) {
             return Gate::Refuse;
         }
-        let held = self.held(request, now);
-        if distinct(&held) >= 2 {
+        let counted = self.counted_crashes(request, now);
+        if count_distinct(&counted) >= 2 {
             // A report that another request caused the last crash may still be on its way from a
             // peer.
             return Gate::Wait;
         }
-        if !held.iter().any(|c| c.first) {
+        if !counted.iter().any(|c| c.before_token) {
             return Gate::Free;
         }
         let trial = Trial { request, since: now, running: false };
         let trial = *self.trials.entry(id).or_insert(trial);
-        if now.since(trial.since) < self.settle || !self.is_next(request, id, now) {
+        if now.since(trial.since) < self.gossip_delay || !self.is_next(request, id, now) {
             return Gate::Wait;
         }
         self.trials.insert(id, Trial { running: true, ..trial });
@@ -133,166 +133,179 @@
         self.trials.remove(&id);
     }
 
-    /// Records that the first token of a request arrived, or, with `whole`, its complete answer.
-    /// Earlier crashes before a first token stop counting against the request, or with `whole` all
-    /// earlier crashes.
-    pub fn clear(&mut self, request: PromptHash, whole: bool, now: Moment) {
-        if self.held(request, now).is_empty() {
+    /// Records that the first token of a request arrived, or, with `completed`, its complete
+    /// answer. Earlier crashes before a first token stop counting against the request, or with
+    /// `completed` all earlier crashes.
+    pub fn clear(&mut self, request: PromptHash, completed: bool, now: Moment) {
+        if self.counted_crashes(request, now).is_empty() {
             return;
         }
-        let mark = self.marks.entry(request).or_default();
-        mark.cleared = Some(now);
-        if whole {
-            mark.whole = Some(now);
+        let record = self.records.entry(request).or_default();
+        record.cleared = Some(now);
+        if completed {
+            record.completed = Some(now);
         }
     }
 
-    /// Records that an engine crashed while running a request; `first` if no token of it had
+    /// Records that an engine crashed while running a request; `before_token` if no token of it had
     /// arrived.
     pub fn crash(
         &mut self,
         request: PromptHash,
         id: TrialId,
         engine: &EndpointId,
-        first: bool,
+        before_token: bool,
         now: Moment,
     ) {
-        let trial = first && self.trials.get(&id).is_some_and(|t| t.running);
-        let seen = Seen { engine: engine.clone(), at: now, first, trial };
-        self.marks.entry(request).or_default().crashes.push(seen);
-        self.forget(now);
+        let trial = before_token && self.trials.get(&id).is_some_and(|t| t.running);
+        let crash = CrashRecord { engine: engine.clone(), at: now, before_token, trial };
+        self.records.entry(request).or_default().crashes.push(crash);
+        self.remove_expired(now);
     }
 
     /// Replaces the suspects that a peer reported.
     pub fn hear(&mut self, peer: &InstanceId, suspects: &[Suspect], now: Moment) {
-        let mark = |s: &Suspect| {
-            let seen = |c: &Crash| Seen {
+        let from_suspect = |s: &Suspect| {
+            let from_crash = |c: &Crash| CrashRecord {
                 engine: c.engine.clone(),
-                at: before(now, c.age),
-                first: c.first,
+                at: moment_ago(now, c.age),
+                before_token: c.first,
                 trial: c.trial,
             };
-            Mark {
-                crashes: s.crashes.iter().map(seen).collect(),
-                cleared: s.cleared.map(|age| before(now, age)),
-                whole: s.whole.map(|age| before(now, age)),
+            RequestRecord {
+                crashes: s.crashes.iter().map(from_crash).collect(),
+                cleared: s.cleared.map(|age| moment_ago(now, age)),
+                completed: s.whole.map(|age| moment_ago(now, age)),
                 waiting: s.waiting,
                 running: s.running,
             }
         };
-        let marks = suspects.iter().take(MOST).map(|s| (s.request, mark(s))).collect();
-        self.peers.insert(peer.clone(), Peer { heard: now, marks });
-        self.forget(now);
+        let records =
+            suspects.iter().take(MAX_REQUESTS).map(|s| (s.request, from_suspect(s))).collect();
+        self.peers.insert(peer.clone(), Peer { heard: now, records });
+        self.remove_expired(now);
     }
 
     /// Returns the suspects to report to the peers.
     pub fn tell(&mut self, now: Moment) -> Vec<Suspect> {
-        self.forget(now);
-        let mut told: BTreeMap<PromptHash, Mark> = self.marks.clone();
+        self.remove_expired(now);
+        let mut reported: BTreeMap<PromptHash, RequestRecord> = self.records.clone();
         for trial in self.trials.values() {
-            let mark = told.entry(trial.request).or_default();
-            mark.waiting = true;
-            mark.running |= trial.running;
+            let record = reported.entry(trial.request).or_default();
+            record.waiting = true;
+            record.running |= trial.running;
         }
-        let suspect = |(request, mark): (PromptHash, Mark)| {
-            let crash = |c: &Seen| Crash {
+        let to_suspect = |(request, record): (PromptHash, RequestRecord)| {
+            let to_crash = |c: &CrashRecord| Crash {
                 engine: c.engine.clone(),
                 age: now.since(c.at),
-                first: c.first,
+                first: c.before_token,
                 trial: c.trial,
             };
             Suspect {
                 request,
-                crashes: mark.crashes.iter().map(crash).collect(),
-                cleared: mark.cleared.map(|at| now.since(at)),
-                whole: mark.whole.map(|at| now.since(at)),
-                waiting: mark.waiting,
-                running: mark.running,
+                crashes: record.crashes.iter().map(to_crash).collect(),
+                cleared: record.cleared.map(|at| now.since(at)),
+                whole: record.completed.map(|at| now.since(at)),
+                waiting: record.waiting,
+                running: record.running,
             }
         };
-        told.into_iter().map(suspect).take(MOST).collect()
+        reported.into_iter().map(to_suspect).take(MAX_REQUESTS).collect()
     }
 
     /// Returns the number of rejected requests.
     pub fn condemned(&self, now: Moment) -> usize {
-        let peers = self.peers.values().flat_map(|p| p.marks.keys());
-        let all: std::collections::BTreeSet<_> = self.marks.keys().chain(peers).collect();
-        all.into_iter().filter(|r| self.is_condemned(**r, now)).count()
+        let peers = self.peers.values().flat_map(|p| p.records.keys());
+        let requests: std::collections::BTreeSet<_> = self.records.keys().chain(peers).collect();
+        requests.into_iter().filter(|r| self.is_rejected(**r, now)).count()
     }
 
-    fn is_condemned(&self, request: PromptHash, now: Moment) -> bool {
-        let mut held = self.held(request, now);
-        if held.iter().any(|c| c.trial) {
+    fn is_rejected(&self, request: PromptHash, now: Moment) -> bool {
+        let mut counted = self.counted_crashes(request, now);
+        if counted.iter().any(|c| c.trial) {
             return true;
         }
-        held.retain(|c| now.since(c.at) >= self.settle);
-        distinct(&held) >= 2
+        counted.retain(|c| now.since(c.at) >= self.gossip_delay);
+        count_distinct(&counted) >= 2
     }
 
     /// Lists the crashes that count against a request: recent, after it was last cleared, and not
     /// caused by another request that crashed the engine in a trial.
-    fn held(&self, request: PromptHash, now: Moment) -> Vec<&Seen> {
-        let marks = || self.all().filter(|(r, _)| *r == request).map(|(_, m)| m);
-        let cleared = marks().filter_map(|m| m.cleared).max();
-        let whole = marks().filter_map(|m| m.whole).max();
-        let since = |c: &Seen| if c.first { cleared.max(whole) } else { whole };
-        let crashes = marks().flat_map(|m| &m.crashes);
-        let recent = crashes.filter(|c| now.since(c.at) <= KEEP && Some(c.at) > since(c));
-        recent.filter(|c| c.trial || !self.is_explained(request, c)).collect()
+    fn counted_crashes(&self, request: PromptHash, now: Moment) -> Vec<&CrashRecord> {
+        let records =
+            || self.all_records().filter(|(r, _)| *r == request).map(|(_, record)| record);
+        let cleared = records().filter_map(|record| record.cleared).max();
+        let completed = records().filter_map(|record| record.completed).max();
+        let since =
+            |c: &CrashRecord| if c.before_token { cleared.max(completed) } else { completed };
+        let crashes = records().flat_map(|record| &record.crashes);
+        let recent =
+            crashes.filter(|c| now.since(c.at) <= CRASH_RETENTION && Some(c.at) > since(c));
+        recent.filter(|c| c.trial || !self.has_other_cause(request, c)).collect()
     }
 
-    fn is_explained(&self, request: PromptHash, crash: &Seen) -> bool {
-        let guilty = |r: PromptHash| {
-            self.all().any(|(other, m)| other == r && m.crashes.iter().any(|c| c.trial))
+    fn has_other_cause(&self, request: PromptHash, crash: &CrashRecord) -> bool {
+        let is_cause = |r: PromptHash| {
+            self.all_records()
+                .any(|(other, record)| other == r && record.crashes.iter().any(|c| c.trial))
         };
-        let near = |m: &Mark| m.crashes.iter().any(|c| same(c, crash));
-        self.all().any(|(other, m)| other != request && near(m) && guilty(other))
+        let shares_crash =
+            |record: &RequestRecord| record.crashes.iter().any(|c| is_same_crash(c, crash));
+        self.all_records()
+            .any(|(other, record)| other != request && shares_crash(record) && is_cause(other))
     }
 
-    fn all(&self) -> impl Iterator<Item = (PromptHash, &Mark)> {
-        let peers = self.peers.values().flat_map(|p| &p.marks);
-        self.marks.iter().chain(peers).map(|(r, m)| (*r, m))
+    fn all_records(&self) -> impl Iterator<Item = (PromptHash, &RequestRecord)> {
+        let peers = self.peers.values().flat_map(|p| &p.records);
+        self.records.iter().chain(peers).map(|(r, record)| (*r, record))
     }
 
     /// Returns whether no trial runs anywhere and no waiting suspect goes first.
     fn is_next(&self, request: PromptHash, id: TrialId, now: Moment) -> bool {
-        let own = self.trials.iter().filter(|(other, _)| **other != id);
-        let before_us =
+        let others = self.trials.iter().filter(|(other, _)| **other != id);
+        let goes_first =
             |(other, t): (&TrialId, &Trial)| t.running || (t.request, *other) < (request, id);
-        if own.into_iter().any(before_us) {
+        if others.into_iter().any(goes_first) {
             return false;
         }
-        let fresh = self.peers.iter().filter(|(_, p)| now.since(p.heard) <= FRESH);
-        let mut marks = fresh.flat_map(|(name, p)| p.marks.iter().map(move |(r, m)| (name, r, m)));
-        !marks.any(|(name, r, m)| m.running || (m.waiting && (*r, name) < (request, &self.own)))
+        let recent = self.peers.iter().filter(|(_, p)| now.since(p.heard) <= PEER_TIMEOUT);
+        let mut records =
+            recent.flat_map(|(name, p)| p.records.iter().map(move |(r, record)| (name, r, record)));
+        !records.any(|(name, r, record)| {
+            record.running || (record.waiting && (*r, name) < (request, &self.own_id))
+        })
     }
 
-    fn forget(&mut self, now: Moment) {
-        let keep = |m: &Mark| m.newest().is_some_and(|at| now.since(at) <= KEEP);
-        self.marks.retain(|_, m| keep(m));
+    fn remove_expired(&mut self, now: Moment) {
+        let is_recent = |record: &RequestRecord| {
+            record.last_event().is_some_and(|at| now.since(at) <= CRASH_RETENTION)
+        };
+        self.records.retain(|_, record| is_recent(record));
         for peer in self.peers.values_mut() {
-            peer.marks.retain(|_, m| keep(m) || m.waiting);
+            peer.records.retain(|_, record| is_recent(record) || record.waiting);
         }
-        self.peers.retain(|_, p| !p.marks.is_empty());
-        while self.marks.len() > MOST {
-            let oldest = self.marks.iter().min_by_key(|(_, m)| m.newest()).map(|(r, _)| *r);
+        self.peers.retain(|_, p| !p.records.is_empty());
+        while self.records.len() > MAX_REQUESTS {
+            let oldest =
+                self.records.iter().min_by_key(|(_, record)| record.last_event()).map(|(r, _)| *r);
             if let Some(oldest) = oldest {
-                self.marks.remove(&oldest);
+                self.records.remove(&oldest);
             }
         }
     }
 }
 
-fn before(now: Moment, age: Duration) -> Moment {
+fn moment_ago(now: Moment, age: Duration) -> Moment {
     Moment::new(now.since_start().saturating_sub(age))
 }
 
-fn same(a: &Seen, b: &Seen) -> bool {
+fn is_same_crash(a: &CrashRecord, b: &CrashRecord) -> bool {
     let apart = a.at.since(b.at).max(b.at.since(a.at));
-    a.engine == b.engine && apart <= SAME
+    a.engine == b.engine && apart <= CRASH_MERGE_WINDOW
 }
 
-fn distinct(crashes: &[&Seen]) -> usize {
-    let first_of = |n: &usize| !crashes[..*n].iter().any(|c| same(c, crashes[*n]));
-    (0..crashes.len()).filter(first_of).count()
+fn count_distinct(crashes: &[&CrashRecord]) -> usize {
+    let is_first_report = |n: &usize| !crashes[..*n].iter().any(|c| is_same_crash(c, crashes[*n]));
+    (0..crashes.len()).filter(is_first_report).count()
 }
