--- a/crates/nutmeggrade-state/src/registry.rs
+++ b/crates/nutmeggrade-state/src/registry.rs
@@ -13,12 +13,12 @@
 /// Time for which an endpoint stays usable after it lost its entry in a platform outage. Entries of
 /// live endpoints lapse during an outage and are back within two seconds after it; the margin is
 /// for the transit of the last request.
-const RETURN_WAIT: Duration = Duration::from_millis(1_800);
+const REGISTRATION_GRACE: Duration = Duration::from_millis(1_800);
 
 /// Maximum share of a service's endpoints that may be missing for these to be treated as leaving,
 /// as a divisor (3 means a third). If more are missing, the store has lost the entries of live
 /// endpoints.
-const FEW: usize = 3;
+const MAX_MISSING_DIVISOR: usize = 3;
 
 /// Why an endpoint gets no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
 }
 
 /// Time after registration in which an endpoint still counts as slow.
-const WARMING: Duration = Duration::from_secs(2);
+const WARMUP_PERIOD: Duration = Duration::from_secs(2);
 
 /// One registered endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 impl Registered {
     /// Returns whether the endpoint has been registered long enough to have reached full speed.
     pub fn is_warm(&self, now: Moment) -> bool {
-        self.cold_until <= now && now.since(self.joined) >= WARMING
+        self.cold_until <= now && now.since(self.joined) >= WARMUP_PERIOD
     }
 }
 
@@ -133,8 +133,8 @@
         info.leaving |= was_leaving;
         let cold_until = now.after(info.cold_left);
         let joined = old.filter(|_| was_known).map_or(now, |o| o.joined);
-        let fresh = Registered { info: info.clone(), cold_until, joined, missing_until: None };
-        self.endpoints.insert(info.id.clone(), fresh);
+        let entry = Registered { info: info.clone(), cold_until, joined, missing_until: None };
+        self.endpoints.insert(info.id.clone(), entry);
         match (was_known, was_leaving, info.leaving) {
             (_, false, true) => Some(Change::Left(info, Leaving::Draining)),
             (false, _, false) => Some(Change::Joined(info)),
@@ -159,16 +159,20 @@
     /// Returns a change only for the first call.
     pub fn miss(&mut self, id: &EndpointId, now: Moment) -> Option<Change> {
         let entry = self.endpoints.get_mut(id).filter(|e| e.missing_until.is_none())?;
-        entry.missing_until = Some(now.after(RETURN_WAIT));
+        entry.missing_until = Some(now.after(REGISTRATION_GRACE));
         Some(Change::Missing(entry.info.clone()))
     }
 
     /// Removes entries that did not come back in time.
     pub fn expire(&mut self, now: Moment) -> Vec<Change> {
-        let is_over = |e: &Registered| e.missing_until.is_some_and(|until| until <= now);
-        let gone: Vec<EndpointId> =
-            self.endpoints.iter().filter(|(_, e)| is_over(e)).map(|(id, _)| id.clone()).collect();
-        gone.iter().filter_map(|id| self.remove(id)).collect()
+        let is_expired = |e: &Registered| e.missing_until.is_some_and(|until| until <= now);
+        let expired: Vec<EndpointId> = self
+            .endpoints
+            .iter()
+            .filter(|(_, e)| is_expired(e))
+            .map(|(id, _)| id.clone())
+            .collect();
+        expired.iter().filter_map(|id| self.remove(id)).collect()
     }
 
     /// Replaces the failure domains that are out of service.
@@ -197,7 +201,7 @@
         let is_missing = entry.missing_until.is_some();
         entry.info.leaving
             || self.standing(&entry.info) == Standing::Retired
-            || (is_missing && self.is_mostly_there(&entry.info.service))
+            || (is_missing && self.is_mostly_registered(&entry.info.service))
     }
 
     /// Lists the endpoints whose entries are missing and may come back.
@@ -206,10 +210,10 @@
         missing.map(|(id, _)| id)
     }
 
-    fn is_mostly_there(&self, service: &ServiceId) -> bool {
+    fn is_mostly_registered(&self, service: &ServiceId) -> bool {
         let of_service = self.endpoints.values().filter(|e| e.info.service == *service);
         let missing = of_service.clone().filter(|e| e.missing_until.is_some()).count();
-        missing * FEW <= of_service.count()
+        missing * MAX_MISSING_DIVISOR <= of_service.count()
     }
 
     /// Returns a registered endpoint.
--- a/crates/nutmeggrade-state/src/registry/versions.rs
+++ b/crates/nutmeggrade-state/src/registry/versions.rs
@@ -10,10 +10,10 @@
 use crate::rollout::{Standing, VersionRule};
 
 /// Time for which a new version of a service gets no work, unless a roll-out order applies to it.
-const UNANNOUNCED: Duration = Duration::from_secs(1);
+const NEW_VERSION_HOLD: Duration = Duration::from_secs(1);
 
 /// First appearance of a version: when this instance saw it, and when its endpoint started.
-type First = (Moment, u64);
+type FirstSeen = (Moment, u64);
 
 impl Registry {
     /// Replaces the version rules of all services that have a roll-out.
@@ -24,22 +24,22 @@
     /// Returns rules that hold back all versions of a service except the first that appeared:
     /// without a time limit while the orders are unknown, else for a short time in which an order
     /// for a new version may arrive.
-    pub fn provisional(&self, knows_orders: bool, now: Moment) -> BTreeMap<ServiceId, VersionRule> {
-        let mut versions: BTreeMap<&ServiceId, BTreeMap<&VersionId, First>> = BTreeMap::new();
+    pub fn provisional(&self, orders_known: bool, now: Moment) -> BTreeMap<ServiceId, VersionRule> {
+        let mut versions: BTreeMap<&ServiceId, BTreeMap<&VersionId, FirstSeen>> = BTreeMap::new();
         for entry in self.endpoints.values() {
             let EndpointInfo { service, version, born, .. } = &entry.info;
             let Some(version) = version else { continue };
-            let known = versions.entry(service).or_default();
-            let first = known.entry(version).or_insert((entry.joined, *born));
+            let first_seen = versions.entry(service).or_default();
+            let first = first_seen.entry(version).or_insert((entry.joined, *born));
             *first = (*first).min((entry.joined, *born));
         }
-        let rule = |(service, firsts): (&ServiceId, BTreeMap<&VersionId, First>)| {
-            let (version, (joined, _)) = firsts.iter().min_by_key(|(_, first)| **first)?;
-            let (newest, _) = firsts.values().max()?;
-            let is_fresh = newest > joined && now.since(*newest) < UNANNOUNCED;
-            let holds = firsts.len() > 1 && (!knows_orders || is_fresh);
+        let rule = |(service, first_seen): (&ServiceId, BTreeMap<&VersionId, FirstSeen>)| {
+            let (version, (joined, _)) = first_seen.iter().min_by_key(|(_, first)| **first)?;
+            let (newest, _) = first_seen.values().max()?;
+            let is_held_back = newest > joined && now.since(*newest) < NEW_VERSION_HOLD;
+            let applies = first_seen.len() > 1 && (!orders_known || is_held_back);
             let (version, new, old) = (Clone::clone(*version), Standing::Serving, Standing::Held);
-            holds.then(|| (service.clone(), VersionRule { version, new, old }))
+            applies.then(|| (service.clone(), VersionRule { version, new, old }))
         };
         versions.into_iter().filter_map(rule).collect()
     }
--- a/crates/nutmeggrade-state/src/rollout/peer_count.rs
+++ b/crates/nutmeggrade-state/src/rollout/peer_count.rs
@@ -25,7 +25,7 @@
     }
 
     /// Returns whether a report is not older than these counts, which only grow.
-    pub fn is_before(&self, report: &RolloutReport) -> bool {
+    pub fn is_superseded_by(&self, report: &RolloutReport) -> bool {
         (self.phase, self.tally.requests) <= (report.phase, report.tally.requests)
     }
 }
--- a/crates/nutmeggrade-state/src/rollout/reported.rs
+++ b/crates/nutmeggrade-state/src/rollout/reported.rs
@@ -6,12 +6,12 @@
 use nutmeggrade_core::rollout::{RolloutPhase, RolloutReport};
 
 /// Maximum time between two reports while the counts for the new version are unchanged.
-const IDLE: Duration = Duration::from_secs(1);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Content of the last report on a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reported {
-    at: Moment,
+    sent_at: Moment,
     answers: u32,
     exposed: u32,
     running: u32,
@@ -22,7 +22,7 @@
     /// Creates the summary of a report.
     pub fn new(report: &RolloutReport, now: Moment) -> Self {
         Self {
-            at: now,
+            sent_at: now,
             answers: report.tally.all_routes().new.count(),
             exposed: report.tally.exposed,
             running: report.running,
@@ -32,10 +32,10 @@
 
     /// Returns whether the new report is due: it differs in a relevant value, or the last one is
     /// too old.
-    pub fn is_old(&self, fresh: &Self) -> bool {
-        let is_settling = fresh.phase.is_switched() && fresh.running != self.running;
-        (self.answers, self.exposed, self.phase) != (fresh.answers, fresh.exposed, fresh.phase)
-            || is_settling
-            || fresh.at.since(self.at) >= IDLE
+    pub fn is_old(&self, newer: &Self) -> bool {
+        let running_changed = newer.phase.is_switched() && newer.running != self.running;
+        (self.answers, self.exposed, self.phase) != (newer.answers, newer.exposed, newer.phase)
+            || running_changed
+            || newer.sent_at.since(self.sent_at) >= MAX_REPORT_INTERVAL
     }
 }
--- a/crates/nutmeggrade-state/src/rollout/surroundings.rs
+++ b/crates/nutmeggrade-state/src/rollout/surroundings.rs
@@ -38,11 +38,11 @@
         load: impl Fn(&EndpointInfo) -> EndpointLoad,
         now: Moment,
     ) -> Self {
-        let mut found = Self::default();
+        let mut sums = Self::default();
         for entry in registry.all().filter(|e| e.info.service == *service) {
             let EndpointLoad { slots, running, own, is_movable } = load(&entry.info);
             let is_open = registry.is_open(entry);
-            let capacity = &mut found.capacity;
+            let capacity = &mut sums.capacity;
             capacity.running += running;
             if entry.info.version.as_ref() == Some(version) {
                 capacity.has_new = true;
@@ -50,10 +50,10 @@
             } else {
                 capacity.has_old = true;
                 capacity.old_slots += if is_open { slots } else { 0 };
-                found.own_running += own;
-                found.movable += if is_movable { running } else { 0 };
+                sums.own_running += own;
+                sums.movable += if is_movable { running } else { 0 };
             }
         }
-        found
+        sums
     }
 }
--- a/crates/nutmeggrade-state/src/rollout/table.rs
+++ b/crates/nutmeggrade-state/src/rollout/table.rs
@@ -11,14 +11,14 @@
 
 use nutmeggrade_policy::rollout::Ruling;
 
-use super::entry::Entry;
+use super::entry::RolloutEntry;
 use super::peer_count::PeerCount;
 use super::version_rule::VersionRule;
 
 /// Time after the end of a roll-out for which endpoints of other versions get nothing: they shut
 /// down, and their entries lapse some heartbeats later. Endpoints that register after that serve,
 /// whatever their version.
-const STOPPING: Duration = Duration::from_secs(10);
+const SHUTDOWN_PERIOD: Duration = Duration::from_secs(10);
 
 /// A state to write to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -61,7 +61,7 @@
 /// are lost, the observation of the version starts again.
 #[derive(Debug, Default)]
 pub struct RolloutTable {
-    entries: BTreeMap<ServiceId, Entry>,
+    entries: BTreeMap<ServiceId, RolloutEntry>,
     is_known: bool,
 }
 
@@ -95,11 +95,11 @@
         }
         let is_new = known.is_none_or(|e| e.order.id != order.id);
         if is_new {
-            let entry = Entry::new((order, *revision), *phase, Duration::ZERO, now);
+            let entry = RolloutEntry::new((order, *revision), *phase, Duration::ZERO, now);
             self.entries.insert(order.service.clone(), entry);
         }
         let entry = self.entries.get_mut(&order.service)?;
-        let is_changed = entry.take(stored, now);
+        let is_changed = entry.apply_stored(stored, now);
         (is_changed || is_new).then(|| entry.notice(now))
     }
 
@@ -127,11 +127,11 @@
             if known.is_some_and(|e| e.revision >= *revision) {
                 return false;
             }
-            let entry = Entry::new((order, *revision), *phase, *age, now);
+            let entry = RolloutEntry::new((order, *revision), *phase, *age, now);
             self.entries.insert(order.service.clone(), entry);
         }
         let Some(entry) = self.entries.get_mut(&order.service) else { return false };
-        entry.hear(notice, now) || is_new
+        entry.apply_notice(notice, now) || is_new
     }
 
     /// Stores a peer's counts.
@@ -140,22 +140,22 @@
         if entry.order.id != report.id {
             return;
         }
-        let life = (report.instance.clone(), report.incarnation);
+        let reporter = (report.instance.clone(), report.incarnation);
         // Datagrams may arrive out of order.
-        if entry.peers.get(&life).is_none_or(|known| known.is_before(report)) {
-            entry.peers.insert(life, PeerCount::new(report));
+        if entry.peer_counts.get(&reporter).is_none_or(|known| known.is_superseded_by(report)) {
+            entry.peer_counts.insert(reporter, PeerCount::new(report));
         }
     }
 
     /// Returns the version rule of each service with a roll-out.
     pub fn rules(&self, now: Moment) -> BTreeMap<ServiceId, VersionRule> {
-        let has_stopped = |e: &Entry| {
+        let has_stopped = |e: &RolloutEntry| {
             e.phase == RolloutPhase::Completed
-                && e.over.is_none_or(|over| now.since(over) > STOPPING)
+                && e.over_since.is_none_or(|over| now.since(over) > SHUTDOWN_PERIOD)
         };
-        let ruled = self.entries.iter().filter(|(_, e)| !has_stopped(e));
-        let rule = |e: &Entry| VersionRule::new(&e.order.id.version, e.phase);
-        ruled.map(|(service, e)| (service.clone(), rule(e))).collect()
+        let active = self.entries.iter().filter(|(_, e)| !has_stopped(e));
+        let rule = |e: &RolloutEntry| VersionRule::new(&e.order.id.version, e.phase);
+        active.map(|(service, e)| (service.clone(), rule(e))).collect()
     }
 
     /// Returns whether the last order of a service was completed.
@@ -171,7 +171,7 @@
     /// Counts a request for a service.
     pub fn count_request(&mut self, service: &ServiceId) {
         if let Some(entry) = self.undecided(service) {
-            entry.own.requests = entry.own.requests.saturating_add(1);
+            entry.own_tally.requests = entry.own_tally.requests.saturating_add(1);
         }
     }
 
@@ -179,7 +179,7 @@
     pub fn note_sent(&mut self, service: &ServiceId, version: Option<&VersionId>) {
         let entry = self.undecided(service);
         if let Some(entry) = entry.filter(|e| Some(&e.order.id.version) == version) {
-            entry.own.exposed = entry.own.exposed.saturating_add(1);
+            entry.own_tally.exposed = entry.own_tally.exposed.saturating_add(1);
         }
     }
 
@@ -193,11 +193,11 @@
     ) {
         if let Some(entry) = self.undecided(service) {
             let is_new = Some(&entry.order.id.version) == version;
-            entry.own.add(route, is_new, outcome);
+            entry.own_tally.add(route, is_new, outcome);
         }
     }
 
-    fn undecided(&mut self, service: &ServiceId) -> Option<&mut Entry> {
+    fn undecided(&mut self, service: &ServiceId) -> Option<&mut RolloutEntry> {
         self.entries.get_mut(service).filter(|e| !e.phase.is_over())
     }
 
@@ -221,13 +221,14 @@
         mut peers: impl Iterator<Item = &'a InstanceId>,
     ) -> bool {
         let Some(entry) = self.entries.get(service) else { return false };
-        let newest = |peer: &InstanceId| {
-            let lives = entry.peers.range((peer.clone(), 0)..=(peer.clone(), u64::MAX));
-            lives.last().map(|(_, count)| count)
+        let newest_count = |peer: &InstanceId| {
+            let incarnations =
+                entry.peer_counts.range((peer.clone(), 0)..=(peer.clone(), u64::MAX));
+            incarnations.last().map(|(_, count)| count)
         };
         running == 0
             && entry.phase >= RolloutPhase::Switching
-            && peers.all(|peer| newest(peer).is_some_and(PeerCount::is_clear))
+            && peers.all(|peer| newest_count(peer).is_some_and(PeerCount::is_clear))
     }
 
     /// Applies a ruling of this instance; returns the notice for the peers if the phase changed.
@@ -246,15 +247,15 @@
 
     /// Stops granting, because another instance judges.
     pub fn stop_granting(&mut self) {
-        self.entries.values_mut().for_each(Entry::stop_granting);
+        self.entries.values_mut().for_each(RolloutEntry::stop_granting);
     }
 
     /// Lists the states that the store should contain but does not.
     pub fn unwritten(&self) -> Vec<StateChange> {
-        let change = |(service, e): (&ServiceId, &Entry)| {
+        let change = |(service, e): (&ServiceId, &RolloutEntry)| {
             // Without a revision, the order is known only from peers; an instance that has read it
             // writes.
-            let state = e.unwritten().filter(|_| e.revision > 0)?;
+            let state = e.unwritten_state().filter(|_| e.revision > 0)?;
             let version = e.order.id.version.clone();
             Some(StateChange { service: service.clone(), version, revision: e.revision, state })
         };
@@ -263,16 +264,17 @@
 
     /// Returns the notices for the next heartbeat.
     pub fn notices(&self, now: Moment) -> Vec<RolloutNotice> {
-        let is_news = |e: &&Entry| {
-            !e.phase.is_over() || e.over.is_some_and(|over| now.since(over) <= STOPPING)
+        let is_announced = |e: &&RolloutEntry| {
+            !e.phase.is_over()
+                || e.over_since.is_some_and(|over| now.since(over) <= SHUTDOWN_PERIOD)
         };
-        self.entries.values().filter(is_news).map(|e| e.notice(now)).collect()
+        self.entries.values().filter(is_announced).map(|e| e.notice(now)).collect()
     }
 
     /// Returns all orders as recorded in the store, as far as known.
     pub fn stored(&self) -> Vec<StoredRollout> {
-        let there = self.entries.values().filter(|e| e.phase != RolloutPhase::Withdrawn);
-        there.map(Entry::stored_rollout).collect()
+        let present = self.entries.values().filter(|e| e.phase != RolloutPhase::Withdrawn);
+        present.map(RolloutEntry::stored_rollout).collect()
     }
 
     /// Returns the report to the judges on a service's roll-out, unless it is over. `instance` and
@@ -291,7 +293,7 @@
             id: entry.order.id.clone(),
             phase: entry.phase,
             running,
-            tally: entry.own.clone(),
+            tally: entry.own_tally.clone(),
         })
     }
 
@@ -309,7 +311,7 @@
             phase: entry.phase,
             share: entry.share(now),
             age: entry.age(now),
-            duration: entry.duration(),
+            duration: entry.time_limit(),
             tally: entry.tally(),
             verdict: entry.verdict,
         })
