--- a/crates/nutmeggrade-state/src/attempt.rs
+++ b/crates/nutmeggrade-state/src/attempt.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone)]
 pub struct Attempt {
     kind: RouteKind,
-    most: u32,
+    max_sends: u32,
     sends: u32,
     run: Run,
     stage: Stage,
@@ -35,14 +35,14 @@
 
 impl Attempt {
     /// Creates an attempt on a route that allows sends to `max_sends` endpoints.
-    pub const fn new(kind: RouteKind, most: u32) -> Self {
-        Self { kind, most, sends: 0, run: Run::NotRun, stage: Stage::Waiting }
+    pub const fn new(kind: RouteKind, max_sends: u32) -> Self {
+        Self { kind, max_sends, sends: 0, run: Run::NotRun, stage: Stage::Waiting }
     }
 
     /// Returns whether the request may be sent to an endpoint.
     pub fn may_send(&self) -> bool {
         self.stage == Stage::Waiting
-            && self.sends < self.most
+            && self.sends < self.max_sends
             && (self.run == Run::NotRun || self.kind.repeats())
     }
 
@@ -56,12 +56,12 @@
     /// Records that no byte was sent, so that the send does not count.
     pub fn not_sent(&mut self) {
         self.sends = self.sends.saturating_sub(1);
-        self.back();
+        self.return_to_waiting();
     }
 
     /// Records that the endpoint states that it did not run the request.
     pub fn refused(&mut self) {
-        self.back();
+        self.return_to_waiting();
     }
 
     /// Records that another endpoint answered at this address and did not run the request. The
@@ -73,7 +73,7 @@
     /// Records that the endpoint answered with a failure of its own.
     pub fn failed(&mut self) {
         self.run = Run::Ran;
-        self.back();
+        self.return_to_waiting();
     }
 
     /// Records that the connection ended without an answer to the request, or in the middle of one
@@ -85,7 +85,7 @@
         if self.stage == Stage::Answering {
             self.stage = Stage::Waiting;
         }
-        self.back();
+        self.return_to_waiting();
     }
 
     /// Records that the answer is being passed on.
@@ -120,7 +120,7 @@
         self.sends
     }
 
-    fn back(&mut self) {
+    fn return_to_waiting(&mut self) {
         if self.stage == Stage::Sent {
             self.stage = Stage::Waiting;
         }
--- a/crates/nutmeggrade-state/src/audit_log.rs
+++ b/crates/nutmeggrade-state/src/audit_log.rs
@@ -13,13 +13,13 @@
 /// Time in which repeats of an event are only counted.
 pub const QUIET: Duration = Duration::from_mins(1);
 /// Maximum length of a detail, in bytes.
-const MAX_DETAIL: usize = 240;
+const MAX_DETAIL_BYTES: usize = 240;
 /// Maximum number of different events that are stored to detect repeats.
-const MAX_KINDS: usize = 256;
+const MAX_EVENT_COUNTS: usize = 256;
 
 #[derive(Debug)]
-struct Kind {
-    at: Moment,
+struct EventCount {
+    first_at: Moment,
     repeats: u64,
 }
 
@@ -32,26 +32,26 @@
 /// counted.
 #[derive(Debug)]
 pub struct AuditLog {
-    own: InstanceId,
+    own_id: InstanceId,
     incarnation: u64,
-    count: u64,
-    lost: u64,
+    last_number: u64,
+    dropped: u64,
     pending: VecDeque<AuditEntry>,
     recent: VecDeque<AuditEntry>,
-    kinds: BTreeMap<(AuditEvent, String), Kind>,
+    event_counts: BTreeMap<(AuditEvent, String), EventCount>,
 }
 
 impl AuditLog {
     /// Creates an empty log for one incarnation of an instance.
-    pub fn new(own: &InstanceId, incarnation: u64) -> Self {
+    pub fn new(own_id: &InstanceId, incarnation: u64) -> Self {
         Self {
-            own: own.clone(),
+            own_id: own_id.clone(),
             incarnation,
-            count: 0,
-            lost: 0,
+            last_number: 0,
+            dropped: 0,
             pending: VecDeque::new(),
             recent: VecDeque::new(),
-            kinds: BTreeMap::new(),
+            event_counts: BTreeMap::new(),
         }
     }
 
@@ -64,21 +64,21 @@
         at_ms: u64,
         now: Moment,
     ) -> Option<&AuditEntry> {
-        let detail = detail[..detail.floor_char_boundary(MAX_DETAIL)].to_owned();
-        let repeats = self.repeats(event, &detail, now)?;
-        self.count += 1;
+        let detail = detail[..detail.floor_char_boundary(MAX_DETAIL_BYTES)].to_owned();
+        let repeats = self.count_repeat(event, &detail, now)?;
+        self.last_number += 1;
         let entry = AuditEntry {
-            instance: self.own.clone(),
+            instance: self.own_id.clone(),
             incarnation: self.incarnation,
-            number: self.count,
+            number: self.last_number,
             at_ms,
             config,
             event,
             detail,
             repeats,
         };
-        self.lost += push(&mut self.pending, entry.clone(), MAX_PENDING);
-        push(&mut self.recent, entry, MAX_RECENT);
+        self.dropped += push_bounded(&mut self.pending, entry.clone(), MAX_PENDING);
+        push_bounded(&mut self.recent, entry, MAX_RECENT);
         self.recent.back()
     }
 
@@ -100,21 +100,21 @@
     /// Returns the number of entries that were dropped because the platform was unavailable for too
     /// long.
     pub const fn lost(&self) -> u64 {
-        self.lost
+        self.dropped
     }
 
     /// Returns the number of suppressed repeats before this event; `None` if it is itself a repeat
     /// within the last minute.
-    fn repeats(&mut self, event: AuditEvent, detail: &str, now: Moment) -> Option<u64> {
-        self.kinds.retain(|_, k| k.repeats > 0 || now.since(k.at) < QUIET);
-        if self.kinds.len() >= MAX_KINDS {
-            self.kinds.clear();
+    fn count_repeat(&mut self, event: AuditEvent, detail: &str, now: Moment) -> Option<u64> {
+        self.event_counts.retain(|_, c| c.repeats > 0 || now.since(c.first_at) < QUIET);
+        if self.event_counts.len() >= MAX_EVENT_COUNTS {
+            self.event_counts.clear();
         }
-        let fresh = Kind { at: now, repeats: 0 };
-        match self.kinds.insert((event, detail.to_owned()), fresh) {
-            Some(old) if now.since(old.at) < QUIET => {
-                let kept = Kind { at: old.at, repeats: old.repeats + 1 };
-                self.kinds.insert((event, detail.to_owned()), kept);
+        let first = EventCount { first_at: now, repeats: 0 };
+        match self.event_counts.insert((event, detail.to_owned()), first) {
+            Some(old) if now.since(old.first_at) < QUIET => {
+                let updated = EventCount { first_at: old.first_at, repeats: old.repeats + 1 };
+                self.event_counts.insert((event, detail.to_owned()), updated);
                 None
             }
             Some(old) => Some(old.repeats),
@@ -124,9 +124,9 @@
 }
 
 /// Adds an entry and returns the number of old ones that were dropped.
-fn push(list: &mut VecDeque<AuditEntry>, entry: AuditEntry, most: usize) -> u64 {
+fn push_bounded(list: &mut VecDeque<AuditEntry>, entry: AuditEntry, max_len: usize) -> u64 {
     list.push_back(entry);
-    if list.len() <= most {
+    if list.len() <= max_len {
         return 0;
     }
     list.pop_front();
--- a/crates/nutmeggrade-state/src/claiming.rs
+++ b/crates/nutmeggrade-state/src/claiming.rs
@@ -4,7 +4,7 @@
 use nutmeggrade_core::prelude::*;
 
 /// Maximum number of writes per attempt.
-const WRITES: u32 = 3;
+const MAX_WRITES: u32 = 3;
 
 /// Next step of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -78,13 +78,13 @@
             Said::Written(version) => ClaimStep::Decided(Claim::Send, version),
             Said::Refused => ClaimStep::GaveUp { doubt: self.doubt },
             Said::Conflict => ClaimStep::Read,
-            Said::Lost => self.lost(),
+            Said::Lost => self.response_lost(),
             Said::Absent => self.write(ClaimStep::Create),
             Said::Found(found, version, owner) => self.judge(&found, version, &owner),
         };
     }
 
-    fn lost(&mut self) -> ClaimStep {
+    fn response_lost(&mut self) -> ClaimStep {
         if self.step == ClaimStep::Read {
             return ClaimStep::GaveUp { doubt: self.doubt };
         }
@@ -101,7 +101,7 @@
 
     fn write(&mut self, step: ClaimStep) -> ClaimStep {
         self.writes += 1;
-        if self.writes >= WRITES { ClaimStep::GaveUp { doubt: self.doubt } } else { step }
+        if self.writes >= MAX_WRITES { ClaimStep::GaveUp { doubt: self.doubt } } else { step }
     }
 }
 
--- a/crates/nutmeggrade-state/src/delivery.rs
+++ b/crates/nutmeggrade-state/src/delivery.rs
@@ -26,20 +26,20 @@
 #[derive(Debug)]
 pub struct Delivery {
     generation: GenerationId,
-    next: u64,
+    next_offset: u64,
     ended: bool,
 }
 
 impl Delivery {
     /// Starts at the first token.
     pub const fn new(generation: GenerationId) -> Self {
-        Self { generation, next: 0, ended: false }
+        Self { generation, next_offset: 0, ended: false }
     }
 
     /// Sets the first offset that the caller does not have yet.
     #[must_use]
     pub const fn with_next(mut self, offset: u64) -> Self {
-        self.next = offset;
+        self.next_offset = offset;
         self
     }
 
@@ -53,14 +53,14 @@
         if token.generation != self.generation {
             return Step::Foreign;
         }
-        if token.offset < self.next || self.ended {
+        if token.offset < self.next_offset || self.ended {
             return Step::Repeat;
         }
-        if token.offset > self.next {
+        if token.offset > self.next_offset {
             return Step::Gap;
         }
-        invariant::check(token.offset == self.next, "token_once_in_order");
-        self.next += 1;
+        invariant::check(token.offset == self.next_offset, "token_once_in_order");
+        self.next_offset += 1;
         self.ended = token.finish.is_some();
         Step::Deliver
     }
@@ -72,7 +72,7 @@
 
     /// Returns the offset of the next token to deliver.
     pub const fn next(&self) -> u64 {
-        self.next
+        self.next_offset
     }
 
     /// Returns whether the last token was delivered.
--- a/crates/nutmeggrade-state/src/event_splitter.rs
+++ b/crates/nutmeggrade-state/src/event_splitter.rs
@@ -4,7 +4,7 @@
 use nutmeggrade_core::routing::EventPosition;
 
 /// Maximum size of an event that is buffered, in bytes; longer ones are passed on in pieces.
-const MAX_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Splits the bytes of an event stream into complete events and tracks their ids.
 ///
@@ -14,40 +14,40 @@
 /// time. Events that were already passed on, which an engine may generate again, are dropped.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
-    last: Option<EventPosition>,
+    partial: BytesMut,
+    last_position: Option<EventPosition>,
     passed: u64,
 }
 
 impl EventSplitter {
     /// Creates a splitter for a client that already has the event at `position`, if any.
     pub fn new(position: Option<EventPosition>) -> Self {
-        Self { rest: BytesMut::new(), last: position, passed: 0 }
+        Self { partial: BytesMut::new(), last_position: position, passed: 0 }
     }
 
     /// Adds bytes of the stream and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        self.rest.extend_from_slice(bytes);
-        let end = last_boundary(&self.rest)
-            .or((self.rest.len() > MAX_EVENT).then_some(self.rest.len()))?;
-        let whole = self.rest.split_to(end).freeze();
-        let fresh = self.fresh(&whole);
-        (!fresh.is_empty()).then_some(fresh)
+        self.partial.extend_from_slice(bytes);
+        let end = last_boundary(&self.partial)
+            .or((self.partial.len() > MAX_EVENT_BYTES).then_some(self.partial.len()))?;
+        let complete = self.partial.split_to(end).freeze();
+        let events = self.drop_repeats(&complete);
+        (!events.is_empty()).then_some(events)
     }
 
     /// Drops a buffered partial event, because the stream continues elsewhere.
     pub fn cut(&mut self) {
-        self.rest.clear();
+        self.partial.clear();
     }
 
     /// Removes and returns the buffered partial event at the end of the stream, unchanged.
     pub fn take_rest(&mut self) -> Option<Bytes> {
-        (!self.rest.is_empty()).then(|| self.rest.split().freeze())
+        (!self.partial.is_empty()).then(|| self.partial.split().freeze())
     }
 
     /// Returns the id of the last event that was passed on.
     pub const fn position(&self) -> Option<EventPosition> {
-        self.last
+        self.last_position
     }
 
     /// Returns the number of events that were passed on.
@@ -56,32 +56,32 @@
     }
 
     /// Removes events that were already passed on, and records the others as passed on.
-    fn fresh(&mut self, whole: &Bytes) -> Bytes {
+    fn drop_repeats(&mut self, complete: &Bytes) -> Bytes {
         let mut start = 0;
-        let mut kept = whole.clone();
-        let mut out: Option<BytesMut> = None;
-        while start < whole.len() {
-            let end = first_boundary(&whole[start..]).map_or(whole.len(), |e| start + e);
-            let event = &whole[start..end];
+        let mut events = complete.clone();
+        let mut copied: Option<BytesMut> = None;
+        while start < complete.len() {
+            let end = first_boundary(&complete[start..]).map_or(complete.len(), |e| start + e);
+            let event = &complete[start..end];
             match event_id(event) {
-                Some(id) if self.last.is_some_and(|last| id <= last) => {
+                Some(id) if self.last_position.is_some_and(|last| id <= last) => {
                     // From the first duplicate on, the remaining events are copied one by one.
-                    out.get_or_insert_with(|| BytesMut::from(&whole[..start]));
+                    copied.get_or_insert_with(|| BytesMut::from(&complete[..start]));
                 }
                 id => {
-                    self.last = id.or(self.last);
+                    self.last_position = id.or(self.last_position);
                     self.passed += 1;
-                    if let Some(out) = &mut out {
-                        out.extend_from_slice(event);
+                    if let Some(copied) = &mut copied {
+                        copied.extend_from_slice(event);
                     }
                 }
             }
             start = end;
         }
-        if let Some(mut out) = out {
-            kept = out.copy_to_bytes(out.len());
+        if let Some(mut copied) = copied {
+            events = copied.copy_to_bytes(copied.len());
         }
-        kept
+        events
     }
 }
 
--- a/crates/nutmeggrade-state/src/explain_log.rs
+++ b/crates/nutmeggrade-state/src/explain_log.rs
@@ -77,7 +77,7 @@
 
     /// Adds a step to a request's record.
     pub fn note(&mut self, request: &RequestId, step: &'static str, detail: &str, now: Moment) {
-        let detail = cut(detail).to_owned();
+        let detail = truncate(detail).to_owned();
         if !self.records.contains_key(request) {
             self.order.push_back(request.clone());
             self.bytes += RECORD_BYTES;
@@ -87,7 +87,7 @@
         record.push(Step { at: now, step, detail });
         self.bytes = (self.bytes + record.bytes()).saturating_sub(before);
         while self.bytes > self.limit {
-            self.forget_oldest();
+            self.evict_oldest();
         }
     }
 
@@ -111,7 +111,7 @@
         self.bytes
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(oldest) = self.order.pop_front() else {
             self.bytes = 0;
             return;
@@ -122,6 +122,6 @@
     }
 }
 
-fn cut(text: &str) -> &str {
+fn truncate(text: &str) -> &str {
     &text[..text.floor_char_boundary(MAX_DETAIL)]
 }
--- a/crates/nutmeggrade-state/src/forward_queue.rs
+++ b/crates/nutmeggrade-state/src/forward_queue.rs
@@ -8,9 +8,9 @@
 
 /// Maximum number of instances whose changes go into one datagram; each takes about a hundred
 /// bytes.
-const MOST_INSTANCES: usize = 32;
+const MAX_INSTANCES: usize = 32;
 
-type ByEndpoint = BTreeMap<EndpointId, Placed>;
+type PlacedByEndpoint = BTreeMap<EndpointId, Placed>;
 
 /// Queue of changes of placed work that are forwarded in batches, by the part of the failure domain
 /// that they go to.
@@ -19,7 +19,7 @@
 /// hundreds of datagrams a second.
 #[derive(Debug, Default)]
 pub struct ForwardQueue {
-    waiting: BTreeMap<Share, BTreeMap<InstanceId, ByEndpoint>>,
+    queued: BTreeMap<Share, BTreeMap<InstanceId, PlacedByEndpoint>>,
 }
 
 impl ForwardQueue {
@@ -30,20 +30,20 @@
 
     /// Adds changes of several instances; returns whether the queue was empty before.
     pub fn add(&mut self, share: Share, changes: &[FleetPlaced]) -> bool {
-        let was_empty = self.waiting.is_empty();
-        let of_share = self.waiting.entry(share).or_default();
+        let was_empty = self.queued.is_empty();
+        let by_instance = self.queued.entry(share).or_default();
         for FleetPlaced { instance, placed } in changes {
-            let of_instance = of_share.entry(instance.clone()).or_default();
-            of_instance.extend(placed.iter().map(|(endpoint, placed)| (endpoint.clone(), *placed)));
+            let by_endpoint = by_instance.entry(instance.clone()).or_default();
+            by_endpoint.extend(placed.iter().map(|(endpoint, placed)| (endpoint.clone(), *placed)));
         }
         was_empty
     }
 
     /// Removes queued changes of an instance at the endpoints of a newer change.
     pub fn overtake(&mut self, change: &FleetPlaced) {
-        for instances in self.waiting.values_mut() {
-            if let Some(of_instance) = instances.get_mut(&change.instance) {
-                of_instance.retain(|endpoint, _| !change.placed.contains_key(endpoint));
+        for instances in self.queued.values_mut() {
+            if let Some(by_endpoint) = instances.get_mut(&change.instance) {
+                by_endpoint.retain(|endpoint, _| !change.placed.contains_key(endpoint));
             }
         }
     }
@@ -51,11 +51,11 @@
     /// Removes and returns all queued changes, in messages that each fit into a datagram.
     pub fn take(&mut self) -> Vec<(Share, Vec<FleetPlaced>)> {
         let mut messages = Vec::new();
-        for (share, instances) in std::mem::take(&mut self.waiting) {
+        for (share, instances) in std::mem::take(&mut self.queued) {
             let placed = instances.into_iter().filter(|(_, placed)| !placed.is_empty());
-            let all: Vec<FleetPlaced> =
+            let changes: Vec<FleetPlaced> =
                 placed.map(|(instance, placed)| FleetPlaced { instance, placed }).collect();
-            messages.extend(all.chunks(MOST_INSTANCES).map(|part| (share, part.to_vec())));
+            messages.extend(changes.chunks(MAX_INSTANCES).map(|part| (share, part.to_vec())));
         }
         messages
     }
--- a/crates/nutmeggrade-state/src/order_plan.rs
+++ b/crates/nutmeggrade-state/src/order_plan.rs
@@ -28,17 +28,19 @@
     if !state.loading.is_empty() {
         return NextStep::Busy;
     }
-    let different = |wanted: bool| {
-        let mut named = desired.loads.iter().filter(move |(_, w)| **w == wanted);
-        named.find(|(load, _)| state.loaded.contains(load) != wanted).map(|(load, _)| load.clone())
+    let first_different = |is_wanted: bool| {
+        let mut matching = desired.loads.iter().filter(move |(_, w)| **w == is_wanted);
+        matching
+            .find(|(load, _)| state.loaded.contains(load) != is_wanted)
+            .map(|(load, _)| load.clone())
     };
-    if let Some(load) = different(false) {
+    if let Some(load) = first_different(false) {
         return NextStep::Send(Order::Unload { load });
     }
     if let Some(role) = desired.role.filter(|r| *r != state.role) {
         return NextStep::Send(Order::Role { role });
     }
-    match different(true) {
+    match first_different(true) {
         Some(load) => NextStep::Send(Order::Load { load }),
         None => NextStep::Done,
     }
--- a/crates/nutmeggrade-state/src/orphans.rs
+++ b/crates/nutmeggrade-state/src/orphans.rs
@@ -10,9 +10,9 @@
 pub const GRACE: Duration = Duration::from_secs(10);
 /// How long a resumed generation is announced to the peers: until each peer that lost its caller
 /// has processed it.
-const TELL: Duration = Duration::from_secs(30);
+const ANNOUNCEMENT_PERIOD: Duration = Duration::from_secs(30);
 /// Maximum number of generations in one announcement.
-const MOST: usize = 256;
+const MAX_ANNOUNCED: usize = 256;
 
 #[derive(Debug)]
 struct Orphan {
@@ -30,7 +30,7 @@
 /// period.
 #[derive(Debug, Default)]
 pub struct Orphans {
-    left: BTreeMap<GenerationId, Orphan>,
+    orphans: BTreeMap<GenerationId, Orphan>,
     resumed: BTreeMap<GenerationId, Moment>,
 }
 
@@ -42,27 +42,27 @@
 
     /// Records that a caller disconnected.
     pub fn leave(&mut self, generation: GenerationId, address: SocketAddr, now: Moment) {
-        self.left.insert(generation, Orphan { address, since: now });
+        self.orphans.insert(generation, Orphan { address, since: now });
     }
 
     /// Records that a caller resumed at this instance.
     pub fn resume(&mut self, generation: GenerationId, now: Moment) {
-        self.left.remove(&generation);
-        self.resumed.retain(|_, at| now.since(*at) <= TELL);
+        self.orphans.remove(&generation);
+        self.resumed.retain(|_, at| now.since(*at) <= ANNOUNCEMENT_PERIOD);
         self.resumed.insert(generation, now);
     }
 
     /// Removes generations that were resumed at a peer.
     pub fn hear(&mut self, resumed: &BTreeSet<GenerationId>) {
-        self.left.retain(|generation, _| !resumed.contains(generation));
+        self.orphans.retain(|generation, _| !resumed.contains(generation));
     }
 
     /// Returns the generations recently resumed at this instance, the newest if there are too many.
     pub fn tell(&self, now: Moment) -> BTreeSet<GenerationId> {
         let mut recent: Vec<_> =
-            self.resumed.iter().filter(|(_, at)| now.since(**at) <= TELL).collect();
+            self.resumed.iter().filter(|(_, at)| now.since(**at) <= ANNOUNCEMENT_PERIOD).collect();
         recent.sort_by_key(|(_, at)| std::cmp::Reverse(**at));
-        recent.into_iter().map(|(g, _)| *g).take(MOST).collect()
+        recent.into_iter().map(|(g, _)| *g).take(MAX_ANNOUNCED).collect()
     }
 
     /// Removes and returns the generations to cancel. `heard` returns whether every peer was heard
@@ -74,15 +74,15 @@
     ) -> Vec<(GenerationId, SocketAddr)> {
         let is_due = |o: &Orphan| now.since(o.since) > GRACE && heard(o.since.after(GRACE));
         let due: Vec<_> =
-            self.left.iter().filter(|(_, o)| is_due(o)).map(|(g, o)| (*g, o.address)).collect();
+            self.orphans.iter().filter(|(_, o)| is_due(o)).map(|(g, o)| (*g, o.address)).collect();
         for (generation, _) in &due {
-            self.left.remove(generation);
+            self.orphans.remove(generation);
         }
         due
     }
 
     /// Returns the number of generations that wait for their callers.
     pub fn waiting(&self) -> usize {
-        self.left.len()
+        self.orphans.len()
     }
 }
--- a/crates/nutmeggrade-state/src/own_intents.rs
+++ b/crates/nutmeggrade-state/src/own_intents.rs
@@ -38,15 +38,15 @@
 
     /// Records that the attempt owns the record.
     pub fn claimed(&mut self, nonce: GenerationId) {
-        let old = self.attempts.insert(nonce, State::Claimed);
-        invariant::check(old == Some(State::Claiming), "claim_of_open_attempt");
+        let previous = self.attempts.insert(nonce, State::Claimed);
+        invariant::check(previous == Some(State::Claiming), "claim_of_open_attempt");
     }
 
     /// Records that the call is about to be sent. Only the owner of the record may send, and only
     /// while no part of the call can have run.
     pub fn sending(&mut self, nonce: GenerationId) {
-        let old = self.attempts.insert(nonce, State::Sending);
-        invariant::check(old == Some(State::Claimed), "call_sent_once_by_owner");
+        let previous = self.attempts.insert(nonce, State::Sending);
+        invariant::check(previous == Some(State::Claimed), "call_sent_once_by_owner");
     }
 
     /// Records that the last send is proved not to have run.
@@ -56,9 +56,9 @@
 
     /// Records the outcome of the attempt, which never sends again.
     pub fn end(&mut self, nonce: GenerationId, progress: Progress) {
-        let sending = self.attempts.get(&nonce) == Some(&State::Sending);
-        let quiet = progress != Progress::Released || !sending;
-        invariant::check(quiet, "released_only_if_not_run");
+        let was_sending = self.attempts.get(&nonce) == Some(&State::Sending);
+        let is_allowed = progress != Progress::Released || !was_sending;
+        invariant::check(is_allowed, "released_only_if_not_run");
         self.attempts.insert(nonce, State::Ended(progress));
     }
 
--- a/crates/nutmeggrade-state/src/read_range.rs
+++ b/crates/nutmeggrade-state/src/read_range.rs
@@ -7,38 +7,38 @@
 /// incomplete to them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadRange {
-    listed: u64,
-    news: u64,
-    read: u64,
+    last_listing: u64,
+    last_change: u64,
+    read_revision: u64,
 }
 
 impl ReadRange {
     /// Returns the revision up to which everything has been read.
     pub const fn read(&self) -> u64 {
-        self.read
+        self.read_revision
     }
 
     /// Returns the revision of the last answer that contained a change.
     pub const fn news(&self) -> u64 {
-        self.news
+        self.last_change
     }
 
     /// Returns the revision from which peers miss only the next change. A listing does not show
     /// earlier removals, so this is never before the last listing.
     pub fn since(&self) -> u64 {
-        self.news.max(self.listed)
+        self.last_change.max(self.last_listing)
     }
 
     /// Records an answer that is complete up to `read`; `news` is the revision of the last change
     /// in it, 0 for none.
     pub fn note(&mut self, read: u64, news: u64) {
-        self.read = self.read.max(read);
-        self.news = self.news.max(news);
+        self.read_revision = self.read_revision.max(read);
+        self.last_change = self.last_change.max(news);
     }
 
     /// Records a complete listing.
     pub fn note_listing(&mut self, read: u64, news: u64) {
         self.note(read, news);
-        self.listed = self.listed.max(read);
+        self.last_listing = self.last_listing.max(read);
     }
 }
--- a/crates/nutmeggrade-state/src/recent_changes.rs
+++ b/crates/nutmeggrade-state/src/recent_changes.rs
@@ -35,12 +35,12 @@
             who: config.who.clone(),
             why: config.why.clone(),
             at_ms: config.at_ms,
-            change: words(&config.change),
+            change: describe(&config.change),
         }
     }
 }
 
-fn words(change: &Change) -> String {
+fn describe(change: &Change) -> String {
     match change {
         Change::PutPreset { preset, .. } => format!("put_preset {preset}"),
         Change::UsePreset { preset } => format!("use_preset {preset}"),
--- a/crates/nutmeggrade-state/src/recorded.rs
+++ b/crates/nutmeggrade-state/src/recorded.rs
@@ -6,7 +6,7 @@
 
 /// Maximum encoded body size, in bytes. A platform value holds 1 MB, and the rest of the record
 /// needs far less than the remainder.
-const MAX_ENCODED: usize = 960 << 10;
+const MAX_ENCODED_BYTES: usize = 960 << 10;
 
 /// Stored form of an endpoint's answer.
 ///
@@ -33,7 +33,7 @@
     /// Creates the record of an answer, without its body if that is too large.
     pub fn new(status: u16, body: &[u8]) -> Self {
         let text = std::str::from_utf8(body).ok();
-        let fits = text.map_or(body.len() * 2, encoded) <= MAX_ENCODED;
+        let fits = text.map_or(body.len() * 2, json_len) <= MAX_ENCODED_BYTES;
         let bytes = (fits && text.is_none()).then(|| body.to_vec());
         let text = text.filter(|_| fits).map(ToOwned::to_owned);
         Self { status, content: None, text, bytes }
@@ -53,11 +53,11 @@
 }
 
 /// Returns the size of a text in JSON, in bytes.
-fn encoded(text: &str) -> usize {
-    let cost = |b: u8| match b {
+fn json_len(text: &str) -> usize {
+    let encoded_len = |b: u8| match b {
         b'"' | b'\\' => 2,
         0..=0x1f => 6,
         _ => 1,
     };
-    text.bytes().map(cost).sum()
+    text.bytes().map(encoded_len).sum()
 }
--- a/crates/nutmeggrade-state/src/settling.rs
+++ b/crates/nutmeggrade-state/src/settling.rs
@@ -58,12 +58,12 @@
             Said::Conflict => SettleStep::Read,
             // Absent: a claim in doubt may still take effect.
             Said::Refused | Said::Lost | Said::Absent => SettleStep::Wait,
-            Said::Found(found, version, _) => self.found(found, *version),
+            Said::Found(found, version, _) => self.next_after_read(found, *version),
         };
     }
 
-    fn found(&self, found: &Intent, version: u64) -> SettleStep {
-        let open = found.nonce == self.intent.nonce && found.progress == Progress::Started;
-        if open { SettleStep::Replace(version) } else { SettleStep::Settled }
+    fn next_after_read(&self, found: &Intent, version: u64) -> SettleStep {
+        let is_unsettled = found.nonce == self.intent.nonce && found.progress == Progress::Started;
+        if is_unsettled { SettleStep::Replace(version) } else { SettleStep::Settled }
     }
 }
