--- a/crates/nutmeggrade-state/src/explain_log.rs
+++ b/crates/nutmeggrade-state/src/explain_log.rs
@@ -9,7 +9,7 @@
 /// Maximum number of steps per request; further ones replace those in the middle.
 pub const MAX_STEPS: usize = 64;
 /// Maximum length of a step's detail, in bytes.
-pub const MAX_DETAIL: usize = 240;
+pub const MAX_DETAIL_BYTES: usize = 240;
 
 /// Generous estimates of the bytes of a step without its detail and of a record without its steps.
 const STEP_BYTES: usize = 128;
@@ -123,5 +123,5 @@
 }
 
 fn truncate(text: &str) -> &str {
-    &text[..text.floor_char_boundary(MAX_DETAIL)]
+    &text[..text.floor_char_boundary(MAX_DETAIL_BYTES)]
 }
--- a/crates/nutmeggrade-state/src/orphans.rs
+++ b/crates/nutmeggrade-state/src/orphans.rs
@@ -7,7 +7,7 @@
 use nutmeggrade_core::prelude::*;
 
 /// Time in which a caller that lost its connection can resume.
-pub const GRACE: Duration = Duration::from_secs(10);
+pub const RESUME_GRACE: Duration = Duration::from_secs(10);
 /// How long a resumed generation is announced to the peers: until each peer that lost its caller
 /// has processed it.
 const ANNOUNCEMENT_PERIOD: Duration = Duration::from_secs(30);
@@ -72,7 +72,8 @@
         now: Moment,
         heard: impl Fn(Moment) -> bool,
     ) -> Vec<(GenerationId, SocketAddr)> {
-        let is_due = |o: &Orphan| now.since(o.since) > GRACE && heard(o.since.after(GRACE));
+        let is_due =
+            |o: &Orphan| now.since(o.since) > RESUME_GRACE && heard(o.since.after(RESUME_GRACE));
         let due: Vec<_> =
             self.orphans.iter().filter(|(_, o)| is_due(o)).map(|(g, o)| (*g, o.address)).collect();
         for (generation, _) in &due {
--- a/crates/nutmeggrade-state/src/registry/versions.rs
+++ b/crates/nutmeggrade-state/src/registry/versions.rs
@@ -56,14 +56,14 @@
     pub fn standing(&self, info: &EndpointInfo) -> Standing {
         let Some(rule) = self.versions.get(&info.service) else { return Standing::Serving };
         let standing = rule.standing(info.version.as_ref());
-        if standing == Standing::Held && !self.has_other(&info.service, &rule.version) {
+        if standing == Standing::Held && !self.has_other_version(&info.service, &rule.version) {
             return Standing::Serving;
         }
         standing
     }
 
     /// Returns whether the service has a registered endpoint of another version.
-    pub fn has_other(&self, service: &ServiceId, version: &VersionId) -> bool {
+    pub fn has_other_version(&self, service: &ServiceId, version: &VersionId) -> bool {
         let is_other =
             |e: &Registered| e.info.service == *service && e.info.version.as_ref() != Some(version);
         self.endpoints.values().any(is_other)
--- a/crates/nutmeggrade-state/src/rollout.rs
+++ b/crates/nutmeggrade-state/src/rollout.rs
@@ -1,13 +1,13 @@
 //! Roll-outs of new versions, as seen by one instance.
 
 mod entry;
+mod last_report;
 mod peer_count;
-mod reported;
-mod surroundings;
+mod service_load;
 mod table;
 mod version_rule;
 
-pub use reported::Reported;
-pub use surroundings::{EndpointLoad, Surroundings};
+pub use last_report::Reported;
+pub use service_load::{EndpointLoad, Surroundings};
 pub use table::{RolloutTable, RolloutView, StateChange};
 pub use version_rule::{Standing, VersionRule};
