--- a/crates/nutmegctl/src/cmd/audit.rs
+++ b/crates/nutmegctl/src/cmd/audit.rs
@@ -4,7 +4,7 @@
 use nutmeggrade_core::audit::{AUDIT_PREFIX, AuditEntry};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
-use nutmeggrade_state::recent_changes::Accepted;
+use nutmeggrade_state::recent_changes::AcceptedChange;
 use serde_json::Value;
 
 use crate::admin;
@@ -36,7 +36,7 @@
     let platform = platform(settings)?;
     let mut trail = Trail::new();
     for config in history(&platform).await? {
-        trail.add_change(Accepted::new(&config));
+        trail.add_change(AcceptedChange::new(&config));
     }
     let listed = platform.list(AUDIT_PREFIX).await.map_err(|e| down(&e))?;
     for value in listed.objects.into_iter().filter_map(|o| o.value) {
@@ -67,7 +67,7 @@
 
 fn take(trail: &mut Trail, list: &Value) -> anyhow::Result<()> {
     let rows = |name: &str| list.get(name).cloned().unwrap_or_default();
-    let changes: Vec<Accepted> = serde_json::from_value(rows("changes"))?;
+    let changes: Vec<AcceptedChange> = serde_json::from_value(rows("changes"))?;
     let entries: Vec<AuditEntry> = serde_json::from_value(rows("entries"))?;
     for change in changes {
         trail.add_change(change);
--- a/crates/nutmegctl/src/trail.rs
+++ b/crates/nutmegctl/src/trail.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_core::audit::AuditEntry;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::recent_changes::Accepted;
+use nutmeggrade_state::recent_changes::AcceptedChange;
 
 /// Place of a row: the configuration in force, then changes before entries, then time and counts.
 type Place = (u64, bool, u64, Option<InstanceId>, u64, u64);
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub enum Row {
     /// An accepted change.
-    Change(Accepted),
+    Change(AcceptedChange),
     /// What an instance did or refused.
     Entry(AuditEntry),
 }
@@ -35,7 +35,7 @@
     }
 
     /// Adds an accepted change; the same from two sources counts once.
-    pub fn add_change(&mut self, change: Accepted) {
+    pub fn add_change(&mut self, change: AcceptedChange) {
         let place = (change.version, false, 0, None, 0, 0);
         self.rows.insert(place, Row::Change(change));
     }
--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -15,7 +15,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::Placed;
 use nutmeggrade_policy::dispatch::LoadBook;
-use nutmeggrade_state::fleet_view::{FleetView, Forwarders, PERIOD};
+use nutmeggrade_state::fleet_view::{FleetView, PERIOD, RelayOrder};
 
 /// Instances of a fleet.
 const SIZES: [u32; 3] = [30, 100, 300];
@@ -144,7 +144,7 @@
     fn audience(&self) -> f64 {
         let began = Instant::now();
         for _ in 0..ROUNDS {
-            black_box(self.view.everybody(Forwarders::Common, self.now));
+            black_box(self.view.everybody(RelayOrder::Common, self.now));
         }
         mean(began)
     }
--- a/crates/nutmeggrade-fakes/src/rollout/instance.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/instance.rs
@@ -7,7 +7,7 @@
 use nutmeggrade_core::routing::EndpointInfo;
 use nutmeggrade_policy::rollout::{Facts, Judge, watched};
 use nutmeggrade_state::registry::{Registered, Registry};
-use nutmeggrade_state::rollout::{EndpointLoad, Reported, RolloutTable, Standing, Surroundings};
+use nutmeggrade_state::rollout::{EndpointLoad, LastReport, RolloutTable, ServiceLoad, Standing};
 
 use super::endpoints::Endpoints;
 use super::plan::Plan;
@@ -39,7 +39,7 @@
     pub heard: Vec<Option<Moment>>,
     service: ServiceId,
     judge: Option<Judge>,
-    reported: Option<Reported>,
+    reported: Option<LastReport>,
 }
 
 impl Instance {
@@ -123,7 +123,7 @@
             own: 0,
             is_movable: plan.is_stream,
         };
-        let seen = Surroundings::new(&self.registry, (&self.service, &view.id.version), load, now);
+        let seen = ServiceLoad::new(&self.registry, (&self.service, &view.id.version), load, now);
         let facts = Facts {
             age: view.age,
             duration: view.duration,
@@ -149,8 +149,8 @@
     pub fn report(&mut self, now: Moment) -> Option<RolloutReport> {
         let own = (&self.name, self.incarnation);
         let report = self.table.report(&self.service, own, self.running)?;
-        let fresh = Reported::new(&report, now);
-        if self.reported.is_some_and(|last| !last.is_old(&fresh)) {
+        let fresh = LastReport::new(&report, now);
+        if self.reported.is_some_and(|last| !last.is_outdated_by(&fresh)) {
             return None;
         }
         self.reported = Some(fresh);
--- a/crates/nutmeggrade-fakes/src/rollout/world.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/world.rs
@@ -180,7 +180,7 @@
             }
         }
         if is_first && !self.strikes(Fault::StoreAway, now, AWAY) {
-            for change in self.instances[number].table.unwritten() {
+            for change in self.instances[number].table.unwritten_states() {
                 self.store.write(&change, now);
                 self.read(number, now);
             }
--- a/crates/nutmeggrade-fakes/src/rollout/world/traffic.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/world/traffic.rs
@@ -136,7 +136,7 @@
     fn maybe_move(&mut self, request: &mut Running, age: Duration, now: Moment) {
         let endpoint = &self.endpoints.all[request.endpoint];
         let instance = &self.instances[request.instance];
-        if !request.has_begun || !instance.registry.is_parting(&endpoint.id) {
+        if !request.has_begun || !instance.registry.should_move_work(&endpoint.id) {
             return;
         }
         if request.moves_at.is_none() {
--- a/crates/nutmeggrade-relay/src/fleet_sync.rs
+++ b/crates/nutmeggrade-relay/src/fleet_sync.rs
@@ -10,7 +10,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::StoredRollout;
 use nutmeggrade_core::routing::EndpointInfo;
-use nutmeggrade_state::fleet_view::Reach;
+use nutmeggrade_state::fleet_view::SourceScope;
 use nutmeggrade_wire::kinds::Kind;
 use serde::{Deserialize, Serialize};
 
@@ -58,7 +58,7 @@
 /// The store may turn away some instances and serve the others. Those would go on with routes, keys
 /// and endpoints that are gone, and one would notice requests that are refused or run by the
 /// instances that are turned away only.
-pub async fn catch_up(node: &Node, kind: Kind, reach: Reach) -> bool {
+pub async fn catch_up(node: &Node, kind: Kind, reach: SourceScope) -> bool {
     let Some((peer, is_near)) = source(node, kind, reach) else { return false };
     let read = ask(peer, kind).await.and_then(|known| apply_known(node, kind, &known));
     if let Err(error) = read {
@@ -74,7 +74,7 @@
 }
 
 /// Returns a live peer that has read a kind further, and whether it is in the same failure domain.
-fn source(node: &Node, kind: Kind, reach: Reach) -> Option<(SocketAddr, bool)> {
+fn source(node: &Node, kind: Kind, reach: SourceScope) -> Option<(SocketAddr, bool)> {
     let read = node.follow.track(kind).read();
     let is_ahead = |revisions: &Revisions| revision(revisions, kind) > read;
     let lot = usize::from(rand::random::<u16>());
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -15,7 +15,7 @@
     FleetBeacon, FleetMessage, FleetOutcomes, FleetPlaced, Introduction, Share, open, seal,
 };
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::fleet_view::{Audience, Forwarders, PERIOD};
+use nutmeggrade_state::fleet_view::{BroadcastRecipients, PERIOD, RelayOrder};
 use nutmeggrade_state::forward_queue::ForwardQueue;
 use rand::RngExt;
 use tokio::net::UdpSocket;
@@ -90,7 +90,7 @@
         let neighbours = {
             let fleet = &lock(&node.tables).fleet;
             // The next heartbeat of such an instance goes to everybody anyway.
-            if fleet.stands_by(node.now()) {
+            if fleet.is_standby(node.now()) {
                 return;
             }
             fleet.neighbours()
@@ -101,10 +101,10 @@
     /// Sends one heartbeat.
     pub async fn send_one(&self, node: &Arc<Node>) {
         let message = FleetMessage::Beacon(self.beacon(node));
-        let stands_by = lock(&node.tables).fleet.stands_by(node.now());
+        let is_standby = lock(&node.tables).fleet.is_standby(node.now());
         // Whoever reads the store for all has to be heard by all, and its silence noticed soon: those
         // who don't hear it take its place.
-        if stands_by {
+        if is_standby {
             self.send_to_all(node, message).await;
         } else {
             let targets = lock(&node.tables).fleet.targets();
@@ -135,7 +135,7 @@
             } else {
                 FleetMessage::Placed(vec![placed])
             };
-            self.send_through(node, message, Forwarders::Common).await;
+            self.send_through(node, message, RelayOrder::Common).await;
             sleep(GATHER).await;
         }
     }
@@ -162,7 +162,7 @@
             let messages = lock(&self.queue).take();
             let mut sent = 0;
             for (share, placed) in messages {
-                let neighbours = lock(&node.tables).fleet.part_of_neighbours(share);
+                let neighbours = lock(&node.tables).fleet.neighbours_in_part(share);
                 self.send_to(node, &FleetMessage::Placed(placed), &neighbours).await;
                 sent += u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
             }
@@ -181,12 +181,12 @@
 
     /// Sends a message to every peer: to some by itself, to the others by one of them.
     async fn send_to_all(&self, node: &Node, message: FleetMessage) {
-        self.send_through(node, message, Forwarders::LastHeard).await;
+        self.send_through(node, message, RelayOrder::LastHeard).await;
     }
 
-    async fn send_through(&self, node: &Node, message: FleetMessage, forwarders: Forwarders) {
+    async fn send_through(&self, node: &Node, message: FleetMessage, forwarders: RelayOrder) {
         let audience = lock(&node.tables).fleet.everybody(forwarders, node.now());
-        let Audience { direct, relays } = audience;
+        let BroadcastRecipients { direct, relays } = audience;
         self.send_to(node, &message, &direct).await;
         for (relay, share) in relays {
             let message = FleetMessage::HandOn(Box::new(message.clone()), share);
@@ -223,7 +223,7 @@
                 true
             }
             FleetMessage::Moving(placed) => {
-                lock(&self.queue).overtake(placed);
+                lock(&self.queue).drop_superseded(placed);
                 false
             }
             _ => false,
@@ -258,7 +258,7 @@
                     Ok(FleetMessage::HandOn(message, share)) => {
                         count_in(node, &message, length);
                         if !self.queue_forward(share, &message) {
-                            let neighbours = lock(&node.tables).fleet.part_of_neighbours(share);
+                            let neighbours = lock(&node.tables).fleet.neighbours_in_part(share);
                             self.send_to(node, &message, &neighbours).await;
                         }
                         take_message(node, *message);
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -20,7 +20,7 @@
         FleetMessage::News(news) => take_news(node, &news),
         FleetMessage::Leaving(endpoints) => node.note_leaving(&endpoints),
         FleetMessage::Gone(endpoints) => node.note_gone(&endpoints),
-        FleetMessage::Met(others) => lock(&node.tables).fleet.meet_all(&others, node.now()),
+        FleetMessage::Met(others) => lock(&node.tables).fleet.add_contacts(&others, node.now()),
         FleetMessage::Crashed(crashed) => lock(&node.tables).crashes.note(&crashed, node.now()),
         FleetMessage::Outcomes(outcomes) => node.note_outcomes(&outcomes),
         FleetMessage::Rollout(notice) => node.hear_rollouts(vec![notice]),
--- a/crates/nutmeggrade-relay/src/probes.rs
+++ b/crates/nutmeggrade-relay/src/probes.rs
@@ -55,7 +55,7 @@
     for _ in 0..MOST {
         let said = {
             let tables = lock(&node.tables);
-            if tables.registry.is_parting(&endpoint.id) {
+            if tables.registry.should_move_work(&endpoint.id) {
                 return;
             }
             tables.dispatcher.book.health(&endpoint.id).and_then(Health::told_gone)
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -213,7 +213,7 @@
     }
 
     async fn finish(&mut self) -> End {
-        if let Some(rest) = self.splitter.take_rest()
+        if let Some(rest) = self.splitter.take_partial()
             && self.sender.send(Piece::Bytes(rest)).await.is_err()
         {
             return End::ClientGone;
@@ -226,8 +226,9 @@
     /// Begins to take the generation along if its endpoint leaves.
     fn escape_if_leaving(&self) -> Option<Escape> {
         self.engine.filter(|e| e.moves)?;
-        let is_parting = lock(&self.node.tables).registry.is_parting(&self.place.endpoint.id);
-        is_parting.then(|| Escape::start(self))
+        let should_move_work =
+            lock(&self.node.tables).registry.should_move_work(&self.place.endpoint.id);
+        should_move_work.then(|| Escape::start(self))
     }
 
     /// Goes on where the generation was taken; says whether the stream goes on.
--- a/crates/nutmeggrade-relay/src/rollouts/judging.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/judging.rs
@@ -32,7 +32,7 @@
         let mut changed = Vec::new();
         {
             let tables = &mut lock(&node.tables);
-            if !is_serving || !tables.fleet.judges_first(now) {
+            if !is_serving || !tables.fleet.is_judge(now) {
                 self.0.clear();
                 tables.rollouts.stop_granting();
                 return;
--- a/crates/nutmeggrade-relay/src/rollouts/reporting.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/reporting.rs
@@ -5,7 +5,7 @@
 use nutmeggrade_core::peer::FleetMessage;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::{RolloutId, RolloutReport};
-use nutmeggrade_state::rollout::Reported;
+use nutmeggrade_state::rollout::LastReport;
 
 use crate::node::Node;
 use crate::peers::Peers;
@@ -13,7 +13,7 @@
 
 /// Reports what this instance counted of roll-outs to those who judge them.
 #[derive(Debug, Default)]
-pub struct Reporter(BTreeMap<ServiceId, Reported>);
+pub struct Reporter(BTreeMap<ServiceId, LastReport>);
 
 impl Reporter {
     /// Makes a reporter that has told nothing.
@@ -28,8 +28,8 @@
         self.0.retain(|service, _| reports.iter().any(|r| r.service == *service));
         let judges = lock(&node.tables).fleet.judges(now);
         for report in reports {
-            let fresh = Reported::new(&report, now);
-            if self.0.get(&report.service).is_some_and(|last| !last.is_old(&fresh)) {
+            let fresh = LastReport::new(&report, now);
+            if self.0.get(&report.service).is_some_and(|last| !last.is_outdated_by(&fresh)) {
                 continue;
             }
             self.0.insert(report.service.clone(), fresh);
--- a/crates/nutmeggrade-relay/src/rollouts/writing.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/writing.rs
@@ -34,7 +34,7 @@
     if is_away || !tables.fleet.is_first_reader(node.now()) {
         return Vec::new();
     }
-    tables.rollouts.unwritten()
+    tables.rollouts.unwritten_states()
 }
 
 /// Writes one state, and takes the object as the store holds it then. The condition on its revision keeps a
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -15,7 +15,7 @@
 use nutmeggrade_state::crash_log::CrashLog;
 use nutmeggrade_state::fleet_view::FleetView;
 use nutmeggrade_state::registry::{Registered, Registry};
-use nutmeggrade_state::rollout::{EndpointLoad, RolloutTable, Standing, Surroundings};
+use nutmeggrade_state::rollout::{EndpointLoad, RolloutTable, ServiceLoad, Standing};
 use tokio::sync::oneshot;
 
 use crate::settings::Settings;
@@ -128,7 +128,7 @@
         }
         let is_warm = self.registry.get(&endpoint.id).is_some_and(|e| e.is_warm(now));
         let counts = match outcome {
-            Outcome::Failed => !self.registry.is_parting(&endpoint.id),
+            Outcome::Failed => !self.registry.should_move_work(&endpoint.id),
             Outcome::First(_) | Outcome::Pace(_) => is_warm,
         };
         if counts {
@@ -161,7 +161,7 @@
         map: &RouteMap,
         (service, version): (&ServiceId, &VersionId),
         now: Moment,
-    ) -> Surroundings {
+    ) -> ServiceLoad {
         let engine = map.service(service).and_then(|s| s.engine);
         let book = &self.dispatcher.book;
         let load = |info: &EndpointInfo| EndpointLoad {
@@ -170,7 +170,7 @@
             own: book.own().get(&info.id).map_or(0, |p| p.requests),
             is_movable: engine.is_some_and(|e| e.moves),
         };
-        Surroundings::new(&self.registry, (service, version), load, now)
+        ServiceLoad::new(&self.registry, (service, version), load, now)
     }
 
     /// Works out anew what endpoints may get by their version.
@@ -178,7 +178,7 @@
         if settings.exposure.is_none() {
             return;
         }
-        let mut versions = self.registry.provisional(self.rollouts.is_known(), now);
+        let mut versions = self.registry.provisional_rules(self.rollouts.is_known(), now);
         // A service whose roll-out is over may have any version.
         versions.retain(|service, _| !self.rollouts.is_decided(service));
         versions.extend(self.rollouts.rules(now));
--- a/crates/nutmeggrade-relay/src/watch/apply.rs
+++ b/crates/nutmeggrade-relay/src/watch/apply.rs
@@ -140,7 +140,7 @@
     match &news.info {
         Some(info) => registry.put(info, now),
         // Its entry may have lapsed with the store; it is written anew at its next heartbeat if it lives.
-        None if lapses => registry.miss(&news.id, now),
+        None if lapses => registry.mark_missing(&news.id, now),
         None => registry.remove(&news.id),
     }
 }
--- a/crates/nutmeggrade-relay/src/watch/follower.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower.rs
@@ -7,7 +7,7 @@
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::PlatformError;
-use nutmeggrade_state::fleet_view::Reach;
+use nutmeggrade_state::fleet_view::SourceScope;
 use nutmeggrade_wire::kinds::Kind;
 use nutmeggrade_wire::store::Watched;
 use rand::RngExt;
@@ -243,7 +243,7 @@
         if self.node.follow.track(self.kind).set_away(true) {
             tracing::warn!(event = "store_away", kind = self.kind.name(), error = %error);
         }
-        fleet_sync::catch_up(&self.node, self.kind, Reach::Everywhere).await;
+        fleet_sync::catch_up(&self.node, self.kind, SourceScope::Everywhere).await;
         let asker = self.asker();
         let most = pacing::retry(self.failures, asker);
         // Spread, or all instances call in the same moment when the store is back.
@@ -252,7 +252,7 @@
             () = sleep(wait) => {}
             () = self.until_back(), if asker == Asker::ToldLater => {}
             () = self.node.follow.track(self.kind).nudge.notified() => {
-                fleet_sync::catch_up(&self.node, self.kind, Reach::Everywhere).await;
+                fleet_sync::catch_up(&self.node, self.kind, SourceScope::Everywhere).await;
                 sleep(pacing::FIRST_WAIT).await;
             }
         }
@@ -262,7 +262,7 @@
     fn asker(&self) -> Asker {
         let now = self.node.now();
         let fleet = &lock(&self.node.tables).fleet;
-        match (fleet.leads(now), fleet.is_read(now)) {
+        match (fleet.is_preferred_reader(now), fleet.has_live_reader(now)) {
             (true, _) => Asker::Leader,
             (false, true) => Asker::Told,
             (false, false) => Asker::ToldLater,
--- a/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nutmeggrade_state::fleet_view::Reach;
+use nutmeggrade_state::fleet_view::SourceScope;
 use nutmeggrade_wire::kinds::Kind;
 use rand::RngExt;
 use tokio::time::sleep;
@@ -71,7 +71,8 @@
         let begun = self.node.now();
         loop {
             let waited = self.node.now().since(begun);
-            let reach = if waited < FAR_AFTER { Reach::Near } else { Reach::Everywhere };
+            let reach =
+                if waited < FAR_AFTER { SourceScope::Near } else { SourceScope::Everywhere };
             if fleet_sync::catch_up(&self.node, self.kind, reach).await {
                 return true;
             }
@@ -97,7 +98,7 @@
             tokio::select! {
                 () = sleep(TURN) => {}
                 () = follow.track(self.kind).nudge.notified() => {
-                    fleet_sync::catch_up(&self.node, self.kind, Reach::Everywhere).await;
+                    fleet_sync::catch_up(&self.node, self.kind, SourceScope::Everywhere).await;
                 }
             }
         }
@@ -105,7 +106,7 @@
 
     /// Waits until a peer can read the store again, and a little longer, so that not all call at once.
     pub(super) async fn until_back(&self) {
-        while !lock(&self.node.tables).fleet.is_read(self.node.now()) {
+        while !lock(&self.node.tables).fleet.has_live_reader(self.node.now()) {
             sleep(TURN).await;
         }
         let spread = TURN.mul_f64(rand::rng().random_range(0.0..2.0));
--- a/crates/nutmeggrade-state/src/audit_log.rs
+++ b/crates/nutmeggrade-state/src/audit_log.rs
@@ -11,7 +11,7 @@
 /// Number of latest entries that are kept for operators during an outage.
 pub const MAX_RECENT: usize = 256;
 /// Time in which repeats of an event are only counted.
-pub const QUIET: Duration = Duration::from_mins(1);
+pub const REPEAT_WINDOW: Duration = Duration::from_mins(1);
 /// Maximum length of a detail, in bytes.
 const MAX_DETAIL_BYTES: usize = 240;
 /// Maximum number of different events that are stored to detect repeats.
@@ -106,13 +106,13 @@
     /// Returns the number of suppressed repeats before this event; `None` if it is itself a repeat
     /// within the last minute.
     fn count_repeat(&mut self, event: AuditEvent, detail: &str, now: Moment) -> Option<u64> {
-        self.event_counts.retain(|_, c| c.repeats > 0 || now.since(c.first_at) < QUIET);
+        self.event_counts.retain(|_, c| c.repeats > 0 || now.since(c.first_at) < REPEAT_WINDOW);
         if self.event_counts.len() >= MAX_EVENT_COUNTS {
             self.event_counts.clear();
         }
         let first = EventCount { first_at: now, repeats: 0 };
         match self.event_counts.insert((event, detail.to_owned()), first) {
-            Some(old) if now.since(old.first_at) < QUIET => {
+            Some(old) if now.since(old.first_at) < REPEAT_WINDOW => {
                 let updated = EventCount { first_at: old.first_at, repeats: old.repeats + 1 };
                 self.event_counts.insert((event, detail.to_owned()), updated);
                 None
--- a/crates/nutmeggrade-state/src/claiming.rs
+++ b/crates/nutmeggrade-state/src/claiming.rs
@@ -27,7 +27,7 @@
 
 /// Response of the platform to a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Said {
+pub enum StoreResponse {
     /// The write took effect and created this version.
     Written(u64),
     /// The record has another version; nothing was written.
@@ -73,14 +73,14 @@
     }
 
     /// Processes the response of the platform to the last step.
-    pub fn take(&mut self, said: Said) {
+    pub fn take(&mut self, said: StoreResponse) {
         self.step = match said {
-            Said::Written(version) => ClaimStep::Decided(Claim::Send, version),
-            Said::Refused => ClaimStep::GaveUp { doubt: self.doubt },
-            Said::Conflict => ClaimStep::Read,
-            Said::Lost => self.response_lost(),
-            Said::Absent => self.write(ClaimStep::Create),
-            Said::Found(found, version, owner) => self.judge(&found, version, &owner),
+            StoreResponse::Written(version) => ClaimStep::Decided(Claim::Send, version),
+            StoreResponse::Refused => ClaimStep::GaveUp { doubt: self.doubt },
+            StoreResponse::Conflict => ClaimStep::Read,
+            StoreResponse::Lost => self.response_lost(),
+            StoreResponse::Absent => self.write(ClaimStep::Create),
+            StoreResponse::Found(found, version, owner) => self.judge(&found, version, &owner),
         };
     }
 
--- a/crates/nutmeggrade-state/src/cold_rights.rs
+++ b/crates/nutmeggrade-state/src/cold_rights.rs
@@ -107,7 +107,7 @@
         lease: Duration,
         now: Moment,
     ) -> Option<Assignment> {
-        let writer = live.iter().find(|(_, c)| c.hears_platform);
+        let writer = live.iter().find(|(_, c)| c.platform_reachable);
         if writer.is_none_or(|(instance, _)| *instance != self.own_id) || !self.is_settled(now) {
             return None;
         }
@@ -129,7 +129,7 @@
 
     /// Returns whether this instance needs its lease: it owns an endpoint that is not known to be
     /// warm.
-    pub fn wants_lease(&self, now: Moment) -> bool {
+    pub fn needs_lease(&self, now: Moment) -> bool {
         let is_own =
             |e: &EndpointId| self.epochs.back().is_some_and(|epoch| self.is_owner(epoch, e));
         self.loads.iter().any(|(e, load)| load.is_cold(now) && is_own(e))
--- a/crates/nutmeggrade-state/src/endpoint_table.rs
+++ b/crates/nutmeggrade-state/src/endpoint_table.rs
@@ -11,7 +11,7 @@
 const MAX_ADDRESSES: usize = 16_384;
 /// Number of consecutive listings that must show a leaving endpoint as live before it counts as
 /// live again: a minute by default, which is longer than the listing lags.
-pub const RETURN_LOOKS: u32 = 60;
+pub const RETURN_LISTINGS: u32 = 60;
 
 /// Endpoints from the platform's lagging listing, and those that operators took out of service.
 #[derive(Debug, Default)]
@@ -69,7 +69,7 @@
     fn has_returned(&mut self, endpoint: &Endpoint) -> bool {
         let live_count = self.live_listings.entry(endpoint.id.clone()).or_default();
         *live_count = if endpoint.state == EndpointState::Live { *live_count + 1 } else { 0 };
-        *live_count >= RETURN_LOOKS
+        *live_count >= RETURN_LISTINGS
     }
 
     /// Records whether an endpoint announces its own shutdown, which is earlier than the listing.
@@ -82,7 +82,7 @@
     }
 
     /// Sets the listing from a peer's if there is none yet.
-    pub fn start_with(&mut self, list: &[Endpoint]) {
+    pub fn init_list(&mut self, list: &[Endpoint]) {
         if self.listed.is_empty() {
             self.set_list(list);
         }
--- a/crates/nutmeggrade-state/src/event_splitter.rs
+++ b/crates/nutmeggrade-state/src/event_splitter.rs
@@ -41,7 +41,7 @@
     }
 
     /// Removes and returns the buffered partial event at the end of the stream, unchanged.
-    pub fn take_rest(&mut self) -> Option<Bytes> {
+    pub fn take_partial(&mut self) -> Option<Bytes> {
         (!self.partial.is_empty()).then(|| self.partial.split().freeze())
     }
 
--- a/crates/nutmeggrade-state/src/fence.rs
+++ b/crates/nutmeggrade-state/src/fence.rs
@@ -29,12 +29,12 @@
     }
 
     /// Records an answer of the platform to a configuration request sent at `asked`.
-    pub fn hear_platform(&mut self, asked: Moment) {
+    pub fn record_platform_contact(&mut self, asked: Moment) {
         self.platform_contact = self.platform_contact.max(Some(asked));
     }
 
     /// Records the moment as of which this instance was in contact with a majority.
-    pub fn hear_peers(&mut self, as_of: Option<Moment>) {
+    pub fn record_peer_contact(&mut self, as_of: Option<Moment>) {
         self.peer_contact = self.peer_contact.max(as_of);
     }
 
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -11,8 +11,8 @@
 use nutmeggrade_core::peer::{Contacts, FleetBeacon, Revisions, Seat};
 use nutmeggrade_core::prelude::*;
 
-pub use recipients::{Audience, Forwarders};
-pub use sources::Reach;
+pub use recipients::{BroadcastRecipients, RelayOrder};
+pub use sources::SourceScope;
 
 /// Number of instances in a client's failure domain from which on the client is given no instances
 /// of other domains.
@@ -127,7 +127,7 @@
             return false;
         }
         if let Some(intro) = &beacon.intro {
-            self.meet_all(&intro.others, now);
+            self.add_contacts(&intro.others, now);
         }
         let old = self.peers.get(&beacon.instance);
         // Incarnations are wall-clock times, and the clock may have been set back before the peer
@@ -159,7 +159,7 @@
     }
 
     /// Adds or refreshes addresses that a peer announced.
-    pub fn meet_all(&mut self, contacts: &Contacts, now: Moment) {
+    pub fn add_contacts(&mut self, contacts: &Contacts, now: Moment) {
         for (domain, addresses) in contacts {
             for address in addresses {
                 self.add_contact(*address, domain, now);
@@ -235,7 +235,7 @@
 
     /// Returns whether this instance is a reader or one of the next in rank. All peers must detect
     /// its silence soon.
-    pub fn stands_by(&self, now: Moment) -> bool {
+    pub fn is_standby(&self, now: Moment) -> bool {
         self.count_before(now, can_read) < STANDBY_COUNT
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Returns whether any recently heard peer can read the store.
-    pub fn is_read(&self, now: Moment) -> bool {
+    pub fn has_live_reader(&self, now: Moment) -> bool {
         self.recently_heard(now).any(|(_, p)| can_read(p))
     }
 
@@ -263,7 +263,7 @@
 
     /// Returns whether this instance would be a reader if all instances could reach the store.
     /// While nobody can, these instances retry often and the others rarely.
-    pub fn leads(&self, now: Moment) -> bool {
+    pub fn is_preferred_reader(&self, now: Moment) -> bool {
         self.count_before(now, |p| !p.leaving) < READER_COUNT
     }
 
--- a/crates/nutmeggrade-state/src/fleet_view/judges.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/judges.rs
@@ -13,7 +13,7 @@
     /// Returns whether this instance judges roll-outs. The judge is the first instance in reader
     /// order, with or without access to the store, so that a bad version is reverted during an
     /// outage too.
-    pub fn judges_first(&self, now: Moment) -> bool {
+    pub fn is_judge(&self, now: Moment) -> bool {
         self.count_before(now, |p| !p.leaving) == 0
     }
 
--- a/crates/nutmeggrade-state/src/fleet_view/recipients.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/recipients.rs
@@ -47,7 +47,7 @@
 
 /// Rule by which the relays of a failure domain are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Forwarders {
+pub enum RelayOrder {
     /// Most recently heard peers first, as those are most likely alive.
     LastHeard,
     /// Same order for all senders, so that messages of many senders can be batched.
@@ -56,7 +56,7 @@
 
 /// Recipients of a broadcast.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Audience {
+pub struct BroadcastRecipients {
     /// Addresses that this instance sends to directly.
     pub direct: Vec<SocketAddr>,
     /// Relays, each with the part of its failure domain that it forwards to.
@@ -88,17 +88,17 @@
     /// and the last peer gets the message seconds later. So some peers of each domain each forward
     /// it to a part of the rest. If a relay dies at that moment, its part misses the message and
     /// catches up through heartbeats.
-    pub fn everybody(&self, forwarders: Forwarders, now: Moment) -> Audience {
+    pub fn everybody(&self, forwarders: RelayOrder, now: Moment) -> BroadcastRecipients {
         let mut domains: BTreeMap<Option<&DomainId>, Vec<SocketAddr>> = BTreeMap::new();
         for (address, contact) in &self.contacts {
             domains.entry(contact.domain.as_ref()).or_default().push(*address);
         }
-        let mut audience = Audience { direct: Vec::new(), relays: Vec::new() };
+        let mut audience = BroadcastRecipients { direct: Vec::new(), relays: Vec::new() };
         for (domain, all) in domains {
             let is_near = domain == Some(&self.seat.domain);
             let max_direct = match (is_near, forwarders) {
-                (true, Forwarders::LastHeard) => INSTANCES_PER_RELAY,
-                (true, Forwarders::Common) => MAX_DIRECT_NEIGHBOURS,
+                (true, RelayOrder::LastHeard) => INSTANCES_PER_RELAY,
+                (true, RelayOrder::Common) => MAX_DIRECT_NEIGHBOURS,
                 (false, _) => MAX_DIRECT_REMOTE,
             };
             if domain.is_none() || all.len() <= max_direct {
@@ -124,7 +124,7 @@
         &self,
         domain: Option<&DomainId>,
         count: usize,
-        forwarders: Forwarders,
+        forwarders: RelayOrder,
         now: Moment,
     ) -> Vec<SocketAddr> {
         let is_candidate =
@@ -132,8 +132,8 @@
         let mut all: Vec<&Peer> = self.peers.values().filter(is_candidate).collect();
         let is_new = |p: &Peer| p.sequence <= STARTUP_HEARTBEATS;
         match forwarders {
-            Forwarders::LastHeard => all.sort_by_key(|p| (is_new(p), std::cmp::Reverse(p.heard))),
-            Forwarders::Common => all.sort_by_key(|p| (is_new(p), p.reader_key)),
+            RelayOrder::LastHeard => all.sort_by_key(|p| (is_new(p), std::cmp::Reverse(p.heard))),
+            RelayOrder::Common => all.sort_by_key(|p| (is_new(p), p.reader_key)),
         }
         all.into_iter().take(count).map(|p| p.seat.beacon).collect()
     }
@@ -165,7 +165,7 @@
     }
 
     /// Lists the neighbours in one part of the failure domain, to forward a message to.
-    pub fn part_of_neighbours(&self, share: Share) -> Vec<SocketAddr> {
+    pub fn neighbours_in_part(&self, share: Share) -> Vec<SocketAddr> {
         let is_in_part =
             |address: &SocketAddr| address_hash(address) % share.of.max(1) == share.part;
         self.near.iter().copied().filter(is_in_part).collect()
--- a/crates/nutmeggrade-state/src/fleet_view/sources.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/sources.rs
@@ -9,7 +9,7 @@
 
 /// Which peers may be selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum SourceScope {
     /// Peers in the same failure domain; other peers only if this instance is the first of its
     /// domain.
     Near,
@@ -23,11 +23,12 @@
     ///
     /// Neighbours are preferred. While none of them is ahead, only the first instance of a failure
     /// domain fetches from another domain, so that an update crosses between two domains once.
-    /// [`Reach::Everywhere`] lifts this rule. `random` is a random number that spreads the calls.
+    /// [`SourceScope::Everywhere`] lifts this rule. `random` is a random number that spreads the
+    /// calls.
     pub fn source(
         &self,
         is_ahead: impl Fn(&Revisions) -> bool,
-        scope: Reach,
+        scope: SourceScope,
         random: usize,
         now: Moment,
     ) -> Option<(SocketAddr, bool)> {
@@ -35,7 +36,7 @@
         let (near, far): (Vec<&Peer>, Vec<&Peer>) =
             self.peers.values().filter(is_source).partition(|p| p.seat.domain == self.seat.domain);
         let is_near = !near.is_empty();
-        if !is_near && scope == Reach::Near && !self.is_first_in_domain(now) {
+        if !is_near && scope == SourceScope::Near && !self.is_first_in_domain(now) {
             return None;
         }
         let all = if is_near { near } else { far };
--- a/crates/nutmeggrade-state/src/forward_queue.rs
+++ b/crates/nutmeggrade-state/src/forward_queue.rs
@@ -40,7 +40,7 @@
     }
 
     /// Removes queued changes of an instance at the endpoints of a newer change.
-    pub fn overtake(&mut self, change: &FleetPlaced) {
+    pub fn drop_superseded(&mut self, change: &FleetPlaced) {
         for instances in self.queued.values_mut() {
             if let Some(by_endpoint) = instances.get_mut(&change.instance) {
                 by_endpoint.retain(|endpoint, _| !change.placed.contains_key(endpoint));
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -27,7 +27,7 @@
     /// Incarnation of the instance.
     pub incarnation: u64,
     /// Whether it can write the epoch.
-    pub hears_platform: bool,
+    pub platform_reachable: bool,
 }
 
 /// Table of the peers with their last heartbeats.
@@ -132,7 +132,7 @@
     /// A peer counts as of the own heartbeat that it echoed, not as of the arrival of its
     /// heartbeat: a process that was frozen finds minutes of old heartbeats in its buffers, and by
     /// their arrival all peers would seem to be alive.
-    pub fn together_since(&self, size: usize) -> Option<Moment> {
+    pub fn quorum_since(&self, size: usize) -> Option<Moment> {
         let mut answered: Vec<Moment> =
             self.peers.values().filter_map(|p| p.last_contact).collect();
         answered.sort_unstable_by(|a, b| b.cmp(a));
@@ -156,7 +156,7 @@
     pub fn candidates(&self, max_age: Duration, now: Moment) -> BTreeMap<InstanceId, Candidate> {
         let candidate = |p: &Peer| Candidate {
             incarnation: p.entry.incarnation,
-            hears_platform: p.platform_age.is_some_and(|age| age <= max_age),
+            platform_reachable: p.platform_age.is_some_and(|age| age <= max_age),
         };
         let eligible = self.recently_heard(now).filter(|p| !p.leaving);
         eligible.map(|p| (p.entry.instance.clone(), candidate(p))).collect()
--- a/crates/nutmeggrade-state/src/recent_changes.rs
+++ b/crates/nutmeggrade-state/src/recent_changes.rs
@@ -11,7 +11,7 @@
 
 /// One accepted change, without the content of a preset.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedChange {
     /// Version of the configuration that resulted from the change.
     pub version: u64,
     /// Id of the change.
@@ -26,7 +26,7 @@
     pub change: String,
 }
 
-impl Accepted {
+impl AcceptedChange {
     /// Extracts the change from the resulting configuration.
     pub fn new(config: &Configuration) -> Self {
         Self {
@@ -58,20 +58,20 @@
 /// the content of presets to keep it small.
 #[derive(Debug, Default)]
 pub struct RecentChanges {
-    changes: BTreeMap<u64, Accepted>,
+    changes: BTreeMap<u64, AcceptedChange>,
 }
 
 impl RecentChanges {
     /// Records the change from which a configuration resulted.
     pub fn note(&mut self, config: &Configuration) {
-        self.changes.entry(config.version).or_insert_with(|| Accepted::new(config));
+        self.changes.entry(config.version).or_insert_with(|| AcceptedChange::new(config));
         while self.changes.len() > MAX_CHANGES {
             self.changes.pop_first();
         }
     }
 
     /// Lists the changes, oldest first.
-    pub fn list(&self) -> Vec<Accepted> {
+    pub fn list(&self) -> Vec<AcceptedChange> {
         self.changes.values().cloned().collect()
     }
 }
--- a/crates/nutmeggrade-state/src/registry.rs
+++ b/crates/nutmeggrade-state/src/registry.rs
@@ -113,7 +113,7 @@
             self.endpoints.keys().filter(|id| !listed.contains(id)).cloned().collect();
         let mut changes: Vec<Change> = all.iter().filter_map(|e| self.put(e, now)).collect();
         for id in missing {
-            let change = if after_outage { self.miss(&id, now) } else { self.remove(&id) };
+            let change = if after_outage { self.mark_missing(&id, now) } else { self.remove(&id) };
             changes.extend(change);
         }
         changes
@@ -157,7 +157,7 @@
 
     /// Marks an entry as missing after an outage; it is removed unless it comes back in time.
     /// Returns a change only for the first call.
-    pub fn miss(&mut self, id: &EndpointId, now: Moment) -> Option<Change> {
+    pub fn mark_missing(&mut self, id: &EndpointId, now: Moment) -> Option<Change> {
         let entry = self.endpoints.get_mut(id).filter(|e| e.missing_until.is_none())?;
         entry.missing_until = Some(now.after(REGISTRATION_GRACE));
         Some(Change::Missing(entry.info.clone()))
@@ -196,7 +196,7 @@
     /// those that lapsed with the store. Waiting for it to come back would leave no time to move
     /// its running work, and streams would break off when the endpoint is removed. If only a few
     /// entries are missing, those endpoints therefore count as leaving for their running work.
-    pub fn is_parting(&self, id: &EndpointId) -> bool {
+    pub fn should_move_work(&self, id: &EndpointId) -> bool {
         let Some(entry) = self.endpoints.get(id) else { return true };
         let is_missing = entry.missing_until.is_some();
         entry.info.leaving
--- a/crates/nutmeggrade-state/src/registry/versions.rs
+++ b/crates/nutmeggrade-state/src/registry/versions.rs
@@ -24,7 +24,11 @@
     /// Returns rules that hold back all versions of a service except the first that appeared:
     /// without a time limit while the orders are unknown, else for a short time in which an order
     /// for a new version may arrive.
-    pub fn provisional(&self, orders_known: bool, now: Moment) -> BTreeMap<ServiceId, VersionRule> {
+    pub fn provisional_rules(
+        &self,
+        orders_known: bool,
+        now: Moment,
+    ) -> BTreeMap<ServiceId, VersionRule> {
         let mut versions: BTreeMap<&ServiceId, BTreeMap<&VersionId, FirstSeen>> = BTreeMap::new();
         for entry in self.endpoints.values() {
             let EndpointInfo { service, version, born, .. } = &entry.info;
--- a/crates/nutmeggrade-state/src/rollout.rs
+++ b/crates/nutmeggrade-state/src/rollout.rs
@@ -7,7 +7,7 @@
 mod table;
 mod version_rule;
 
-pub use last_report::Reported;
-pub use service_load::{EndpointLoad, Surroundings};
+pub use last_report::LastReport;
+pub use service_load::{EndpointLoad, ServiceLoad};
 pub use table::{RolloutTable, RolloutView, StateChange};
 pub use version_rule::{Standing, VersionRule};
--- a/crates/nutmeggrade-state/src/rollout/last_report.rs
+++ b/crates/nutmeggrade-state/src/rollout/last_report.rs
@@ -10,7 +10,7 @@
 
 /// Content of the last report on a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reported {
+pub struct LastReport {
     sent_at: Moment,
     answers: u32,
     exposed: u32,
@@ -18,7 +18,7 @@
     phase: RolloutPhase,
 }
 
-impl Reported {
+impl LastReport {
     /// Creates the summary of a report.
     pub fn new(report: &RolloutReport, now: Moment) -> Self {
         Self {
@@ -32,7 +32,7 @@
 
     /// Returns whether the new report is due: it differs in a relevant value, or the last one is
     /// too old.
-    pub fn is_old(&self, newer: &Self) -> bool {
+    pub fn is_outdated_by(&self, newer: &Self) -> bool {
         let running_changed = newer.phase.is_switched() && newer.running != self.running;
         (self.answers, self.exposed, self.phase) != (newer.answers, newer.exposed, newer.phase)
             || running_changed
--- a/crates/nutmeggrade-state/src/rollout/service_load.rs
+++ b/crates/nutmeggrade-state/src/rollout/service_load.rs
@@ -21,7 +21,7 @@
 
 /// Load of the endpoints of a service during a roll-out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Surroundings {
+pub struct ServiceLoad {
     /// Capacity and load by version.
     pub capacity: Capacity,
     /// Number of requests of this instance at other versions.
@@ -30,7 +30,7 @@
     pub movable: u32,
 }
 
-impl Surroundings {
+impl ServiceLoad {
     /// Sums the load of all endpoints of the service.
     pub fn new(
         registry: &Registry,
--- a/crates/nutmeggrade-state/src/rollout/table.rs
+++ b/crates/nutmeggrade-state/src/rollout/table.rs
@@ -251,7 +251,7 @@
     }
 
     /// Lists the states that the store should contain but does not.
-    pub fn unwritten(&self) -> Vec<StateChange> {
+    pub fn unwritten_states(&self) -> Vec<StateChange> {
         let change = |(service, e): (&ServiceId, &RolloutEntry)| {
             // Without a revision, the order is known only from peers; an instance that has read it
             // writes.
--- a/crates/nutmeggrade-state/src/settling.rs
+++ b/crates/nutmeggrade-state/src/settling.rs
@@ -1,6 +1,6 @@
 //! State machine that writes the outcome of an attempt to its record.
 
-use crate::claiming::Said;
+use crate::claiming::StoreResponse;
 use crate::intent::{Intent, Progress};
 
 /// Next step to settle a record.
@@ -52,13 +52,15 @@
     }
 
     /// Processes the response of the platform to the last step.
-    pub fn take(&mut self, said: &Said) {
+    pub fn take(&mut self, said: &StoreResponse) {
         self.step = match said {
-            Said::Written(_) => SettleStep::Settled,
-            Said::Conflict => SettleStep::Read,
+            StoreResponse::Written(_) => SettleStep::Settled,
+            StoreResponse::Conflict => SettleStep::Read,
             // Absent: a claim in doubt may still take effect.
-            Said::Refused | Said::Lost | Said::Absent => SettleStep::Wait,
-            Said::Found(found, version, _) => self.next_after_read(found, *version),
+            StoreResponse::Refused | StoreResponse::Lost | StoreResponse::Absent => {
+                SettleStep::Wait
+            }
+            StoreResponse::Found(found, version, _) => self.next_after_read(found, *version),
         };
     }
 
--- a/crates/nutmeggrade/src/service/once.rs
+++ b/crates/nutmeggrade/src/service/once.rs
@@ -7,7 +7,7 @@
 use nutmeggrade_platform::Platform;
 use nutmeggrade_state::claiming::{ClaimStep, Claiming, refused_run};
 use nutmeggrade_state::intent::{Claim, Intent, Progress};
-use nutmeggrade_state::recorded::Recorded;
+use nutmeggrade_state::recorded::RecordedAnswer;
 use nutmeggrade_state::settling::Settling;
 
 use super::records::{claim_call, settle, settle_later};
@@ -126,7 +126,7 @@
 fn outcome(ended: Option<Attempt>, refusal: Failure) -> (Progress, Result<Answer, Failure>) {
     match ended {
         Some(Attempt::Answered(answer)) => {
-            let recorded = Recorded::new(answer.status, &answer.body);
+            let recorded = RecordedAnswer::new(answer.status, &answer.body);
             let answer_kept = recorded.with_content(answer.content.as_deref());
             (Progress::Done { answer: answer_kept }, Ok(answer))
         }
@@ -156,7 +156,7 @@
     Err(failure)
 }
 
-fn replay(recorded: &Recorded) -> Result<Answer, Failure> {
+fn replay(recorded: &RecordedAnswer) -> Result<Answer, Failure> {
     let Some(body) = recorded.body() else {
         let detail = "an earlier attempt ran; its answer was too large to be kept";
         return Err(Failure::new(Code::AnswerNotKept, detail).with_run(Run::Ran));
--- a/crates/nutmeggrade/src/service/records.rs
+++ b/crates/nutmeggrade/src/service/records.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::object::Object;
 use nutmeggrade_platform::{Platform, PlatformError};
-use nutmeggrade_state::claiming::{ClaimStep, Claiming, Said};
+use nutmeggrade_state::claiming::{ClaimStep, Claiming, StoreResponse};
 use nutmeggrade_state::intent::{Intent, Owner};
 use nutmeggrade_state::settling::{SettleStep, Settling};
 use tokio::time::sleep;
@@ -78,41 +78,46 @@
     }
 }
 
-async fn create<P: Platform>(node: &Node<P>, place: &str, intent: &Intent) -> Said {
-    let Ok(value) = serde_json::to_value(intent) else { return Said::Refused };
+async fn create<P: Platform>(node: &Node<P>, place: &str, intent: &Intent) -> StoreResponse {
+    let Ok(value) = serde_json::to_value(intent) else { return StoreResponse::Refused };
     written(&node.platform.create(place, &value).await)
 }
 
-async fn replace<P: Platform>(node: &Node<P>, place: &str, intent: &Intent, version: u64) -> Said {
-    let Ok(value) = serde_json::to_value(intent) else { return Said::Refused };
+async fn replace<P: Platform>(
+    node: &Node<P>,
+    place: &str,
+    intent: &Intent,
+    version: u64,
+) -> StoreResponse {
+    let Ok(value) = serde_json::to_value(intent) else { return StoreResponse::Refused };
     written(&node.platform.replace(place, &value, version).await)
 }
 
-fn written(result: &Result<u64, PlatformError>) -> Said {
+fn written(result: &Result<u64, PlatformError>) -> StoreResponse {
     match result {
-        Ok(version) => Said::Written(*version),
-        Err(PlatformError::Conflict) => Said::Conflict,
-        Err(PlatformError::Refused(_)) => Said::Refused,
-        Err(PlatformError::Unknown(_)) => Said::Lost,
+        Ok(version) => StoreResponse::Written(*version),
+        Err(PlatformError::Conflict) => StoreResponse::Conflict,
+        Err(PlatformError::Refused(_)) => StoreResponse::Refused,
+        Err(PlatformError::Unknown(_)) => StoreResponse::Lost,
     }
 }
 
-async fn read<P: Platform>(node: &Node<P>, place: &str) -> Said {
+async fn read<P: Platform>(node: &Node<P>, place: &str) -> StoreResponse {
     match node.platform.read(place).await {
         Ok(Some(object)) => found(node, object),
-        Ok(None) => Said::Absent,
-        Err(_) => Said::Lost,
+        Ok(None) => StoreResponse::Absent,
+        Err(_) => StoreResponse::Lost,
     }
 }
 
-fn found<P: Platform>(node: &Node<P>, object: Object) -> Said {
+fn found<P: Platform>(node: &Node<P>, object: Object) -> StoreResponse {
     let value = object.value.unwrap_or_default();
     let Ok(intent) = serde_json::from_value::<Intent>(value) else {
         tracing::error!(event = "intent_unreadable", key = object.key);
-        return Said::Lost;
+        return StoreResponse::Lost;
     };
     let owner = owner(node, &intent);
-    Said::Found(Box::new(intent), object.version, owner)
+    StoreResponse::Found(Box::new(intent), object.version, owner)
 }
 
 fn owner<P: Platform>(node: &Node<P>, found: &Intent) -> Owner {
--- a/crates/nutmeggrade/src/tasks/catch_up.rs
+++ b/crates/nutmeggrade/src/tasks/catch_up.rs
@@ -96,7 +96,7 @@
     if let Some(assignment) = &fleet.assignment {
         lock(&node.tables.rights).hint(assignment, node.now());
     }
-    lock(&node.tables.endpoints).start_with(&fleet.endpoints);
+    lock(&node.tables.endpoints).init_list(&fleet.endpoints);
     node.sync_engines();
     if let Some(config) = ask(node, address, Topic::Config).await?.config {
         node.offer_config(&config, "seed");
--- a/crates/nutmeggrade/src/tasks/config_watch.rs
+++ b/crates/nutmeggrade/src/tasks/config_watch.rs
@@ -28,7 +28,7 @@
         };
         match looked {
             Ok(next) => {
-                lock(&node.tables.fence).hear_platform(asked);
+                lock(&node.tables.fence).record_platform_contact(asked);
                 revision = next;
             }
             Err(error) => {
--- a/crates/nutmeggrade/src/tasks/hearing.rs
+++ b/crates/nutmeggrade/src/tasks/hearing.rs
@@ -31,14 +31,14 @@
         let fresh = members.hear(beacon, now);
         // Without an assignment all instances that are known count.
         let size = if size == 0 { members.known() } else { size };
-        (fresh, members.together_since(size))
+        (fresh, members.quorum_since(size))
     };
     if fresh {
         lock(&node.tables.suspects).hear(&beacon.instance, &beacon.suspects, now);
         lock(&node.tables.orphans).hear(&beacon.resumed);
         let is_behind = lock(&node.tables.config).note(beacon.config);
         if !is_behind {
-            lock(&node.tables.fence).hear_peers(together);
+            lock(&node.tables.fence).record_peer_contact(together);
         }
     }
 }
--- a/crates/nutmeggrade/src/tasks/rights.rs
+++ b/crates/nutmeggrade/src/tasks/rights.rs
@@ -24,7 +24,7 @@
     let mut idle = IDLE_TICKS;
     loop {
         idle += 1;
-        let wanted = lock(&node.tables.rights).wants_lease(node.now());
+        let wanted = lock(&node.tables.rights).needs_lease(node.now());
         if wanted || idle >= IDLE_TICKS {
             idle = 0;
             if let Err(error) = confirm(&node).await {
@@ -116,7 +116,7 @@
     let patience = node.settings.fence * 2;
     let mut live = lock(&node.tables.members).candidates(patience, node.now());
     if node.phase() == Phase::Serving {
-        let own = Candidate { incarnation: node.entry.incarnation, hears_platform: true };
+        let own = Candidate { incarnation: node.entry.incarnation, platform_reachable: true };
         live.insert(node.entry.instance.clone(), own);
     }
     live
--- a/tests/suite/operators/audit.rs
+++ b/tests/suite/operators/audit.rs
@@ -8,7 +8,7 @@
 use nutmeggrade_fakes::fleet::{Fleet, Plan};
 use nutmeggrade_fakes::http::send;
 use nutmeggrade_platform::Platform;
-use nutmeggrade_state::audit_log::{AuditLog, MAX_PENDING, MAX_RECENT, QUIET};
+use nutmeggrade_state::audit_log::{AuditLog, MAX_PENDING, MAX_RECENT, REPEAT_WINDOW};
 use rstest::rstest;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -28,7 +28,7 @@
         log.note(AuditEvent::TokenRefused, "path=status", 1, n, Moment::from_millis(n));
     }
     assert_eq!(log.recent().count(), 1);
-    let later = Moment::from_millis(10_000).after(QUIET);
+    let later = Moment::from_millis(10_000).after(REPEAT_WINDOW);
     let entry = log.note(AuditEvent::TokenRefused, "path=status", 1, 0, later);
     assert_eq!(entry.map(|e| e.repeats), Some(9_999));
 }
--- a/tests/suite/random/cold.rs
+++ b/tests/suite/random/cold.rs
@@ -233,8 +233,10 @@
     fn propose(&mut self, n: usize, mask: u8, lost: bool) {
         let now = self.now(n);
         let seen = (0..NODES).filter(|i| *i == n || mask & (1 << i) != 0);
-        let candidate =
-            |i: usize| Candidate { incarnation: self.nodes[i].incarnation, hears_platform: true };
+        let candidate = |i: usize| Candidate {
+            incarnation: self.nodes[i].incarnation,
+            platform_reachable: true,
+        };
         let live: BTreeMap<_, _> = seen.map(|i| (name(i), candidate(i))).collect();
         let Some(next) = self.nodes[n].rights.propose(&live, LEASE, now) else { return };
         let version = self.object.as_ref().map_or(0, |(v, _)| *v);
--- a/tests/suite/random/config.rs
+++ b/tests/suite/random/config.rs
@@ -115,9 +115,9 @@
     fn receive(&mut self, now: Moment) {
         while let Some(beacon) = self.inbox.pop_front() {
             let fresh = self.members.hear(&beacon, now);
-            let together = self.members.together_since(NODES);
+            let together = self.members.quorum_since(NODES);
             if fresh && !self.config.note(beacon.config) {
-                self.fence.hear_peers(together);
+                self.fence.record_peer_contact(together);
             }
         }
     }
@@ -239,7 +239,7 @@
         if let Some(config) = config {
             node.offer(&config, time);
         }
-        node.fence.hear_platform(asked);
+        node.fence.record_platform_contact(asked);
     }
 
     fn catch_up(&mut self, n: usize) {
--- a/tests/suite/random/intents.rs
+++ b/tests/suite/random/intents.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::claiming::{ClaimStep, Claiming, Said};
+use nutmeggrade_state::claiming::{ClaimStep, Claiming, StoreResponse};
 use nutmeggrade_state::intent::{Claim, Intent, Owner, Progress};
 use nutmeggrade_state::own_intents::OwnIntents;
-use nutmeggrade_state::recorded::Recorded;
+use nutmeggrade_state::recorded::RecordedAnswer;
 use nutmeggrade_state::settling::{SettleStep, Settling};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -120,7 +120,7 @@
     writes: Vec<Write>,
     calls: Vec<usize>,
     ran: [u32; KEYS],
-    answers: BTreeMap<usize, Recorded>,
+    answers: BTreeMap<usize, RecordedAnswer>,
     drawn: u8,
     nonces: u64,
 }
@@ -135,38 +135,38 @@
         self.tasks.push(Task { node, key, work: Work::Claim(Claiming::new(intent)) });
     }
 
-    fn write(&mut self, write: Write, fate: Fate) -> Said {
+    fn write(&mut self, write: Write, fate: Fate) -> StoreResponse {
         match fate {
             Fate::Works => self.apply(&write),
             Fate::AnswerLost => {
                 self.apply(&write);
-                Said::Lost
+                StoreResponse::Lost
             }
             Fate::Late => {
                 self.writes.push(write);
-                Said::Lost
+                StoreResponse::Lost
             }
-            Fate::Dropped => Said::Lost,
-            Fate::Refused => Said::Refused,
+            Fate::Dropped => StoreResponse::Lost,
+            Fate::Refused => StoreResponse::Refused,
         }
     }
 
-    fn apply(&mut self, write: &Write) -> Said {
+    fn apply(&mut self, write: &Write) -> StoreResponse {
         let found = self.records.get(&write.key).map(|(v, _)| *v);
         if found != write.expected {
-            return Said::Conflict;
+            return StoreResponse::Conflict;
         }
         let version = found.unwrap_or(0) + 1;
         self.records.insert(write.key, (version, write.intent.clone()));
-        Said::Written(version)
+        StoreResponse::Written(version)
     }
 
-    fn read(&self, node: usize, key: usize, fate: Fate, seen: bool) -> Said {
+    fn read(&self, node: usize, key: usize, fate: Fate, seen: bool) -> StoreResponse {
         if !matches!(fate, Fate::Works | Fate::Late) {
-            return Said::Lost;
+            return StoreResponse::Lost;
         }
-        let Some((version, intent)) = self.records.get(&key) else { return Said::Absent };
-        Said::Found(Box::new(intent.clone()), *version, self.owner(node, intent, seen))
+        let Some((version, intent)) = self.records.get(&key) else { return StoreResponse::Absent };
+        StoreResponse::Found(Box::new(intent.clone()), *version, self.owner(node, intent, seen))
     }
 
     /// Another instance may look gone while it is only paused, or live after it died.
@@ -251,7 +251,7 @@
             Served::Answers => {
                 self.run(key);
                 self.drawn += 1;
-                let answer = Recorded::new(200, &[self.drawn]);
+                let answer = RecordedAnswer::new(200, &[self.drawn]);
                 self.answers.insert(key, answer.clone());
                 Progress::Done { answer }
             }
--- a/tests/suite/state/endpoint_table.rs
+++ b/tests/suite/state/endpoint_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::endpoint_table::{EndpointTable, RETURN_LOOKS};
+use nutmeggrade_state::endpoint_table::{EndpointTable, RETURN_LISTINGS};
 use rstest::rstest;
 
 fn id() -> EndpointId {
@@ -45,8 +45,8 @@
 cases!(may_send {
     listed_as_leaving: 0, 1, false;
     an_older_answer: 1, 1, false;
-    just_short: RETURN_LOOKS - 1, 1, false;
-    stays_after_all: RETURN_LOOKS, 1, true;
+    just_short: RETURN_LISTINGS - 1, 1, false;
+    stays_after_all: RETURN_LISTINGS, 1, true;
     replaced_at_another_address: 1, 2, true;
 });
 
@@ -63,7 +63,7 @@
 
 #[rstest]
 fn unlisted_gets_nothing() {
-    let mut table = left(RETURN_LOOKS, 1);
+    let mut table = left(RETURN_LISTINGS, 1);
     table.set_list(&[]);
     assert!(!table.may_send(&id()));
 }
--- a/tests/suite/state/fleet_view.rs
+++ b/tests/suite/state/fleet_view.rs
@@ -6,7 +6,7 @@
 
 use nutmeggrade_core::peer::{Contacts, FleetBeacon, Introduction, Seat, Share};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::fleet_view::{FleetView, Forwarders};
+use nutmeggrade_state::fleet_view::{FleetView, RelayOrder};
 
 use super::heartbeat::heartbeat;
 
@@ -194,15 +194,15 @@
     };
     let readers: Vec<u8> = (1..=20).filter(|n| hears(*n, None).is_reader(NOW)).collect();
     let of_config: Vec<u8> = (1..=20).filter(|n| hears(*n, None).is_config_reader(NOW)).collect();
-    let standby: Vec<u8> = (1..=20).filter(|n| hears(*n, None).stands_by(NOW)).collect();
+    let standby: Vec<u8> = (1..=20).filter(|n| hears(*n, None).is_standby(NOW)).collect();
     assert_eq!((readers.len(), of_config.len(), standby.len()), (2, 3, 6));
     assert!(readers.iter().all(|r| of_config.contains(r)));
     assert!(of_config.iter().all(|r| standby.contains(r)));
     let away = of_config[0];
     let others = (1..=20).filter(|n| *n != away);
     assert_eq!(others.filter(|n| hears(*n, Some(away)).is_config_reader(NOW)).count(), 3);
-    assert!(hears(1, None).is_read(NOW));
-    assert!(!view(1).is_read(NOW));
+    assert!(hears(1, None).has_live_reader(NOW));
+    assert!(!view(1).has_live_reader(NOW));
 }
 
 const DOMAINS: [&str; 3] = ["veluwe", "gooi", "twente"];
@@ -262,7 +262,7 @@
     let count = others.values().map(Vec::len).sum::<usize>();
     assert_eq!((newcomer, count), (seat(77).beacon, 59));
     let mut fresh = view(77);
-    fresh.meet_all(&others, NOW);
+    fresh.add_contacts(&others, NOW);
     assert_eq!(fresh.targets().len(), 12);
     let others = (1..=8).map(|n| seat(n).beacon).collect();
     let others = Contacts::from([(seat(1).domain, others)]);
@@ -278,12 +278,12 @@
     let mut views = large_fleet();
     let by_address: BTreeMap<SocketAddr, usize> =
         (0..60_u8).map(|n| (seat(n + 1).beacon, usize::from(n))).collect();
-    let audience = views[0].everybody(Forwarders::LastHeard, NOW);
+    let audience = views[0].everybody(RelayOrder::LastHeard, NOW);
     assert_eq!((audience.direct.len(), audience.relays.len()), (19, 2));
     let mut got = audience.direct;
     for (relay, share) in audience.relays {
         got.push(relay);
-        got.extend(views[by_address[&relay]].part_of_neighbours(share));
+        got.extend(views[by_address[&relay]].neighbours_in_part(share));
     }
     got.sort();
     let all: Vec<SocketAddr> = (2..=60).map(|n| seat(n).beacon).collect();
@@ -293,14 +293,14 @@
     let whole = Share { part: 0, of: 1 };
     assert!(
         views[0]
-            .everybody(Forwarders::LastHeard, later(50))
+            .everybody(RelayOrder::LastHeard, later(50))
             .relays
             .contains(&(seat(6).beacon, whole))
     );
     views[0].hear(&FleetBeacon { incarnation: 101, ..beacon_of(9, 1) }, later(90));
     assert!(
         views[0]
-            .everybody(Forwarders::LastHeard, later(90))
+            .everybody(RelayOrder::LastHeard, later(90))
             .relays
             .contains(&(seat(6).beacon, whole))
     );
--- a/tests/suite/state/forward_queue.rs
+++ b/tests/suite/state/forward_queue.rs
@@ -35,7 +35,7 @@
     queue.add(WHOLE, &[change(1, "e-2", 1)]);
     queue.add(HALF, &[change(1, "e-1", 1)]);
     queue.add(WHOLE, &[change(2, "e-1", 1)]);
-    queue.overtake(&change(1, "e-1", 2));
+    queue.drop_superseded(&change(1, "e-1", 2));
     let left: Vec<FleetPlaced> = queue.take().into_iter().flat_map(|(_, all)| all).collect();
     assert_eq!(left, [change(1, "e-2", 1), change(2, "e-1", 1)]);
 }
--- a/tests/suite/state/large_fleet.rs
+++ b/tests/suite/state/large_fleet.rs
@@ -6,7 +6,7 @@
 
 use nutmeggrade_core::peer::{Contacts, FleetBeacon, Seat};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::fleet_view::{FleetView, Forwarders};
+use nutmeggrade_state::fleet_view::{FleetView, RelayOrder};
 
 use super::heartbeat::heartbeat;
 
@@ -47,7 +47,7 @@
         let mut host = self::view(host, ALL, &[]);
         for _ in 0..3 {
             let (_, others) = host.welcome(&beacon(own, 1)).expect("a welcome");
-            view.meet_all(&others, NOW);
+            view.add_contacts(&others, NOW);
         }
     }
 }
@@ -74,7 +74,7 @@
     let endpoint = EndpointId::new("e-1").expect("an id");
     let takes_turn = |own: &u16| {
         let mut view = view(*own, 20, &[]);
-        view.meet_all(&all, NOW);
+        view.add_contacts(&all, NOW);
         view.rank(&endpoint, NOW) < BOUND
     };
     assert_eq!((0..ALL).filter(takes_turn).count(), BOUND);
@@ -86,7 +86,7 @@
 fn message_of_an_instance_that_heard_few_is_handed_on() {
     let mut fresh = view(299, 20, &[]);
     welcome(&mut fresh, 299);
-    let audience = fresh.everybody(Forwarders::LastHeard, NOW);
+    let audience = fresh.everybody(RelayOrder::LastHeard, NOW);
     assert!(audience.direct.is_empty(), "{} direct", audience.direct.len());
     assert!(audience.relays.len() <= MOST_SENT, "{}", audience.relays.len());
 }
@@ -96,12 +96,12 @@
 #[test]
 fn message_reaches_everybody_through_a_few() {
     let sender = view(0, ALL, &[]);
-    let audience = sender.everybody(Forwarders::LastHeard, NOW);
+    let audience = sender.everybody(RelayOrder::LastHeard, NOW);
     assert!(audience.direct.len() + audience.relays.len() <= MOST_SENT);
     let mut got: BTreeSet<SocketAddr> = audience.direct.iter().copied().collect();
     let numbers: BTreeMap<SocketAddr, u16> = (0..ALL).map(|n| (seat(n).beacon, n)).collect();
     for (relay, share) in audience.relays {
-        let sent = view(numbers[&relay], ALL, &[]).part_of_neighbours(share);
+        let sent = view(numbers[&relay], ALL, &[]).neighbours_in_part(share);
         assert!(sent.len() <= MOST_SENT, "{}", sent.len());
         got.insert(relay);
         got.extend(sent);
@@ -115,12 +115,12 @@
 fn senders_share_their_forwarders() {
     let forwarders: BTreeSet<SocketAddr> = (0..ALL)
         .step_by(7)
-        .flat_map(|own| view(own, ALL, &[]).everybody(Forwarders::Common, NOW).relays)
+        .flat_map(|own| view(own, ALL, &[]).everybody(RelayOrder::Common, NOW).relays)
         .map(|(address, _)| address)
         .collect();
     // Four for each failure domain of 75. Neighbours hear of it from the sender.
     assert!(forwarders.len() <= usize::from(DOMAINS) * 4, "{}", forwarders.len());
-    assert_eq!(view(0, ALL, &[]).everybody(Forwarders::Common, NOW).direct.len(), 74);
+    assert_eq!(view(0, ALL, &[]).everybody(RelayOrder::Common, NOW).direct.len(), 74);
 }
 
 // In an outage each instance that finds the store away is passed over, until the whole fleet has asked.
--- a/tests/suite/state/registry.rs
+++ b/tests/suite/state/registry.rs
@@ -68,7 +68,7 @@
 fn entry_that_comes_back_stays() {
     let mut registry = Registry::new();
     registry.put(&info(1), NOW);
-    registry.miss(&id(1), NOW);
+    registry.mark_missing(&id(1), NOW);
     registry.put(&info(1), NOW.after(Duration::from_secs(1)));
     assert!(registry.expire(NOW.after(Duration::from_mins(1))).is_empty());
     assert!(registry.may_send(&id(1)));
@@ -81,16 +81,16 @@
 fn what_runs_at_few_missing_endpoints_moves() {
     let mut registry = Registry::new();
     registry.replace(&[info(1), info(2), info(3)], false, NOW);
-    registry.miss(&id(1), NOW);
-    assert!(registry.is_parting(&id(1)));
-    assert!(!registry.is_parting(&id(2)));
-    registry.miss(&id(2), NOW);
-    assert!(!registry.is_parting(&id(1)));
+    registry.mark_missing(&id(1), NOW);
+    assert!(registry.should_move_work(&id(1)));
+    assert!(!registry.should_move_work(&id(2)));
+    registry.mark_missing(&id(2), NOW);
+    assert!(!registry.should_move_work(&id(1)));
     assert!(registry.may_send(&id(1)));
     registry.put(&info(2), NOW);
-    assert!(registry.is_parting(&id(1)));
+    assert!(registry.should_move_work(&id(1)));
     registry.put(&info(1), NOW);
-    assert!(!registry.is_parting(&id(1)));
+    assert!(!registry.should_move_work(&id(1)));
 }
 
 // A failure domain is out. Its endpoints get nothing, and are back as soon as it is.
@@ -116,12 +116,12 @@
 fn oldest_version_serves_first() {
     let mut registry = Registry::new();
     registry.replace(&[of(1, "v2", 50), of(2, "v1", 20), of(3, "v1", 70)], false, NOW);
-    registry.set_versions(registry.provisional(false, NOW));
+    registry.set_versions(registry.provisional_rules(false, NOW));
     assert_eq!([1, 2, 3].map(|n| registry.may_send(&id(n))), [false, true, true]);
-    registry.set_versions(registry.provisional(true, NOW));
+    registry.set_versions(registry.provisional_rules(true, NOW));
     assert!(registry.may_send(&id(1)));
     registry.replace(&[of(1, "v2", 50)], false, NOW);
-    assert!(registry.provisional(false, NOW).is_empty());
+    assert!(registry.provisional_rules(false, NOW).is_empty());
 }
 
 // Endpoints of a new version register while the watch of orders has gone silent. They get nothing until the order
@@ -134,8 +134,8 @@
     assert!(registry.is_first_of_version(&of(2, "v2", 90)));
     let later = |ms| NOW.after(Duration::from_millis(ms));
     registry.put(&of(2, "v2", 90), later(5_000));
-    registry.set_versions(registry.provisional(true, later(5_500)));
+    registry.set_versions(registry.provisional_rules(true, later(5_500)));
     assert_eq!([1, 2].map(|n| registry.may_send(&id(n))), [true, false]);
-    registry.set_versions(registry.provisional(true, later(6_000)));
+    registry.set_versions(registry.provisional_rules(true, later(6_000)));
     assert_eq!([1, 2].map(|n| registry.may_send(&id(n))), [true, true]);
 }
--- a/tests/suite/state/rollouts.rs
+++ b/tests/suite/state/rollouts.rs
@@ -84,11 +84,12 @@
     let mut table = RolloutTable::new();
     table.put(&stored(10, Some(RolloutState::InProgress)), NOW);
     table.hear(&notice(10, RolloutPhase::Reverting), NOW);
-    let wanted: Vec<_> = table.unwritten().into_iter().map(|c| (c.revision, c.state)).collect();
+    let wanted: Vec<_> =
+        table.unwritten_states().into_iter().map(|c| (c.revision, c.state)).collect();
     assert_eq!(wanted, [(10, RolloutState::Reverted)]);
     table.put(&stored(11, Some(RolloutState::Completed)), NOW);
     assert_eq!(phase(&table), Some(RolloutPhase::Completed));
-    assert!(table.unwritten().is_empty());
+    assert!(table.unwritten_states().is_empty());
 }
 
 // The operator changes the version while a roll-out runs. The new order begins anew, and a late word of the
@@ -116,7 +117,7 @@
     // Whoever has not read the object can't write its state.
     let mut heard = RolloutTable::new();
     heard.hear(&notice(0, RolloutPhase::Reverting), NOW);
-    assert!(heard.unwritten().is_empty());
+    assert!(heard.unwritten_states().is_empty());
 }
 
 // An instance starts while a roll-out runs, later than its order. Taken for as young as the instance itself, the
--- a/tests/suite/state/sources.rs
+++ b/tests/suite/state/sources.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::peer::{FleetBeacon, Revisions, Seat};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::fleet_view::{FleetView, Reach};
+use nutmeggrade_state::fleet_view::{FleetView, SourceScope};
 
 use super::heartbeat::heartbeat;
 
@@ -45,7 +45,7 @@
 }
 
 /// Returns whom an instance asks for the change.
-fn source(own: u16, has_read: &BTreeSet<u16>, reach: Reach) -> Option<u16> {
+fn source(own: u16, has_read: &BTreeSet<u16>, reach: SourceScope) -> Option<u16> {
     let is_ahead = |revisions: &Revisions| revisions.config > OLD;
     let (address, is_near) =
         view(own, has_read).source(is_ahead, reach, usize::from(own / DOMAINS), NOW)?;
@@ -59,7 +59,7 @@
 fn change_crosses_to_each_domain_once() {
     let has_read = BTreeSet::from([0]);
     let askers: Vec<u16> =
-        (1..ALL).filter(|n| source(*n, &has_read, Reach::Near).is_some()).collect();
+        (1..ALL).filter(|n| source(*n, &has_read, SourceScope::Near).is_some()).collect();
     let far = askers.iter().filter(|n| domain(**n) != domain(0));
     assert_eq!(far.count(), usize::from(DOMAINS) - 1);
 }
@@ -70,7 +70,7 @@
     let has_read: BTreeSet<u16> = (0..25).collect();
     let asked: BTreeSet<u16> = (25..ALL)
         .map(|own| {
-            let asked = source(own, &has_read, Reach::Near).expect("a neighbour");
+            let asked = source(own, &has_read, SourceScope::Near).expect("a neighbour");
             assert_eq!(domain(asked), domain(own));
             asked
         })
@@ -82,16 +82,16 @@
 #[test]
 fn whoever_has_waited_asks_far_away() {
     let has_read = BTreeSet::from([0]);
-    assert!((1..ALL).all(|own| source(own, &has_read, Reach::Everywhere) == Some(0)));
+    assert!((1..ALL).all(|own| source(own, &has_read, SourceScope::Everywhere) == Some(0)));
 }
 
 // An instance asks a peer that knows no more, or that is about to end.
 #[test]
 fn nobody_is_asked_without_need() {
-    assert_eq!(source(1, &BTreeSet::new(), Reach::Everywhere), None);
+    assert_eq!(source(1, &BTreeSet::new(), SourceScope::Everywhere), None);
     let mut view = view(1, &BTreeSet::from([6]));
     let leaving = FleetBeacon { leaving: true, ..heartbeat(&name(6), &seat(6), 11) };
     let revisions = Revisions { config: NEW, ..Revisions::default() };
     view.hear(&FleetBeacon { revisions, ..leaving }, NOW);
-    assert_eq!(view.source(|r| r.config > OLD, Reach::Everywhere, 0, NOW), None);
+    assert_eq!(view.source(|r| r.config > OLD, SourceScope::Everywhere, 0, NOW), None);
 }
