--- a/crates/nutmeggrade-state/src/claiming.rs
+++ b/crates/nutmeggrade-state/src/claiming.rs
@@ -73,8 +73,8 @@
     }
 
     /// Processes the response of the platform to the last step.
-    pub fn take(&mut self, said: StoreResponse) {
-        self.step = match said {
+    pub fn apply(&mut self, response: StoreResponse) {
+        self.step = match response {
             StoreResponse::Written(version) => ClaimStep::Decided(Claim::Send, version),
             StoreResponse::Refused => ClaimStep::GaveUp { doubt: self.doubt },
             StoreResponse::Conflict => ClaimStep::Read,
--- a/crates/nutmeggrade-state/src/orphans.rs
+++ b/crates/nutmeggrade-state/src/orphans.rs
@@ -53,7 +53,7 @@
     }
 
     /// Removes generations that were resumed at a peer.
-    pub fn hear(&mut self, resumed: &BTreeSet<GenerationId>) {
+    pub fn remove_resumed(&mut self, resumed: &BTreeSet<GenerationId>) {
         self.orphans.retain(|generation, _| !resumed.contains(generation));
     }
 
--- a/crates/nutmeggrade-state/src/settling.rs
+++ b/crates/nutmeggrade-state/src/settling.rs
@@ -52,8 +52,8 @@
     }
 
     /// Processes the response of the platform to the last step.
-    pub fn take(&mut self, said: &StoreResponse) {
-        self.step = match said {
+    pub fn apply(&mut self, response: &StoreResponse) {
+        self.step = match response {
             StoreResponse::Written(_) => SettleStep::Settled,
             StoreResponse::Conflict => SettleStep::Read,
             // Absent: a claim in doubt may still take effect.
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -164,7 +164,7 @@
     }
 
     /// Replaces the suspects that a peer reported.
-    pub fn hear(&mut self, peer: &InstanceId, suspects: &[Suspect], now: Moment) {
+    pub fn apply_report(&mut self, peer: &InstanceId, suspects: &[Suspect], now: Moment) {
         let from_suspect = |s: &Suspect| {
             let from_crash = |c: &Crash| CrashRecord {
                 engine: c.engine.clone(),
--- a/crates/nutmeggrade/src/service/records.rs
+++ b/crates/nutmeggrade/src/service/records.rs
@@ -31,7 +31,7 @@
             ClaimStep::Read => read(node, place).await,
             ClaimStep::Decided(..) | ClaimStep::GaveUp { .. } => return,
         };
-        claiming.take(said);
+        claiming.apply(said);
     }
 }
 
@@ -74,7 +74,7 @@
             SettleStep::Read => read(node, place).await,
             SettleStep::Wait | SettleStep::Settled => return,
         };
-        settling.take(&said);
+        settling.apply(&said);
     }
 }
 
--- a/crates/nutmeggrade/src/tasks/hearing.rs
+++ b/crates/nutmeggrade/src/tasks/hearing.rs
@@ -34,8 +34,8 @@
         (fresh, members.quorum_since(size))
     };
     if fresh {
-        lock(&node.tables.suspects).hear(&beacon.instance, &beacon.suspects, now);
-        lock(&node.tables.orphans).hear(&beacon.resumed);
+        lock(&node.tables.suspects).apply_report(&beacon.instance, &beacon.suspects, now);
+        lock(&node.tables.orphans).remove_resumed(&beacon.resumed);
         let is_behind = lock(&node.tables.config).note(beacon.config);
         if !is_behind {
             lock(&node.tables.fence).record_peer_contact(together);
--- a/tests/suite/random/intents.rs
+++ b/tests/suite/random/intents.rs
@@ -209,13 +209,13 @@
         let intent = claiming.intent().clone();
         match claiming.step().clone() {
             ClaimStep::Create => {
-                claiming.take(self.write(Write { key, expected: None, intent }, fate));
+                claiming.apply(self.write(Write { key, expected: None, intent }, fate));
             }
             ClaimStep::Replace(version) => {
                 let expected = Some(version);
-                claiming.take(self.write(Write { key, expected, intent }, fate));
+                claiming.apply(self.write(Write { key, expected, intent }, fate));
             }
-            ClaimStep::Read => claiming.take(self.read(node, key, fate, seen)),
+            ClaimStep::Read => claiming.apply(self.read(node, key, fate, seen)),
             ClaimStep::Decided(Claim::Send, version) => {
                 self.tables[node].claimed(nonce);
                 return Some(Work::Send { intent, version });
@@ -288,9 +288,9 @@
                 let write =
                     Write { key, expected: Some(version), intent: settling.intent().clone() };
                 let said = self.write(write, fate);
-                settling.take(&said);
+                settling.apply(&said);
             }
-            SettleStep::Read => settling.take(&self.read(node, key, fate, seen)),
+            SettleStep::Read => settling.apply(&self.read(node, key, fate, seen)),
             // A claim in doubt is given up after a while.
             SettleStep::Wait if answered && !seen => {
                 self.tables[node].settle(settling.intent().nonce);
--- a/tests/suite/random/suspects.rs
+++ b/tests/suite/random/suspects.rs
@@ -184,7 +184,7 @@
         while self.post.front().is_some_and(|(due, ..)| *due <= self.ticks) {
             let Some((_, from, told)) = self.post.pop_front() else { return };
             for node in (0..NODES).filter(|n| *n != from) {
-                self.tables[node].hear(&name(from), &told, now);
+                self.tables[node].apply_report(&name(from), &told, now);
             }
         }
     }
