--- a/crates/nutmeggrade-state/src/fleet_view/recipients.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/recipients.rs
@@ -97,7 +97,7 @@
         for (address, contact) in &self.contacts {
             domains.entry(contact.domain.as_ref()).or_default().push(*address);
         }
-        let mut audience = BroadcastRecipients { direct: Vec::new(), relays: Vec::new() };
+        let mut recipients = BroadcastRecipients { direct: Vec::new(), relays: Vec::new() };
         for (domain, all) in domains {
             let is_near = domain == Some(&self.seat.domain);
             let max_direct = match (is_near, relay_order) {
@@ -106,20 +106,20 @@
                 (false, _) => MAX_DIRECT_REMOTE,
             };
             if domain.is_none() || all.len() <= max_direct {
-                audience.direct.extend(all);
+                recipients.direct.extend(all);
                 continue;
             }
             let relays =
                 self.relays(domain, all.len().div_ceil(INSTANCES_PER_RELAY), relay_order, now);
             if relays.is_empty() {
-                audience.direct.extend(all);
+                recipients.direct.extend(all);
                 continue;
             }
             let part_count = u32::try_from(relays.len()).unwrap_or(1);
             let parts = (0..part_count).map(|part| Share { part, of: part_count });
-            audience.relays.extend(relays.into_iter().zip(parts));
+            recipients.relays.extend(relays.into_iter().zip(parts));
         }
-        audience
+        recipients
     }
 
     /// Selects peers of a failure domain as relays. Those that have only just started and have few
@@ -153,10 +153,10 @@
         if self.contacts.len() <= MAX_FULL_FANOUT || announced >= super::MAX_INTRODUCED_PEERS {
             return None;
         }
-        let newcomer = intro.seat.beacon;
+        let new_peer = intro.seat.beacon;
         let known = |(a, c): (&SocketAddr, &Contact)| c.domain.clone().map(|d| (*a, d));
         let all: Vec<(SocketAddr, DomainId)> =
-            self.contacts.iter().filter(|(a, _)| **a != newcomer).filter_map(known).collect();
+            self.contacts.iter().filter(|(a, _)| **a != new_peer).filter_map(known).collect();
         // Each peer that replies starts at another contact, so that the replies together cover the
         // fleet.
         let mut others = Contacts::new();
@@ -165,7 +165,7 @@
         {
             others.entry(domain).or_default().push(address);
         }
-        Some((newcomer, others))
+        Some((new_peer, others))
     }
 
     /// Lists the neighbours in one part of the failure domain, to forward a message to.
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -94,8 +94,8 @@
             self.learn(entry);
         }
         let Some(peer) = self.peers.get_mut(&beacon.instance) else { return false };
-        let same_life = peer.entry.incarnation == beacon.incarnation;
-        if !same_life || beacon.sequence <= peer.sequence {
+        let same_incarnation = peer.entry.incarnation == beacon.incarnation;
+        if !same_incarnation || beacon.sequence <= peer.sequence {
             return false;
         }
         peer.heard = Some(now);
@@ -181,15 +181,15 @@
 
     /// Returns whether one incarnation of an instance is live, which includes this one.
     pub fn is_alive(&self, instance: &InstanceId, incarnation: u64, now: Moment) -> bool {
-        let same = |e: &Entry| e.instance == *instance && e.incarnation == incarnation;
-        same(&self.own_entry) || self.recently_heard(now).any(|p| same(&p.entry))
+        let is_match = |e: &Entry| e.instance == *instance && e.incarnation == incarnation;
+        is_match(&self.own_entry) || self.recently_heard(now).any(|p| is_match(&p.entry))
     }
 
     /// Returns whether every peer echoed a heartbeat sent at or after `at`; a peer silent for
-    /// longer than `gone` is skipped.
-    pub fn all_heard(&self, at: Moment, gone: Duration, now: Moment) -> bool {
+    /// longer than `max_silence` is skipped.
+    pub fn all_heard(&self, at: Moment, max_silence: Duration, now: Moment) -> bool {
         let answered = |p: &Peer| p.last_contact.is_some_and(|contact| contact >= at);
-        let is_gone = |p: &Peer| p.heard.is_none_or(|heard| now.since(heard) > gone);
+        let is_gone = |p: &Peer| p.heard.is_none_or(|heard| now.since(heard) > max_silence);
         self.peers.values().all(|p| answered(p) || is_gone(p))
     }
 
--- a/crates/nutmeggrade-state/src/orphans.rs
+++ b/crates/nutmeggrade-state/src/orphans.rs
@@ -65,15 +65,16 @@
         recent.into_iter().map(|(g, _)| *g).take(MAX_ANNOUNCED).collect()
     }
 
-    /// Removes and returns the generations to cancel. `heard` returns whether every peer was heard
-    /// from at or after a moment.
+    /// Removes and returns the generations to cancel. `all_heard` returns whether every peer was
+    /// heard from at or after a moment.
     pub fn due(
         &mut self,
         now: Moment,
-        heard: impl Fn(Moment) -> bool,
+        all_heard: impl Fn(Moment) -> bool,
     ) -> Vec<(GenerationId, SocketAddr)> {
-        let is_due =
-            |o: &Orphan| now.since(o.since) > RESUME_GRACE && heard(o.since.after(RESUME_GRACE));
+        let is_due = |o: &Orphan| {
+            now.since(o.since) > RESUME_GRACE && all_heard(o.since.after(RESUME_GRACE))
+        };
         let due: Vec<_> =
             self.orphans.iter().filter(|(_, o)| is_due(o)).map(|(g, o)| (*g, o.address)).collect();
         for (generation, _) in &due {
--- a/crates/nutmeggrade-state/src/registry.rs
+++ b/crates/nutmeggrade-state/src/registry.rs
@@ -90,7 +90,7 @@
 #[derive(Debug, Default)]
 pub struct Registry {
     endpoints: BTreeMap<EndpointId, Registered>,
-    out: BTreeSet<DomainId>,
+    out_domains: BTreeSet<DomainId>,
     versions: BTreeMap<ServiceId, VersionRule>,
 }
 
@@ -177,12 +177,12 @@
 
     /// Replaces the failure domains that are out of service.
     pub fn set_out_domains(&mut self, out: &BTreeSet<DomainId>) {
-        self.out.clone_from(out);
+        self.out_domains.clone_from(out);
     }
 
     /// Returns the failure domains that are out of service.
     pub const fn out(&self) -> &BTreeSet<DomainId> {
-        &self.out
+        &self.out_domains
     }
 
     /// Returns whether an endpoint may get new work; call it immediately before sending a request.
@@ -233,7 +233,7 @@
 
     /// Returns whether an endpoint is not leaving and its failure domain is in service.
     pub fn is_open(&self, entry: &Registered) -> bool {
-        !entry.info.leaving && !self.out.contains(&entry.info.domain)
+        !entry.info.leaving && !self.out_domains.contains(&entry.info.domain)
     }
 
     fn in_service(&self, entry: &Registered) -> bool {
