--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -14,8 +14,8 @@
 pub use recipients::{BroadcastRecipients, RelayOrder};
 pub use sources::SourceScope;
 
-/// Number of instances in a client's failure domain from which on the client is given no instances
-/// of other domains.
+/// Minimum number of instances in a client's failure domain for the client to be offered only
+/// those.
 const MIN_NEARBY_ENTRIES: usize = 3;
 /// Interval between two heartbeats of an instance. Changes of placed work are sent immediately, so
 /// this only bounds how soon a silent instance is detected.
@@ -29,8 +29,8 @@
 /// Number of instances whose heartbeats go to all peers: the current readers and the next ones in
 /// rank.
 const STANDBY_COUNT: usize = 6;
-/// Delay added for each rank before an instance takes over from readers that the store does not
-/// answer.
+/// Delay for each rank behind the standby instances before an instance takes over from readers that
+/// the store does not answer.
 const TAKEOVER_STEP: Duration = Duration::from_millis(500);
 /// Silence after which a reader of the endpoints counts as gone: three missed heartbeats. This
 /// leaves its successor most of the time in which a draining endpoint may still get its last
