--- a/crates/nutmeggrade-state/src/claiming.rs
+++ b/crates/nutmeggrade-state/src/claiming.rs
@@ -15,8 +15,8 @@
     Replace(u64),
     /// Read the record.
     Read,
-    /// The claim is decided, with the version of the record; for [`Claim::Send`] it is the own
-    /// record.
+    /// The claim is decided, with the version of the record; for [`Claim::Send`] it is this
+    /// attempt's record.
     Decided(Claim, u64),
     /// The platform could not be reached; `doubt` if a write may still take effect later.
     GaveUp {
--- a/crates/nutmeggrade-state/src/cold_load.rs
+++ b/crates/nutmeggrade-state/src/cold_load.rs
@@ -35,9 +35,9 @@
 ///
 /// Its reports lag: they miss a generation that this instance sent after the report was taken and
 /// still contain one that has ended since, and generations sent by an earlier owner may run for
-/// long. Relying on the report or the own count alone would overload the endpoint. So all reported
-/// generations that are not provably this instance's count as others', and a released slot counts
-/// until a later report.
+/// long. Relying on the report alone or on the local count alone would overload the endpoint. So
+/// all reported generations that are not provably this instance's count as others', and a released
+/// slot counts until a later report.
 #[derive(Debug, Default)]
 pub struct ColdLoad {
     sample: Option<LoadSample>,
--- a/crates/nutmeggrade-state/src/fence.rs
+++ b/crates/nutmeggrade-state/src/fence.rs
@@ -10,8 +10,8 @@
 /// force and would send work into a failure domain that was taken out of service; the symptom is
 /// requests at that domain's engines after the change. Only two kinds of evidence count: an answer
 /// of the platform about the configuration, as of the moment of the request, and contact with more
-/// than half of the instances, as of the own heartbeats that they echoed. During an outage of the
-/// platform all instances hear from each other and continue; a minority that is partitioned
+/// than half of the instances, as of this instance's heartbeats that they echoed. During an outage
+/// of the platform all instances hear from each other and continue; a minority that is partitioned
 /// together stops. After `limit` without either, new work is rejected. A process that resumes after
 /// a freeze sees the gap on its monotonic clock before it sends anything, and messages buffered
 /// meanwhile do not reopen the fence.
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -262,7 +262,7 @@
     }
 
     /// Returns whether this instance would be a reader if all instances could reach the store.
-    /// While nobody can, these instances retry often and the others rarely.
+    /// While none can, these instances retry often and the others rarely.
     pub fn is_preferred_reader(&self, now: Moment) -> bool {
         self.count_before(now, |p| !p.leaving) < READER_COUNT
     }
--- a/crates/nutmeggrade-state/src/fleet_view/recipients.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/recipients.rs
@@ -17,8 +17,8 @@
 const MAX_MISSED_TURNS: u32 = 3;
 /// Fleet size up to which each heartbeat goes to all peers.
 const MAX_FULL_FANOUT: usize = 16;
-/// Minimum number of peers in the own failure domain that each heartbeat goes to in a larger fleet,
-/// in rotation.
+/// Minimum number of peers in the sender's failure domain that each heartbeat goes to in a larger
+/// fleet, in rotation.
 const MIN_NEAR_FANOUT: usize = 8;
 /// Number of peers in other failure domains that each heartbeat goes to in a larger fleet. Traffic
 /// between failure domains is expensive: at 88 instances, with 16 peers chosen regardless of
@@ -34,7 +34,7 @@
 /// 400 endpoints, sent to each neighbour separately, occupied its 10 Mbit/s link for four seconds.
 const INSTANCES_PER_RELAY: usize = 24;
 /// Maximum number of neighbours to which a sender sends changes of placed work directly. Most work
-/// is placed in the own failure domain, and scheduling decisions that miss the last few
+/// is placed in the sender's failure domain, and scheduling decisions that miss the last few
 /// milliseconds cost time where memory is short.
 const MAX_DIRECT_NEIGHBOURS: usize = 96;
 /// Maximum number of addresses in the reply to a new instance; at 20 bytes each they fit into one
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -111,7 +111,7 @@
         true
     }
 
-    /// Records the send time of an own heartbeat.
+    /// Records the send time of a heartbeat of this instance.
     pub fn note_sent(&mut self, sequence: u64, now: Moment) {
         self.sent.push_back((sequence, now));
         if self.sent.len() > MAX_SENT_HEARTBEATS {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Returns the last heartbeat received from each peer, for the next own heartbeat.
+    /// Returns the last heartbeat received from each peer, for this instance's next heartbeat.
     pub fn echoes(&self) -> BTreeMap<InstanceId, Echo> {
         let echo = |p: &Peer| Echo { incarnation: p.entry.incarnation, sequence: p.sequence };
         let heard = self.peers.iter().filter(|(_, p)| p.heard.is_some());
@@ -129,7 +129,7 @@
     /// Returns the latest moment at which this instance was in contact with a majority of `size`
     /// instances, itself included; `None` if it never was.
     ///
-    /// A peer counts as of the own heartbeat that it echoed, not as of the arrival of its
+    /// A peer counts as of this instance's heartbeat that it echoed, not as of the arrival of its
     /// heartbeat: a process that was frozen finds minutes of old heartbeats in its buffers, and by
     /// their arrival all peers would seem to be alive.
     pub fn quorum_since(&self, size: usize) -> Option<Moment> {
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -16,7 +16,8 @@
 const CRASH_MERGE_WINDOW: Duration = Duration::from_secs(3);
 /// Time without a heartbeat after which a peer's trials are ignored.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Maximum number of suspect requests in the own table and per peer; the oldest is evicted first.
+/// Maximum number of suspect requests in this instance's table and per peer; the oldest is evicted
+/// first.
 const MAX_REQUESTS: usize = 128;
 
 /// Identifies one waiting request within this instance.
