--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -223,7 +223,7 @@
     }
 
     async fn finish(&mut self) -> TransferEnd {
-        if let Some(rest) = self.splitter.take_rest()
+        if let Some(rest) = self.splitter.take_partial()
             && self.sender.send(Piece::Bytes(rest)).await.is_err()
         {
             return TransferEnd::ClientGone;
@@ -236,7 +236,8 @@
     /// Starts to migrate the generation if its endpoint is leaving and its engine supports it.
     fn migrate_if_leaving(&self) -> Option<Migration> {
         self.engine.filter(|e| e.moves)?;
-        let is_leaving = lock(&self.node.tables).registry.is_parting(&self.reservation.endpoint.id);
+        let is_leaving =
+            lock(&self.node.tables).registry.should_move_work(&self.reservation.endpoint.id);
         is_leaving.then(|| Migration::start(self))
     }
 
--- a/crates/nutmeggrade-state/src/audit_log.rs
+++ b/crates/nutmeggrade-state/src/audit_log.rs
@@ -1,4 +1,4 @@
-//! Entries of the audit trail on their way to the platform, and the latest ones for operators.
+//! Queue of audit entries to write to the platform, and the latest entries for operators.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,55 +6,56 @@
 use nutmeggrade_core::audit::{AuditEntry, AuditEvent};
 use nutmeggrade_core::prelude::*;
 
-/// Entries that wait for the platform; the oldest is given up when there are more.
+/// Maximum number of entries that wait for the platform; the oldest is dropped when there are more.
 pub const MAX_PENDING: usize = 64;
-/// Latest entries that are kept for operators during an outage.
+/// Number of latest entries that are kept for operators during an outage.
 pub const MAX_RECENT: usize = 256;
-/// Time in which an event that says the same is only counted.
-pub const QUIET: Duration = Duration::from_mins(1);
-/// Longest detail, in bytes.
-const MAX_DETAIL: usize = 240;
-/// Different events that are remembered to leave out their repeats.
-const MAX_KINDS: usize = 256;
+/// Time in which repeats of an event are only counted.
+pub const REPEAT_WINDOW: Duration = Duration::from_mins(1);
+/// Maximum length of a detail, in bytes.
+const MAX_DETAIL_BYTES: usize = 240;
+/// Maximum number of different events that are stored to detect repeats.
+const MAX_EVENT_COUNTS: usize = 256;
 
 #[derive(Debug)]
-struct Kind {
-    at: Moment,
+struct EventCount {
+    first_at: Moment,
     repeats: u64,
 }
 
-/// The audit trail of one instance, bounded on every side.
+/// Audit log of one instance, with all its parts bounded.
 ///
-/// What an instance refuses, it may refuse thousands of times a second: a script with a wrong token,
-/// callers of an instance that is cut off. Were each a write, the platform would be overrun by its
-/// own trail and one would notice changes that take long; were each kept, the instance would run out
-/// of memory in an outage. Repeats within a minute are counted, not kept.
+/// An instance may reject thousands of requests a second: a script with a wrong token, or the
+/// callers of an isolated instance. If each rejection were written, the platform would be
+/// overloaded by audit entries and configuration changes would take long; if each were kept, the
+/// instance would run out of memory in an outage. Repeats within a minute are therefore only
+/// counted.
 #[derive(Debug)]
 pub struct AuditLog {
-    own: InstanceId,
+    own_id: InstanceId,
     incarnation: u64,
-    count: u64,
-    lost: u64,
+    last_number: u64,
+    dropped: u64,
     pending: VecDeque<AuditEntry>,
     recent: VecDeque<AuditEntry>,
-    kinds: BTreeMap<(AuditEvent, String), Kind>,
+    event_counts: BTreeMap<(AuditEvent, String), EventCount>,
 }
 
 impl AuditLog {
-    /// Makes an empty log of one life of an instance.
-    pub fn new(own: &InstanceId, incarnation: u64) -> Self {
+    /// Creates an empty log for one incarnation of an instance.
+    pub fn new(own_id: &InstanceId, incarnation: u64) -> Self {
         Self {
-            own: own.clone(),
+            own_id: own_id.clone(),
             incarnation,
-            count: 0,
-            lost: 0,
+            last_number: 0,
+            dropped: 0,
             pending: VecDeque::new(),
             recent: VecDeque::new(),
-            kinds: BTreeMap::new(),
+            event_counts: BTreeMap::new(),
         }
     }
 
-    /// Notes an event; returns the entry unless it only repeats one of the last minute.
+    /// Records an event; returns the new entry, or `None` for a repeat within the last minute.
     pub fn note(
         &mut self,
         event: AuditEvent,
@@ -63,30 +64,30 @@
         at_ms: u64,
         now: Moment,
     ) -> Option<&AuditEntry> {
-        let detail = detail[..detail.floor_char_boundary(MAX_DETAIL)].to_owned();
-        let repeats = self.repeats(event, &detail, now)?;
-        self.count += 1;
+        let detail = detail[..detail.floor_char_boundary(MAX_DETAIL_BYTES)].to_owned();
+        let repeats = self.count_repeat(event, &detail, now)?;
+        self.last_number += 1;
         let entry = AuditEntry {
-            instance: self.own.clone(),
+            instance: self.own_id.clone(),
             incarnation: self.incarnation,
-            number: self.count,
+            number: self.last_number,
             at_ms,
             config,
             event,
             detail,
             repeats,
         };
-        self.lost += push(&mut self.pending, entry.clone(), MAX_PENDING);
-        push(&mut self.recent, entry, MAX_RECENT);
+        self.dropped += push_bounded(&mut self.pending, entry.clone(), MAX_PENDING);
+        push_bounded(&mut self.recent, entry, MAX_RECENT);
         self.recent.back()
     }
 
-    /// Returns the oldest entry that the platform does not have yet.
+    /// Returns the oldest entry that is not yet written to the platform.
     pub fn first_pending(&self) -> Option<&AuditEntry> {
         self.pending.front()
     }
 
-    /// Notes that the platform has an entry.
+    /// Removes an entry from the queue after it was written to the platform.
     pub fn written(&mut self, number: u64) {
         self.pending.retain(|e| e.number != number);
     }
@@ -96,22 +97,24 @@
         self.recent.iter()
     }
 
-    /// Returns how many entries were given up because the platform was away for too long.
+    /// Returns the number of entries that were dropped because the platform was unavailable for too
+    /// long.
     pub const fn lost(&self) -> u64 {
-        self.lost
+        self.dropped
     }
 
-    /// Counts an event; `None` if it only repeats one of the last minute.
-    fn repeats(&mut self, event: AuditEvent, detail: &str, now: Moment) -> Option<u64> {
-        self.kinds.retain(|_, k| k.repeats > 0 || now.since(k.at) < QUIET);
-        if self.kinds.len() >= MAX_KINDS {
-            self.kinds.clear();
+    /// Returns the number of suppressed repeats before this event; `None` if it is itself a repeat
+    /// within the last minute.
+    fn count_repeat(&mut self, event: AuditEvent, detail: &str, now: Moment) -> Option<u64> {
+        self.event_counts.retain(|_, c| c.repeats > 0 || now.since(c.first_at) < REPEAT_WINDOW);
+        if self.event_counts.len() >= MAX_EVENT_COUNTS {
+            self.event_counts.clear();
         }
-        let fresh = Kind { at: now, repeats: 0 };
-        match self.kinds.insert((event, detail.to_owned()), fresh) {
-            Some(old) if now.since(old.at) < QUIET => {
-                let kept = Kind { at: old.at, repeats: old.repeats + 1 };
-                self.kinds.insert((event, detail.to_owned()), kept);
+        let first = EventCount { first_at: now, repeats: 0 };
+        match self.event_counts.insert((event, detail.to_owned()), first) {
+            Some(old) if now.since(old.first_at) < REPEAT_WINDOW => {
+                let updated = EventCount { first_at: old.first_at, repeats: old.repeats + 1 };
+                self.event_counts.insert((event, detail.to_owned()), updated);
                 None
             }
             Some(old) => Some(old.repeats),
@@ -120,10 +123,10 @@
     }
 }
 
-/// Adds an entry and returns how many old ones had to go.
-fn push(list: &mut VecDeque<AuditEntry>, entry: AuditEntry, most: usize) -> u64 {
+/// Adds an entry and returns the number of old ones that were dropped.
+fn push_bounded(list: &mut VecDeque<AuditEntry>, entry: AuditEntry, max_len: usize) -> u64 {
     list.push_back(entry);
-    if list.len() <= most {
+    if list.len() <= max_len {
         return 0;
     }
     list.pop_front();
--- a/crates/nutmeggrade-state/src/endpoint_table.rs
+++ b/crates/nutmeggrade-state/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints as this instance sees them.
+//! Table of the endpoints, as seen by this instance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,35 +7,35 @@
 
 use crate::invariant;
 
-/// Addresses that are kept, those of endpoints that left the list included.
+/// Maximum number of stored addresses, including those of endpoints that are no longer listed.
 const MAX_ADDRESSES: usize = 16_384;
-/// Looks at the list in a row that show a leaving endpoint as live before it counts as live again:
-/// a minute by default, longer than the list lags.
-pub const RETURN_LOOKS: u32 = 60;
+/// Number of consecutive listings that must show a leaving endpoint as live before it counts as
+/// live again: a minute by default, which is longer than the listing lags.
+pub const RETURN_LISTINGS: u32 = 60;
 
-/// Endpoints from the platform's lagging list, less what operators took out.
+/// Endpoints from the platform's lagging listing, and those that operators took out of service.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     listed: BTreeMap<EndpointId, Endpoint>,
-    known: bool,
+    has_list: bool,
     out_domains: BTreeSet<DomainId>,
     out_endpoints: BTreeSet<EndpointId>,
     addresses: BTreeMap<EndpointId, SocketAddr>,
-    said_leaving: BTreeSet<EndpointId>,
-    listed_live: BTreeMap<EndpointId, u32>,
+    announced_leaving: BTreeSet<EndpointId>,
+    live_listings: BTreeMap<EndpointId, u32>,
 }
 
 impl EndpointTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Replaces the list.
+    /// Replaces the listing.
     ///
-    /// The list lags, so an endpoint already seen as leaving stays so until the list drops it or has
-    /// shown it as live for long; else an older answer would bring it back and it would get new work
-    /// while it goes.
+    /// The listing lags, so an endpoint seen as leaving stays so until the listing drops it or has
+    /// shown it as live for long. Otherwise an older answer would revert it, and it would get new
+    /// work while it shuts down.
     pub fn set_list(&mut self, list: &[Endpoint]) {
         let mut listed = BTreeMap::new();
         for endpoint in list {
@@ -44,7 +44,7 @@
             let was_leaving = old.is_some_and(|o| {
                 o.state == EndpointState::Leaving && o.address == endpoint.address
             });
-            if was_leaving && !self.stays(&endpoint) {
+            if was_leaving && !self.has_returned(&endpoint) {
                 endpoint.state = EndpointState::Leaving;
             }
             listed.insert(endpoint.id.clone(), endpoint);
@@ -54,65 +54,67 @@
         }
         self.addresses.extend(listed.values().map(|e| (e.id.clone(), e.address)));
         self.listed = listed;
-        self.known = true;
-        self.said_leaving.retain(|e| self.listed.contains_key(e));
-        self.listed_live.retain(|e, _| self.listed.contains_key(e));
+        self.has_list = true;
+        self.announced_leaving.retain(|e| self.listed.contains_key(e));
+        self.live_listings.retain(|e, _| self.listed.contains_key(e));
     }
 
-    /// Says whether a list was read yet, be it empty.
+    /// Returns whether a listing was read, even an empty one.
     pub const fn is_known(&self) -> bool {
-        self.known
+        self.has_list
     }
 
-    /// Says whether an endpoint seen as leaving was listed as live often enough to stay after all.
-    fn stays(&mut self, endpoint: &Endpoint) -> bool {
-        let looks = self.listed_live.entry(endpoint.id.clone()).or_default();
-        *looks = if endpoint.state == EndpointState::Live { *looks + 1 } else { 0 };
-        *looks >= RETURN_LOOKS
+    /// Returns whether an endpoint seen as leaving was listed as live often enough to count as live
+    /// again.
+    fn has_returned(&mut self, endpoint: &Endpoint) -> bool {
+        let live_count = self.live_listings.entry(endpoint.id.clone()).or_default();
+        *live_count = if endpoint.state == EndpointState::Live { *live_count + 1 } else { 0 };
+        *live_count >= RETURN_LISTINGS
     }
 
-    /// Takes an endpoint's own word on whether it is about to go, which comes before the list's.
+    /// Records whether an endpoint announces its own shutdown, which is earlier than the listing.
     pub fn note_leaving(&mut self, id: &EndpointId, leaving: bool) {
         if leaving {
-            self.said_leaving.insert(id.clone());
+            self.announced_leaving.insert(id.clone());
         } else {
-            self.said_leaving.remove(id);
+            self.announced_leaving.remove(id);
         }
     }
 
-    /// Takes a peer's list if there is none yet.
-    pub fn start_with(&mut self, list: &[Endpoint]) {
+    /// Sets the listing from a peer's if there is none yet.
+    pub fn init_list(&mut self, list: &[Endpoint]) {
         if self.listed.is_empty() {
             self.set_list(list);
         }
     }
 
-    /// Takes over what operators have out.
+    /// Applies which failure domains and endpoints are out of service.
     pub fn set_config(&mut self, config: &Configuration) {
         self.out_domains.clone_from(&config.out_domains);
         self.out_endpoints.clone_from(&config.out_endpoints);
     }
 
-    /// Says whether new work may go to an endpoint; asked immediately before it is sent.
+    /// Returns whether new work may go to an endpoint; call it immediately before sending.
     pub fn may_send(&self, id: &EndpointId) -> bool {
         let Some(endpoint) = self.listed.get(id) else { return false };
-        let may = self.in_service(endpoint);
-        let is_leaving = self.said_leaving.contains(id) || endpoint.state == EndpointState::Leaving;
+        let is_allowed = self.in_service(endpoint);
+        let is_leaving =
+            self.announced_leaving.contains(id) || endpoint.state == EndpointState::Leaving;
         let is_out = self.out_endpoints.contains(id) || self.out_domains.contains(&endpoint.domain);
-        invariant::check(!(may && is_leaving), "leaving_gets_no_work");
-        invariant::check(!(may && is_out), "out_gets_no_work");
-        may
+        invariant::check(!(is_allowed && is_leaving), "leaving_gets_no_work");
+        invariant::check(!(is_allowed && is_out), "out_gets_no_work");
+        is_allowed
     }
 
-    /// Returns an endpoint that is listed, in service or not.
+    /// Returns a listed endpoint, in service or not.
     pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.listed.get(id)
     }
 
-    /// Returns where an endpoint is, or was when it was last listed.
+    /// Returns the current or last listed address of an endpoint.
     ///
-    /// The list drops an endpoint while its last streams still run; a caller that resumes one then
-    /// would be told that its generation is gone.
+    /// The listing drops an endpoint while its last streams still run. Without the last address, a
+    /// caller that resumes one of them would be told that its generation is gone.
     pub fn address(&self, id: &EndpointId) -> Option<SocketAddr> {
         self.addresses.get(id).copied()
     }
@@ -122,10 +124,10 @@
         self.listed.values()
     }
 
-    /// Says whether a listed endpoint may get new work.
+    /// Returns whether a listed endpoint may get new work.
     pub fn in_service(&self, endpoint: &Endpoint) -> bool {
         endpoint.state == EndpointState::Live
-            && !self.said_leaving.contains(&endpoint.id)
+            && !self.announced_leaving.contains(&endpoint.id)
             && !self.out_domains.contains(&endpoint.domain)
             && !self.out_endpoints.contains(&endpoint.id)
     }
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -1,4 +1,4 @@
-//! The instances of the system as this one sees them.
+//! Table of the peer instances, built from heartbeats and the platform.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,53 +6,59 @@
 use nutmeggrade_core::peer::{Beacon, Echo, Entry};
 use nutmeggrade_core::prelude::*;
 
-/// Own heartbeats whose time of sending is remembered; an older echo counts for nothing.
-const SENT: usize = 128;
+/// Number of own heartbeats whose send time is stored; echoes of older ones are ignored.
+const MAX_SENT_HEARTBEATS: usize = 128;
 
 #[derive(Debug, Clone)]
 struct Peer {
     entry: Entry,
     heard: Option<Moment>,
     sequence: u64,
-    config: u64,
+    config_version: u64,
     leaving: bool,
     in_flight: BTreeMap<EndpointId, u32>,
-    platform: Option<Duration>,
-    as_of: Option<Moment>,
+    platform_age: Option<Duration>,
+    last_contact: Option<Moment>,
 }
 
 /// An instance that may be a member of the next epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its incarnation.
+    /// Incarnation of the instance.
     pub incarnation: u64,
     /// Whether it can write the epoch.
-    pub hears_platform: bool,
+    pub platform_reachable: bool,
 }
 
-/// Peers, when each was last heard, and what it said.
+/// Table of the peers with their last heartbeats.
 #[derive(Debug)]
 pub struct Membership {
-    own: Entry,
-    silence: Duration,
+    own_entry: Entry,
+    timeout: Duration,
     peers: BTreeMap<InstanceId, Peer>,
     sent: VecDeque<(u64, Moment)>,
 }
 
 impl Membership {
-    /// Makes a table with no peers; one silent for longer than `silence` counts as gone.
-    pub fn new(own: &Entry, silence: Duration) -> Self {
-        Self { own: own.clone(), silence, peers: BTreeMap::new(), sent: VecDeque::new() }
+    /// Creates a table without peers; a peer silent for longer than `timeout` counts as gone.
+    pub fn new(own_entry: &Entry, timeout: Duration) -> Self {
+        Self {
+            own_entry: own_entry.clone(),
+            timeout,
+            peers: BTreeMap::new(),
+            sent: VecDeque::new(),
+        }
     }
 
     /// Returns this instance's own entry.
     pub const fn own(&self) -> &Entry {
-        &self.own
+        &self.own_entry
     }
 
-    /// Learns of an instance from the platform; says whether it is new or in a newer life.
+    /// Adds an instance listed by the platform; returns whether it is new or has a newer
+    /// incarnation.
     pub fn learn(&mut self, entry: &Entry) -> bool {
-        if entry.instance == self.own.instance {
+        if entry.instance == self.own_entry.instance {
             return false;
         }
         let known = self.peers.get(&entry.instance);
@@ -63,150 +69,152 @@
             entry: entry.clone(),
             heard: None,
             sequence: 0,
-            config: 0,
+            config_version: 0,
             leaving: false,
             in_flight: BTreeMap::new(),
-            platform: None,
-            as_of: None,
+            platform_age: None,
+            last_contact: None,
         };
         self.peers.insert(entry.instance.clone(), peer);
         true
     }
 
-    /// Forgets an instance that removed itself from the platform.
+    /// Removes an instance that deregistered itself from the platform.
     pub fn forget(&mut self, instance: &InstanceId) -> Option<Entry> {
         self.peers.remove(instance).map(|p| p.entry)
     }
 
-    /// Takes a heartbeat; says whether it was fresh. Old, repeated and own ones are dropped, and those
-    /// of a life whose addresses are not known yet.
+    /// Processes a heartbeat; returns whether it was fresh. Old, repeated and own heartbeats are
+    /// dropped, and those of an incarnation whose addresses are unknown.
     pub fn hear(&mut self, beacon: &Beacon, now: Moment) -> bool {
-        if beacon.instance == self.own.instance {
+        if beacon.instance == self.own_entry.instance {
             return false;
         }
         if let Some(entry) = &beacon.entry {
             self.learn(entry);
         }
         let Some(peer) = self.peers.get_mut(&beacon.instance) else { return false };
-        let same_life = peer.entry.incarnation == beacon.incarnation;
-        if !same_life || beacon.sequence <= peer.sequence {
+        let same_incarnation = peer.entry.incarnation == beacon.incarnation;
+        if !same_incarnation || beacon.sequence <= peer.sequence {
             return false;
         }
         peer.heard = Some(now);
         peer.sequence = beacon.sequence;
-        peer.config = beacon.config;
+        peer.config_version = beacon.config;
         peer.leaving = beacon.leaving;
         peer.in_flight.clone_from(&beacon.in_flight);
-        peer.platform = beacon.platform;
-        let echo = beacon.echoes.get(&self.own.instance);
-        let echo = echo.filter(|e| e.incarnation == self.own.incarnation);
+        peer.platform_age = beacon.platform;
+        let echo = beacon.echoes.get(&self.own_entry.instance);
+        let echo = echo.filter(|e| e.incarnation == self.own_entry.incarnation);
         let sent = echo.and_then(|e| self.sent.iter().find(|(n, _)| *n == e.sequence));
-        peer.as_of = peer.as_of.max(sent.map(|(_, at)| *at));
+        peer.last_contact = peer.last_contact.max(sent.map(|(_, at)| *at));
         true
     }
 
-    /// Notes when an own heartbeat is about to be sent.
+    /// Records the send time of a heartbeat of this instance.
     pub fn note_sent(&mut self, sequence: u64, now: Moment) {
         self.sent.push_back((sequence, now));
-        if self.sent.len() > SENT {
+        if self.sent.len() > MAX_SENT_HEARTBEATS {
             self.sent.pop_front();
         }
     }
 
-    /// Lists the last heartbeat heard of each peer, for the next own one.
+    /// Returns the last heartbeat received from each peer, for this instance's next heartbeat.
     pub fn echoes(&self) -> BTreeMap<InstanceId, Echo> {
         let echo = |p: &Peer| Echo { incarnation: p.entry.incarnation, sequence: p.sequence };
         let heard = self.peers.iter().filter(|(_, p)| p.heard.is_some());
         heard.map(|(instance, p)| (instance.clone(), echo(p))).collect()
     }
 
-    /// Returns the moment as of which this instance was together with more than half of `size`
+    /// Returns the latest moment at which this instance was in contact with a majority of `size`
     /// instances, itself included; `None` if it never was.
     ///
-    /// A peer counts as of the own heartbeat that it answered, not as of the arrival of its word: a
-    /// process that was frozen finds minutes of old heartbeats in its buffers, and by their arrival
-    /// all peers would seem to be there.
-    pub fn together_since(&self, size: usize) -> Option<Moment> {
-        let mut answered: Vec<Moment> = self.peers.values().filter_map(|p| p.as_of).collect();
+    /// A peer counts as of this instance's heartbeat that it echoed, not as of the arrival of its
+    /// heartbeat: a process that was frozen finds minutes of old heartbeats in its buffers, and by
+    /// their arrival all peers would seem to be alive.
+    pub fn quorum_since(&self, size: usize) -> Option<Moment> {
+        let mut answered: Vec<Moment> =
+            self.peers.values().filter_map(|p| p.last_contact).collect();
         answered.sort_unstable_by(|a, b| b.cmp(a));
-        let needed = (size / 2).max(1);
-        answered.get(needed - 1).copied()
+        let majority_peers = (size / 2).max(1);
+        answered.get(majority_peers - 1).copied()
     }
 
-    /// Lists the peers that are known and not heard lately.
+    /// Lists the known peers without a recent heartbeat.
     pub fn silent(&self, now: Moment) -> Vec<Entry> {
         let silent = self.peers.values().filter(|p| !self.is_live(&p.entry.instance, now));
         silent.map(|p| p.entry.clone()).collect()
     }
 
-    /// Counts the instances that are known, this one included.
+    /// Returns the number of known instances, including this one.
     pub fn known(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Lists the peers that may be members of the next epoch, and which of them heard the platform
-    /// within `patience`.
-    pub fn candidates(&self, patience: Duration, now: Moment) -> BTreeMap<InstanceId, Candidate> {
+    /// Lists the peers that may be members of the next epoch, with whether each had contact with
+    /// the platform within `max_age`.
+    pub fn candidates(&self, max_age: Duration, now: Moment) -> BTreeMap<InstanceId, Candidate> {
         let candidate = |p: &Peer| Candidate {
             incarnation: p.entry.incarnation,
-            hears_platform: p.platform.is_some_and(|age| age <= patience),
+            platform_reachable: p.platform_age.is_some_and(|age| age <= max_age),
         };
-        let open = self.heard_lately(now).filter(|p| !p.leaving);
-        open.map(|p| (p.entry.instance.clone(), candidate(p))).collect()
+        let eligible = self.recently_heard(now).filter(|p| !p.leaving);
+        eligible.map(|p| (p.entry.instance.clone(), candidate(p))).collect()
     }
 
-    /// Lists the peers heard lately.
+    /// Lists the peers with a recent heartbeat.
     pub fn live(&self, now: Moment) -> Vec<&Entry> {
-        self.heard_lately(now).map(|p| &p.entry).collect()
+        self.recently_heard(now).map(|p| &p.entry).collect()
     }
 
-    /// Lists the peers that callers may be sent to: heard lately and not leaving.
+    /// Lists the peers that callers may be sent to: those with a recent heartbeat that are not
+    /// leaving.
     pub fn open(&self, now: Moment) -> Vec<&Entry> {
-        self.heard_lately(now).filter(|p| !p.leaving).map(|p| &p.entry).collect()
+        self.recently_heard(now).filter(|p| !p.leaving).map(|p| &p.entry).collect()
     }
 
-    /// Says whether an instance is known to be in service, this one included.
+    /// Returns whether an instance is live, which includes this one.
     pub fn is_live(&self, instance: &InstanceId, now: Moment) -> bool {
-        *instance == self.own.instance
-            || self.heard_lately(now).any(|p| p.entry.instance == *instance)
+        *instance == self.own_entry.instance
+            || self.recently_heard(now).any(|p| p.entry.instance == *instance)
     }
 
-    /// Says whether one life of an instance is known to be in service, this one included.
+    /// Returns whether one incarnation of an instance is live, which includes this one.
     pub fn is_alive(&self, instance: &InstanceId, incarnation: u64, now: Moment) -> bool {
-        let same = |e: &Entry| e.instance == *instance && e.incarnation == incarnation;
-        same(&self.own) || self.heard_lately(now).any(|p| same(&p.entry))
+        let is_match = |e: &Entry| e.instance == *instance && e.incarnation == incarnation;
+        is_match(&self.own_entry) || self.recently_heard(now).any(|p| is_match(&p.entry))
     }
 
-    /// Says whether every peer answered a heartbeat sent at or after `at`; one silent for longer than `gone` counts as
-    /// gone.
-    pub fn all_heard(&self, at: Moment, gone: Duration, now: Moment) -> bool {
-        let answered = |p: &Peer| p.as_of.is_some_and(|as_of| as_of >= at);
-        let is_gone = |p: &Peer| p.heard.is_none_or(|heard| now.since(heard) > gone);
+    /// Returns whether every peer echoed a heartbeat sent at or after `at`; a peer silent for
+    /// longer than `max_silence` is skipped.
+    pub fn all_heard(&self, at: Moment, max_silence: Duration, now: Moment) -> bool {
+        let answered = |p: &Peer| p.last_contact.is_some_and(|contact| contact >= at);
+        let is_gone = |p: &Peer| p.heard.is_none_or(|heard| now.since(heard) > max_silence);
         self.peers.values().all(|p| answered(p) || is_gone(p))
     }
 
-    /// Lists the peers that have at least this version of the configuration in force.
+    /// Lists the peers whose configuration in force has at least this version.
     pub fn holders(&self, version: u64) -> Vec<Entry> {
-        let holders = self.peers.values().filter(|p| p.config >= version);
+        let holders = self.peers.values().filter(|p| p.config_version >= version);
         holders.map(|p| p.entry.clone()).collect()
     }
 
-    /// Lists what version each live instance has in force.
+    /// Returns the configuration version in force on each live peer.
     pub fn configs(&self, now: Moment) -> BTreeMap<InstanceId, u64> {
-        self.heard_lately(now).map(|p| (p.entry.instance.clone(), p.config)).collect()
+        self.recently_heard(now).map(|p| (p.entry.instance.clone(), p.config_version)).collect()
     }
 
-    /// Sums what live peers have in flight at each endpoint.
+    /// Returns the number of requests that live peers have in flight at each endpoint.
     pub fn in_flight(&self, now: Moment) -> BTreeMap<EndpointId, u32> {
         let mut sums = BTreeMap::new();
-        for (endpoint, count) in self.heard_lately(now).flat_map(|p| &p.in_flight) {
+        for (endpoint, count) in self.recently_heard(now).flat_map(|p| &p.in_flight) {
             *sums.entry(endpoint.clone()).or_default() += count;
         }
         sums
     }
 
-    fn heard_lately(&self, now: Moment) -> impl Iterator<Item = &Peer> {
-        let recent = move |at: Moment| now.since(at) <= self.silence;
+    fn recently_heard(&self, now: Moment) -> impl Iterator<Item = &Peer> {
+        let recent = move |at: Moment| now.since(at) <= self.timeout;
         self.peers.values().filter(move |p| p.heard.is_some_and(recent))
     }
 }
--- a/crates/nutmeggrade-state/src/rollout/entry.rs
+++ b/crates/nutmeggrade-state/src/rollout/entry.rs
@@ -1,4 +1,4 @@
-//! One roll-out as one instance knows it.
+//! State of one roll-out, as seen by one instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,42 +10,43 @@
 
 use super::peer_count::PeerCount;
 
-/// Time for which a part of the requests stays granted: a few heartbeats of whoever grants it. An instance
-/// that hears no more of it sends the new version nothing.
-const GRANTED: Duration = Duration::from_secs(1);
-/// Time in which an order has to be decided that gives none.
-const DEFAULT_DURATION: Duration = Duration::from_mins(1);
+/// Validity of a granted share of the requests: a few heartbeats of the granting instance. An
+/// instance that hears of no further grant sends nothing to the new version.
+const GRANT_VALIDITY: Duration = Duration::from_secs(1);
+/// Time limit for the decision if the order sets none.
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_mins(1);
 
-/// One roll-out as one instance knows it.
+/// State of one roll-out, as seen by one instance.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct RolloutEntry {
     /// The order.
     pub order: RolloutOrder,
-    /// Newest revision of the store's object that is known.
+    /// Newest known revision of the store object.
     pub revision: u64,
-    /// The last phase that the store stands for.
-    pub stored: RolloutPhase,
-    /// Whether a state was written.
+    /// The last phase recorded in the store.
+    pub stored_phase: RolloutPhase,
+    /// Whether the store records that the roll-out has begun.
     pub is_begun: bool,
-    /// How far it is.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// How old the order was at a moment of this instance's clock, which may have begun after it.
-    known: (Moment, Duration),
-    /// When this instance learned that it is over; unset if it was so from the start.
-    pub over: Option<Moment>,
-    /// What this instance counted.
-    pub own: RolloutTally,
-    /// What peers counted, by life.
-    pub peers: BTreeMap<(InstanceId, u64), PeerCount>,
-    /// What the evidence says, where this instance judges it.
+    /// Age of the order at a moment of this instance's clock, which may have started after the
+    /// order.
+    known_age: (Moment, Duration),
+    /// When this instance learned that the roll-out is over; `None` if it was over when first seen.
+    pub over_since: Option<Moment>,
+    /// Counts of this instance.
+    pub own_tally: RolloutTally,
+    /// Counts of the peers, by incarnation.
+    pub peer_counts: BTreeMap<(InstanceId, u64), PeerCount>,
+    /// Verdict on the evidence, if this instance is the judge.
     pub verdict: &'static str,
     share: f64,
-    until: Moment,
-    grants: f64,
+    granted_until: Moment,
+    own_grant: f64,
 }
 
-impl Entry {
-    /// Makes an entry of an order that is `age` old, as the store's object is at a revision.
+impl RolloutEntry {
+    /// Creates the entry of an order of the given age, from the store object at a revision.
     pub fn new(
         (order, revision): (&RolloutOrder, u64),
         phase: RolloutPhase,
@@ -55,49 +56,49 @@
         Self {
             order: order.clone(),
             revision,
-            stored: RolloutPhase::Held,
+            stored_phase: RolloutPhase::Held,
             is_begun: false,
             phase,
-            known: (now, age),
-            over: None,
-            own: RolloutTally::default(),
-            peers: BTreeMap::new(),
+            known_age: (now, age),
+            over_since: None,
+            own_tally: RolloutTally::default(),
+            peer_counts: BTreeMap::new(),
             verdict: "",
             share: 0.0,
-            until: Moment::ZERO,
-            grants: 0.0,
+            granted_until: Moment::ZERO,
+            own_grant: 0.0,
         }
     }
 
-    /// Takes what the store says; says whether the phase changed.
-    pub fn take(&mut self, stored: &StoredRollout, now: Moment) -> bool {
+    /// Applies the stored roll-out; returns whether the phase changed.
+    pub fn apply_stored(&mut self, stored: &StoredRollout, now: Moment) -> bool {
         if stored.revision < self.revision {
             return false;
         }
         self.revision = stored.revision;
         self.order = stored.order.clone();
-        self.stored = self.stored.max(stored.phase);
+        self.stored_phase = self.stored_phase.max(stored.phase);
         self.is_begun |= stored.is_begun;
         self.advance(stored.phase, now)
     }
 
-    /// Enters a later phase; says whether it is one.
+    /// Enters a phase if it is later than the current one; returns whether it is.
     pub fn advance(&mut self, phase: RolloutPhase, now: Moment) -> bool {
         if phase <= self.phase {
             return false;
         }
         self.phase = phase;
         if phase.is_over() {
-            self.over.get_or_insert(now);
+            self.over_since.get_or_insert(now);
         }
         true
     }
 
-    /// Takes a peer's word; says whether the phase changed.
-    pub fn hear(&mut self, notice: &RolloutNotice, now: Moment) -> bool {
+    /// Applies a peer's notice; returns whether the phase changed.
+    pub fn apply_notice(&mut self, notice: &RolloutNotice, now: Moment) -> bool {
         self.revision = self.revision.max(notice.revision);
         if notice.age > self.age(now) {
-            self.known = (now, notice.age);
+            self.known_age = (now, notice.age);
         }
         if notice.share > 0.0 {
             self.set_share(f64::from(notice.share), now);
@@ -105,64 +106,68 @@
         self.advance(notice.phase, now)
     }
 
-    /// Grants a part of the requests to the new version, for peers to hear.
+    /// Grants a share of the requests to the new version, for the peers too.
     pub fn grant(&mut self, share: f64, now: Moment) {
-        self.grants = share;
+        self.own_grant = share;
         self.set_share(share, now);
     }
 
-    /// Grants nothing any more, as another instance judges.
+    /// Stops granting, because another instance judges.
     pub fn stop_granting(&mut self) {
-        self.grants = 0.0;
+        self.own_grant = 0.0;
     }
 
     fn set_share(&mut self, share: f64, now: Moment) {
         self.share = share;
-        self.until = now.after(GRANTED);
+        self.granted_until = now.after(GRANT_VALIDITY);
     }
 
-    /// Returns the part of the requests that may go to the new version now.
+    /// Returns the share of the requests that may currently go to the new version.
     pub fn share(&self, now: Moment) -> f64 {
-        if self.phase == RolloutPhase::Canary && now <= self.until { self.share } else { 0.0 }
+        if self.phase == RolloutPhase::Canary && now <= self.granted_until {
+            self.share
+        } else {
+            0.0
+        }
     }
 
-    /// Returns how long the order is known in the fleet.
+    /// Returns how long the order has been known in the fleet.
     pub fn age(&self, now: Moment) -> Duration {
-        let (at, age) = self.known;
+        let (at, age) = self.known_age;
         age + now.since(at)
     }
 
-    /// Returns the time in which it has to be decided.
-    pub fn duration(&self) -> Duration {
-        let given = self.order.duration;
-        if given.is_zero() { DEFAULT_DURATION } else { given }
+    /// Returns the time limit for the decision.
+    pub fn time_limit(&self) -> Duration {
+        let time_limit = self.order.duration;
+        if time_limit.is_zero() { DEFAULT_TIME_LIMIT } else { time_limit }
     }
 
-    /// Returns the order as it lies in the store.
+    /// Returns the order as recorded in the store.
     pub fn stored_rollout(&self) -> StoredRollout {
         StoredRollout {
             order: self.order.clone(),
             revision: self.revision,
-            phase: self.stored,
+            phase: self.stored_phase,
             is_begun: self.is_begun,
         }
     }
 
-    /// Returns what peers are told.
-    #[expect(clippy::cast_possible_truncation, reason = "a part needs few digits")]
+    /// Returns the notice for the peers.
+    #[expect(clippy::cast_possible_truncation, reason = "f32 is precise enough for a share")]
     pub fn notice(&self, now: Moment) -> RolloutNotice {
         RolloutNotice {
             order: self.order.clone(),
             revision: self.revision,
             phase: self.phase,
-            share: if self.phase == RolloutPhase::Canary { self.grants as f32 } else { 0.0 },
+            share: if self.phase == RolloutPhase::Canary { self.own_grant as f32 } else { 0.0 },
             age: self.age(now),
         }
     }
 
-    /// Returns the state that the store should hold but does not.
-    pub fn unwritten(&self) -> Option<RolloutState> {
-        if self.stored.is_over() {
+    /// Returns the state that the store should contain but does not.
+    pub fn unwritten_state(&self) -> Option<RolloutState> {
+        if self.stored_phase.is_over() {
             return None;
         }
         match self.phase {
@@ -175,12 +180,12 @@
         }
     }
 
-    /// Returns what this instance and its peers counted.
+    /// Returns the combined counts of this instance and its peers.
     pub fn tally(&self) -> RolloutTally {
-        let mut all = self.own.clone();
-        for peer in self.peers.values() {
-            all.merge(&peer.tally);
+        let mut total = self.own_tally.clone();
+        for peer in self.peer_counts.values() {
+            total.merge(&peer.tally);
         }
-        all
+        total
     }
 }
--- a/crates/nutmeggrade-state/src/rollout/surroundings.rs
+++ b/crates/nutmeggrade-state/src/rollout/service_load.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a service that moves to another version.
+//! Load of the endpoints of a service during a roll-out.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
@@ -9,40 +9,40 @@
 /// Load of one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointLoad {
-    /// Requests that it works on at a time.
+    /// Number of requests that it can process at a time.
     pub slots: u32,
-    /// Requests that all instances have there.
+    /// Number of requests of all instances at the endpoint.
     pub running: u32,
-    /// Requests that this instance has there.
+    /// Number of requests of this instance at the endpoint.
     pub own: u32,
-    /// Whether what runs there can move.
+    /// Whether its running work can move.
     pub is_movable: bool,
 }
 
-/// The endpoints of a service that moves to another version.
+/// Load of the endpoints of a service during a roll-out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Surroundings {
-    /// What the endpoints can bear.
+pub struct ServiceLoad {
+    /// Capacity and load by version.
     pub capacity: Capacity,
-    /// Requests that this instance has at other versions.
+    /// Number of requests of this instance at other versions.
     pub own_running: u32,
-    /// Generations at other versions that have to move.
+    /// Number of generations at other versions that have to move.
     pub movable: u32,
 }
 
-impl Surroundings {
-    /// Looks at all endpoints of the service.
+impl ServiceLoad {
+    /// Sums the load of all endpoints of the service.
     pub fn new(
         registry: &Registry,
         (service, version): (&ServiceId, &VersionId),
         load: impl Fn(&EndpointInfo) -> EndpointLoad,
         now: Moment,
     ) -> Self {
-        let mut found = Self::default();
+        let mut sums = Self::default();
         for entry in registry.all().filter(|e| e.info.service == *service) {
             let EndpointLoad { slots, running, own, is_movable } = load(&entry.info);
             let is_open = registry.is_open(entry);
-            let capacity = &mut found.capacity;
+            let capacity = &mut sums.capacity;
             capacity.running += running;
             if entry.info.version.as_ref() == Some(version) {
                 capacity.has_new = true;
@@ -50,10 +50,10 @@
             } else {
                 capacity.has_old = true;
                 capacity.old_slots += if is_open { slots } else { 0 };
-                found.own_running += own;
-                found.movable += if is_movable { running } else { 0 };
+                sums.own_running += own;
+                sums.movable += if is_movable { running } else { 0 };
             }
         }
-        found
+        sums
     }
 }
--- a/tests/suite/random/intents.rs
+++ b/tests/suite/random/intents.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::claiming::{ClaimStep, Claiming, Said};
+use nutmeggrade_state::claiming::{ClaimStep, Claiming, StoreResponse};
 use nutmeggrade_state::intent::{Claim, Intent, Owner, Progress};
 use nutmeggrade_state::own_intents::OwnIntents;
-use nutmeggrade_state::recorded::Recorded;
+use nutmeggrade_state::recorded::RecordedAnswer;
 use nutmeggrade_state::settling::{SettleStep, Settling};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -120,7 +120,7 @@
     writes: Vec<Write>,
     calls: Vec<usize>,
     ran: [u32; KEYS],
-    answers: BTreeMap<usize, Recorded>,
+    answers: BTreeMap<usize, RecordedAnswer>,
     drawn: u8,
     nonces: u64,
 }
@@ -135,38 +135,38 @@
         self.tasks.push(Task { node, key, work: Work::Claim(Claiming::new(intent)) });
     }
 
-    fn write(&mut self, write: Write, fate: Fate) -> Said {
+    fn write(&mut self, write: Write, fate: Fate) -> StoreResponse {
         match fate {
             Fate::Works => self.apply(&write),
             Fate::AnswerLost => {
                 self.apply(&write);
-                Said::Lost
+                StoreResponse::Lost
             }
             Fate::Late => {
                 self.writes.push(write);
-                Said::Lost
+                StoreResponse::Lost
             }
-            Fate::Dropped => Said::Lost,
-            Fate::Refused => Said::Refused,
+            Fate::Dropped => StoreResponse::Lost,
+            Fate::Refused => StoreResponse::Refused,
         }
     }
 
-    fn apply(&mut self, write: &Write) -> Said {
+    fn apply(&mut self, write: &Write) -> StoreResponse {
         let found = self.records.get(&write.key).map(|(v, _)| *v);
         if found != write.expected {
-            return Said::Conflict;
+            return StoreResponse::Conflict;
         }
         let version = found.unwrap_or(0) + 1;
         self.records.insert(write.key, (version, write.intent.clone()));
-        Said::Written(version)
+        StoreResponse::Written(version)
     }
 
-    fn read(&self, node: usize, key: usize, fate: Fate, seen: bool) -> Said {
+    fn read(&self, node: usize, key: usize, fate: Fate, seen: bool) -> StoreResponse {
         if !matches!(fate, Fate::Works | Fate::Late) {
-            return Said::Lost;
+            return StoreResponse::Lost;
         }
-        let Some((version, intent)) = self.records.get(&key) else { return Said::Absent };
-        Said::Found(Box::new(intent.clone()), *version, self.owner(node, intent, seen))
+        let Some((version, intent)) = self.records.get(&key) else { return StoreResponse::Absent };
+        StoreResponse::Found(Box::new(intent.clone()), *version, self.owner(node, intent, seen))
     }
 
     /// Another instance may look gone while it is only paused, or live after it died.
@@ -209,13 +209,13 @@
         let intent = claiming.intent().clone();
         match claiming.step().clone() {
             ClaimStep::Create => {
-                claiming.take(self.write(Write { key, expected: None, intent }, fate));
+                claiming.apply(self.write(Write { key, expected: None, intent }, fate));
             }
             ClaimStep::Replace(version) => {
                 let expected = Some(version);
-                claiming.take(self.write(Write { key, expected, intent }, fate));
+                claiming.apply(self.write(Write { key, expected, intent }, fate));
             }
-            ClaimStep::Read => claiming.take(self.read(node, key, fate, seen)),
+            ClaimStep::Read => claiming.apply(self.read(node, key, fate, seen)),
             ClaimStep::Decided(Claim::Send, version) => {
                 self.tables[node].claimed(nonce);
                 return Some(Work::Send { intent, version });
@@ -251,7 +251,7 @@
             Served::Answers => {
                 self.run(key);
                 self.drawn += 1;
-                let answer = Recorded::new(200, &[self.drawn]);
+                let answer = RecordedAnswer::new(200, &[self.drawn]);
                 self.answers.insert(key, answer.clone());
                 Progress::Done { answer }
             }
@@ -288,9 +288,9 @@
                 let write =
                     Write { key, expected: Some(version), intent: settling.intent().clone() };
                 let said = self.write(write, fate);
-                settling.take(&said);
+                settling.apply(&said);
             }
-            SettleStep::Read => settling.take(&self.read(node, key, fate, seen)),
+            SettleStep::Read => settling.apply(&self.read(node, key, fate, seen)),
             // A claim in doubt is given up after a while.
             SettleStep::Wait if answered && !seen => {
                 self.tables[node].settle(settling.intent().nonce);
--- a/tests/suite/random/suspects.rs
+++ b/tests/suite/random/suspects.rs
@@ -177,14 +177,14 @@
         for node in 0..NODES {
             let beat = (self.ticks + node as u64).is_multiple_of(BEAT);
             if beat || std::mem::take(&mut self.news[node]) {
-                let told = self.tables[node].tell(now);
+                let told = self.tables[node].report(now);
                 self.post.push_back((self.ticks + u64::from(late), node, told));
             }
         }
         while self.post.front().is_some_and(|(due, ..)| *due <= self.ticks) {
             let Some((_, from, told)) = self.post.pop_front() else { return };
             for node in (0..NODES).filter(|n| *n != from) {
-                self.tables[node].hear(&name(from), &told, now);
+                self.tables[node].apply_report(&name(from), &told, now);
             }
         }
     }
