--- a/crates/nutmeggrade-policy/src/ask.rs
+++ b/crates/nutmeggrade-policy/src/ask.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the engines.
+//! A generation request, as the scheduler sees it.
 
 use std::collections::BTreeSet;
 
@@ -6,26 +6,26 @@
 
 use crate::Ticket;
 
-/// One generation that wants to run.
+/// A generation request that is to be placed on an engine.
 #[derive(Debug, Clone)]
 pub struct Ask {
-    /// Names the request inside this instance.
+    /// Identifies the request within this instance.
     pub ticket: Ticket,
-    /// Who asks.
+    /// Workspace that sent it.
     pub workspace: WorkspaceId,
-    /// What kind of answer.
+    /// Task that the answer belongs to.
     pub task: TaskId,
     /// Whether the task's answers are long.
     pub long: bool,
-    /// The model.
+    /// Requested model.
     pub model: ModelId,
-    /// Prompt length in tokens, estimated.
+    /// Estimated length of the prompt, in tokens.
     pub prompt: u64,
     /// Most tokens to generate.
     pub max_tokens: u64,
-    /// Hash of the prompt's start, for prefix affinity; 0 for none.
+    /// Hash of the start of the prompt, for prefix affinity; 0 for none.
     pub prefix: u64,
-    /// When the answer is worth nothing any more.
+    /// Time after which the answer is useless to the client.
     pub deadline: Moment,
     /// Engines that failed this request before.
     pub avoid: BTreeSet<EndpointId>,
--- a/crates/nutmeggrade-policy/src/cold_watch.rs
+++ b/crates/nutmeggrade-policy/src/cold_watch.rs
@@ -1,70 +1,71 @@
-//! Whether an engine that reports to be warm has turned cold.
+//! Detection of engines that turn cold while their reports still say warm.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-/// Steps in a row that must all be slow. A prompt being read slows one to three steps in a row.
-const STEPS: u32 = 4;
-/// How much slower than usual; engines in cold start are about three times slower, and a batch twice
-/// as large not even one and a half times.
-const FACTOR: f64 = 2.2;
-/// Weight of a step in the usual gap.
-const NEW: f64 = 1.0 / 64.0;
-/// Steps until the usual gap is known.
-const LEARN: u32 = 32;
-/// How long the suspicion outlasts the last slow step, if a report contradicts it; a stream that ends
-/// must not lift it at once.
-const HOLD: Duration = Duration::from_millis(500);
+/// Consecutive steps that must all be slow. A prompt being read slows one to three consecutive
+/// steps.
+const MIN_SLOW_STEPS: u32 = 4;
+/// Gap, as a multiple of the mean, above which a step counts as slow. Engines in cold start are
+/// about three times slower; doubling the batch slows an engine less than one and a half times.
+const SLOW_STEP_FACTOR: f64 = 2.2;
+/// Weight of a step in the mean gap.
+const STEP_WEIGHT: f64 = 1.0 / 64.0;
+/// Steps measured before the mean gap is used.
+const MIN_MEASURED_STEPS: u32 = 32;
+/// Time for which the suspicion outlasts the last slow step if a report contradicts it; the end of
+/// a stream must not clear it at once.
+const SUSPICION_TTL: Duration = Duration::from_millis(500);
 
-/// Notices from own streams that an engine turned cold, before any report says so.
+/// Detects from this instance's streams that an engine turned cold, before any report shows it.
 ///
-/// Answers a warm engine that restarts or loses its caches without a word. Reports lag by up to
-/// seconds, a cold engine falls over under the first request too many, and all its streams are lost.
-/// Four slow steps in a row take a sixth of a second.
+/// A warm engine may restart or lose its caches without notice. Reports lag by up to seconds, and a
+/// cold engine crashes at the first request above its limit and loses all its streams. Four
+/// consecutive slow steps take a sixth of a second.
 #[derive(Debug, Clone, Default)]
 pub struct ColdWatch {
-    usual: f64,
-    seen: u32,
-    slow: u32,
-    last: Moment,
-    until: Moment,
+    mean_gap: f64,
+    measured_steps: u32,
+    slow_steps: u32,
+    last_step: Moment,
+    suspect_until: Moment,
 }
 
 impl ColdWatch {
-    /// Makes a watch that knows no usual gap yet.
+    /// Creates a detector without measurements.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a gap; several streams show the same step at the same time, which counts once.
+    /// Records a gap. Several streams show the same step at the same time, which counts once.
     pub fn gap(&mut self, gap: Duration, now: Moment) {
-        if now == self.last {
+        if now == self.last_step {
             return;
         }
-        self.last = now;
+        self.last_step = now;
         let gap = gap.as_secs_f64();
-        if self.seen >= LEARN && gap > self.usual * FACTOR {
-            self.slow += 1;
-            if self.slow >= STEPS {
-                self.until = now.after(HOLD);
+        if self.measured_steps >= MIN_MEASURED_STEPS && gap > self.mean_gap * SLOW_STEP_FACTOR {
+            self.slow_steps += 1;
+            if self.slow_steps >= MIN_SLOW_STEPS {
+                self.suspect_until = now.after(SUSPICION_TTL);
             }
             return;
         }
-        self.slow = 0;
-        self.seen += 1;
-        let weight = NEW.max(1.0 / f64::from(self.seen));
-        self.usual += weight * (gap - self.usual);
+        self.slow_steps = 0;
+        self.measured_steps += 1;
+        let weight = STEP_WEIGHT.max(1.0 / f64::from(self.measured_steps));
+        self.mean_gap += weight * (gap - self.mean_gap);
     }
 
-    /// Says whether the engine must be taken for cold.
+    /// Returns whether the engine must be treated as cold.
     pub fn is_suspect(&self, now: Moment) -> bool {
-        now < self.until
+        now < self.suspect_until
     }
 
-    /// Returns the usual gap, or what most engines show while nothing is known.
+    /// Returns the mean gap, or that of most engines before enough steps have been measured.
     pub fn usual(&self) -> Duration {
-        let known = if self.seen >= LEARN { self.usual } else { 0.015 };
-        Duration::from_secs_f64(known)
+        let seconds = if self.measured_steps >= MIN_MEASURED_STEPS { self.mean_gap } else { 0.015 };
+        Duration::from_secs_f64(seconds)
     }
 }
--- a/crates/nutmeggrade-policy/src/dispatch.rs
+++ b/crates/nutmeggrade-policy/src/dispatch.rs
@@ -1,10 +1,10 @@
-//! Where requests that clients send through routes go, which wait and which are turned away.
+//! Dispatch of routed requests: which endpoint they go to, which wait and which are refused.
 
 mod candidate;
 mod dispatcher;
 mod failure_rate;
 mod health;
-mod line_key;
+mod lane_key;
 mod load_book;
 mod need;
 mod room;
--- a/crates/nutmeggrade-policy/src/dispatch/candidate.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/candidate.rs
@@ -2,19 +2,19 @@
 
 use nutmeggrade_core::prelude::*;
 
-/// An endpoint that may get new work, as the deciding code sees it.
+/// An endpoint that may get new work, as the dispatcher sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// The endpoint.
+    /// Endpoint ID.
     pub id: EndpointId,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: DomainId,
-    /// Requests that it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Its key/value memory in tokens, if it is an engine.
+    /// Capacity of its key/value cache in tokens, if it is an engine.
     pub memory: Option<u64>,
-    /// Requests that this instance may send it in the running second, if it is cold.
+    /// Requests that this instance may still send it in the current second, if it is cold.
     pub cold_left: Option<u32>,
-    /// Whether only requests that are drawn for a new version may go there.
+    /// Whether it accepts only requests that are selected for a new version.
     pub is_canary: bool,
 }
--- a/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The decision about each request.
+//! Placement, queueing and refusal of requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,64 +7,67 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::line_key::LineKey;
+use super::lane_key::LaneKey;
 use super::{Candidate, LoadBook, Need, Placed, failing_penalty, fits, score};
 use crate::queue::Lane;
 use crate::wait::WaitEstimate;
 use crate::{Spread, Ticket};
 
-/// Most that chance adds to an endpoint's score. Instances that see the same load then don't all
-/// choose the same endpoint between two heartbeats.
-const CHANCE: f64 = 0.04;
-/// How much another failure domain counts, as a part of an endpoint's capacity: bytes between
-/// domains cost more and take a millisecond longer, which must not outweigh real load.
-const FAR: f64 = 0.15;
-/// How much another failure domain counts for a copy, which takes twice as long between domains
-/// while the engine that it comes from is about to go.
-const FAR_COPY: f64 = 0.35;
-/// Time after which the refused come back while the queue's own pace is not known.
-const RETURN: Duration = Duration::from_millis(400);
-/// Longest time that the refused are told; a client with less time left would not come back.
-const LONGEST_RETURN: Duration = Duration::from_secs(3);
-
-/// What is decided about a request.
+/// Upper bound of the random part of an endpoint's score. It keeps instances that see the same load
+/// from all choosing the same endpoint between two heartbeats.
+const MAX_RANDOM_PENALTY: f64 = 0.04;
+/// Score penalty of an endpoint in another failure domain, as a fraction of an endpoint's capacity.
+/// Traffic between domains costs more and takes a millisecond longer, which must not outweigh real
+/// load.
+const CROSS_DOMAIN_PENALTY: f64 = 0.15;
+/// The same for a copy of a generation's memory, which takes twice as long between domains while
+/// the engine that it comes from is about to leave.
+const CROSS_DOMAIN_COPY_PENALTY: f64 = 0.35;
+/// Retry delay for refused requests while no wait estimate exists.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Longest retry delay; a client with less time left would not retry.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
+
+/// Decision about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Offer {
     /// Send it to this endpoint.
     Go(EndpointId),
-    /// It waits; a later [`Dispatcher::release`] decides.
+    /// Keep it in the queue until [`Dispatcher::release`] decides.
     Wait,
-    /// No endpoint could run it, or none soon enough; when to come back.
+    /// Refuse it, since no endpoint can run it, or none soon enough; the client may retry after
+    /// this delay.
     Refuse(Duration),
 }
 
-/// Decides where requests go, in which order those that find no room get it, and who is turned away.
+/// Places requests on endpoints, queues those that find no room, and refuses those that would wait
+/// too long.
 ///
-/// Answers more load than the endpoints bear. Without it requests queue at the endpoints, where the
-/// urgent are behind the others, the largest workspace holds every place and memory runs out in the
-/// middle of answers. Here the urgent go first; among equals whoever got least so far is next.
+/// Without it, excess requests queue at the endpoints, where urgent ones wait behind others, the
+/// largest workspace takes every slot and memory runs out in the middle of answers. Here requests
+/// are served by priority and, within a priority, fairly across workspaces.
 #[derive(Debug)]
 pub struct Dispatcher {
-    /// Who has how much where.
+    /// Load of each endpoint from this instance and its peers.
     pub book: LoadBook,
     domain: DomainId,
     candidates: BTreeMap<ServiceId, Vec<Candidate>>,
-    lanes: BTreeMap<LineKey, Lane<Need>>,
-    waits: BTreeMap<LineKey, WaitEstimate>,
-    spread: Spread,
+    lanes: BTreeMap<LaneKey, Lane<Need>>,
+    wait_estimates: BTreeMap<LaneKey, WaitEstimate>,
+    jitter: Spread,
     rng: ChaCha8Rng,
 }
 
 impl Dispatcher {
-    /// Makes a dispatcher of an instance in `domain` that knows no endpoint yet.
+    /// Creates a dispatcher for an instance in `domain`, without endpoints.
     pub fn new(domain: &DomainId, seed: u64) -> Self {
         Self {
             book: LoadBook::new(),
             domain: domain.clone(),
             candidates: BTreeMap::new(),
             lanes: BTreeMap::new(),
-            waits: BTreeMap::new(),
-            spread: Spread::new(seed),
+            wait_estimates: BTreeMap::new(),
+            jitter: Spread::new(seed),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -74,49 +77,49 @@
         self.candidates = candidates;
     }
 
-    /// Decides about a new request. `patience` is the longest that it may wait.
-    pub fn offer(&mut self, need: &Need, patience: Duration, now: Moment) -> Offer {
-        if !self.is_behind_others(need)
-            && let Some(endpoint) = self.choose(need, now)
+    /// Decides about a new request, which may wait for at most `patience`.
+    pub fn offer(&mut self, request: &Need, patience: Duration, now: Moment) -> Offer {
+        if !self.must_queue(request)
+            && let Some(endpoint) = self.choose(request, now)
         {
-            self.place(need, &endpoint);
+            self.place(request, &endpoint);
             return Offer::Go(endpoint);
         }
-        if !self.can_ever_run(need) {
-            return Offer::Refuse(self.spread.draw(RETURN));
+        if !self.can_ever_run(request) {
+            return Offer::Refuse(self.jitter.draw(DEFAULT_RETRY_DELAY));
         }
-        let key = LineKey::fresh(&need.service, need.priority);
-        let set_back = LineKey::late(&need.service, need.priority);
-        let behind = self.lanes.get(&set_back).map_or(0, Lane::len);
+        let key = LaneKey::on_time(&request.service, request.priority);
+        let late_key = LaneKey::late(&request.service, request.priority);
+        let late_waiting = self.lanes.get(&late_key).map_or(0, Lane::len);
         let lane = self.lanes.entry(key.clone()).or_default();
-        let ahead = lane.ahead(&need.workspace) + behind + 1;
-        let estimate = self.waits.get(&key).and_then(|w| w.wait(ahead));
+        let ahead = lane.ahead(&request.workspace) + late_waiting + 1;
+        let estimate = self.wait_estimates.get(&key).and_then(|w| w.wait(ahead));
         if let Some(wait) = estimate
             && wait > patience
         {
-            return Offer::Refuse(self.spread.draw(wait.min(LONGEST_RETURN) / 2));
+            return Offer::Refuse(self.jitter.draw(wait.min(MAX_RETRY_DELAY) / 2));
         }
-        lane.push(need);
+        lane.push(request);
         Offer::Wait
     }
 
-    /// Gives room that has become free to those who wait, the most urgent first.
+    /// Places waiting requests where room is free, the most urgent first.
     pub fn release(&mut self, now: Moment) -> Vec<(Ticket, EndpointId)> {
         let mut released = Vec::new();
-        self.set_back(now);
-        let keys: Vec<LineKey> = self.lanes.keys().cloned().collect();
+        self.move_late(now);
+        let keys: Vec<LaneKey> = self.lanes.keys().cloned().collect();
         for key in keys {
             let mut count = 0;
-            while let Some((need, endpoint)) = self.next(&key, now) {
-                self.place(&need, &endpoint);
+            while let Some((request, endpoint)) = self.take_next(&key, now) {
+                self.place(&request, &endpoint);
                 if let Some(lane) = self.lanes.get_mut(&key) {
-                    lane.take(need.ticket, need.memory.max(1) as f64);
+                    lane.take(request.ticket, request.memory.max(1) as f64);
                 }
-                released.push((need.ticket, endpoint));
+                released.push((request.ticket, endpoint));
                 count += 1;
             }
             let is_idle = self.lanes.get(&key).is_none_or(Lane::is_empty);
-            let wait = self.waits.entry(key).or_default();
+            let wait = self.wait_estimates.entry(key).or_default();
             wait.released(count, now);
             if is_idle {
                 wait.idle(now);
@@ -126,114 +129,120 @@
         released
     }
 
-    /// Takes a request out that gave up waiting; returns when it may come back.
-    pub fn give_up(&mut self, need: &Need) -> Duration {
-        let key = LineKey::fresh(&need.service, need.priority);
-        for key in [&key, &LineKey::late(&need.service, need.priority)] {
+    /// Removes a request whose client gave up waiting; returns its retry delay.
+    pub fn give_up(&mut self, request: &Need) -> Duration {
+        let key = LaneKey::on_time(&request.service, request.priority);
+        for key in [&key, &LaneKey::late(&request.service, request.priority)] {
             if let Some(lane) = self.lanes.get_mut(key) {
-                lane.remove(need.ticket);
+                lane.remove(request.ticket);
             }
         }
-        let ahead = self.lanes.get(&key).map_or(0, |lane| lane.ahead(&need.workspace));
-        let wait = self.waits.get(&key).and_then(|w| w.wait(ahead));
-        self.spread.draw(wait.map_or(RETURN, |w| w.min(LONGEST_RETURN) / 2))
+        let ahead = self.lanes.get(&key).map_or(0, |lane| lane.ahead(&request.workspace));
+        let wait = self.wait_estimates.get(&key).and_then(|w| w.wait(ahead));
+        self.jitter.draw(wait.map_or(DEFAULT_RETRY_DELAY, |w| w.min(MAX_RETRY_DELAY) / 2))
     }
 
-    /// Chooses an endpoint for what is already running elsewhere and goes on there, past the queue.
-    pub fn choose_move(&mut self, need: &Need, now: Moment) -> Option<EndpointId> {
-        self.choose(need, now)
+    /// Selects an endpoint for a generation that moves there from another, bypassing the queue.
+    pub fn choose_move(&mut self, request: &Need, now: Moment) -> Option<EndpointId> {
+        self.choose(request, now)
     }
 
-    /// Draws when somebody that can't be served at all may come back.
+    /// Draws the retry delay of a request that no endpoint can serve.
     pub fn return_time(&mut self) -> Duration {
-        self.spread.draw(RETURN)
+        self.jitter.draw(DEFAULT_RETRY_DELAY)
     }
 
-    /// Counts those who wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.lanes.values().map(Lane::len).sum()
     }
 
-    /// Notes that a request goes to an endpoint.
-    pub fn place(&mut self, need: &Need, endpoint: &EndpointId) {
-        let placed = Placed { requests: 1, memory: need.memory, reading: need.prompt, moving: 0 };
-        self.book.place(need.ticket, endpoint, placed);
-        let all = self.candidates.get_mut(&need.service).into_iter().flatten();
-        for candidate in all.filter(|c| c.id == *endpoint) {
+    /// Records that a request goes to an endpoint.
+    pub fn place(&mut self, request: &Need, endpoint: &EndpointId) {
+        let placed =
+            Placed { requests: 1, memory: request.memory, reading: request.prompt, moving: 0 };
+        self.book.place(request.ticket, endpoint, placed);
+        let endpoints = self.candidates.get_mut(&request.service).into_iter().flatten();
+        for candidate in endpoints.filter(|c| c.id == *endpoint) {
             candidate.cold_left = candidate.cold_left.map(|left| left.saturating_sub(1));
         }
     }
 
-    /// Says whether others of the same or a higher rank wait for the same service.
-    fn is_behind_others(&self, need: &Need) -> bool {
-        let first = LineKey::fresh(&need.service, 0);
-        let last = LineKey::fresh(&need.service, need.priority);
+    /// Returns whether requests of the same or a higher priority wait for the same service.
+    fn must_queue(&self, request: &Need) -> bool {
+        let first = LaneKey::on_time(&request.service, 0);
+        let last = LaneKey::on_time(&request.service, request.priority);
         self.lanes.range(first..=last).any(|(_, lane)| !lane.is_empty())
     }
 
-    /// Sets back those that waited too long for an answer in time.
-    fn set_back(&mut self, now: Moment) {
+    /// Moves requests that can no longer be answered in time to the late lanes.
+    fn move_late(&mut self, now: Moment) {
         let mut late = Vec::new();
         for (key, lane) in self.lanes.iter_mut().filter(|(key, _)| !key.is_late) {
-            for ticket in lane.expired(|need| need.fresh_until <= now) {
-                late.extend(lane.remove(ticket).map(|need| (key.priority, need)));
+            for ticket in lane.expired(|request| request.fresh_until <= now) {
+                late.extend(lane.remove(ticket).map(|request| (key.priority, request)));
             }
         }
-        for (priority, need) in late {
-            self.lanes.entry(LineKey::late(&need.service, priority)).or_default().push(&need);
+        for (priority, request) in late {
+            self.lanes.entry(LaneKey::late(&request.service, priority)).or_default().push(&request);
         }
     }
 
-    /// Says whether an endpoint that is there could run the request if it had nothing else.
-    fn can_ever_run(&self, need: &Need) -> bool {
-        let all = self.candidates.get(&need.service);
-        let fits = |c: &Candidate| !c.is_canary && c.memory.is_none_or(|m| need.memory <= m);
-        all.is_some_and(|a| a.iter().any(fits))
+    /// Returns whether any endpoint could run the request if it had no other load.
+    fn can_ever_run(&self, request: &Need) -> bool {
+        let endpoints = self.candidates.get(&request.service);
+        let can_run = |c: &Candidate| !c.is_canary && c.memory.is_none_or(|m| request.memory <= m);
+        endpoints.is_some_and(|c| c.iter().any(can_run))
     }
 
-    fn next(&mut self, key: &LineKey, now: Moment) -> Option<(Need, EndpointId)> {
+    fn take_next(&mut self, key: &LaneKey, now: Moment) -> Option<(Need, EndpointId)> {
         let heads: Vec<Need> = self.lanes.get(key)?.heads().cloned().collect();
-        heads.into_iter().find_map(|need| {
-            let endpoint = self.choose(&need, now)?;
-            Some((need, endpoint))
+        heads.into_iter().find_map(|request| {
+            let endpoint = self.choose(&request, now)?;
+            Some((request, endpoint))
         })
     }
 
-    /// Chooses among the endpoints of a new version if the request is drawn for it, and else, or if none of
-    /// them has room, among all others.
-    fn choose(&mut self, need: &Need, now: Moment) -> Option<EndpointId> {
-        let canary = if need.is_canary { self.best(need, true, now) } else { None };
-        canary.or_else(|| self.best(need, false, now))
+    /// Selects among the endpoints of a new version if the request is selected for it. Otherwise,
+    /// or if none of them has room, selects among all others.
+    fn choose(&mut self, request: &Need, now: Moment) -> Option<EndpointId> {
+        let canary = if request.is_canary { self.choose_among(request, true, now) } else { None };
+        canary.or_else(|| self.choose_among(request, false, now))
     }
 
-    fn best(&mut self, need: &Need, is_canary: bool, now: Moment) -> Option<EndpointId> {
-        let candidates = self.candidates.get(&need.service)?;
-        let rested = |c: &&Candidate| !self.book.health(&c.id).is_some_and(|h| h.is_paused(now));
-        let is_open = |c: &&Candidate| c.is_canary == is_canary && !need.avoid.contains(&c.id);
+    fn choose_among(&mut self, request: &Need, is_canary: bool, now: Moment) -> Option<EndpointId> {
+        let candidates = self.candidates.get(&request.service)?;
+        let is_available =
+            |c: &&Candidate| !self.book.health(&c.id).is_some_and(|h| h.is_paused(now));
+        let is_open = |c: &&Candidate| c.is_canary == is_canary && !request.avoid.contains(&c.id);
         let open: Vec<&Candidate> = candidates.iter().filter(is_open).collect();
-        let usable: Vec<&Candidate> = open.iter().copied().filter(rested).collect();
-        // With nothing else left a paused endpoint is better than none.
+        let usable: Vec<&Candidate> = open.iter().copied().filter(is_available).collect();
+        // A paused endpoint is better than none.
         let usable = if usable.is_empty() { open } else { usable };
-        let failing = |c: &Candidate| self.book.health(&c.id).map_or(0.0, |h| h.failing(now));
-        // What fails everywhere is no endpoint's fault.
-        let usual = usable.iter().map(|c| failing(c)).fold(1.0, f64::min);
+        let failure_rate = |c: &Candidate| self.book.health(&c.id).map_or(0.0, |h| h.failing(now));
+        // The least failure rate of all endpoints is taken as caused by the requests, not by an
+        // endpoint.
+        let base_rate = usable.iter().map(|c| failure_rate(c)).fold(1.0, f64::min);
         let mut best: Option<(f64, &Candidate)> = None;
         for candidate in usable {
             let placed = self.book.at(&candidate.id);
-            if !fits(candidate, &placed, need) {
+            if !fits(candidate, &placed, request) {
                 continue;
             }
-            let trouble = self.book.health(&candidate.id).map_or(0.0, |h| h.trouble(now));
-            let chance = self.rng.random_range(0.0..CHANCE);
-            let distance = match &need.from {
-                Some(from) if *from != candidate.domain => FAR_COPY,
-                None if self.domain != candidate.domain => FAR,
+            let recent_failures = self.book.health(&candidate.id).map_or(0.0, |h| h.trouble(now));
+            let random = self.rng.random_range(0.0..MAX_RANDOM_PENALTY);
+            let domain_penalty = match &request.from {
+                Some(from) if *from != candidate.domain => CROSS_DOMAIN_COPY_PENALTY,
+                None if self.domain != candidate.domain => CROSS_DOMAIN_PENALTY,
                 _ => 0.0,
             };
-            let worse = failing_penalty(failing(candidate) - usual);
-            let found = score(candidate, &placed, trouble) + worse + distance + chance;
-            if best.is_none_or(|(least, _)| found < least) {
-                best = Some((found, candidate));
+            let failure_penalty = failing_penalty(failure_rate(candidate) - base_rate);
+            let total = score(candidate, &placed, recent_failures)
+                + failure_penalty
+                + domain_penalty
+                + random;
+            if best.is_none_or(|(least, _)| total < least) {
+                best = Some((total, candidate));
             }
         }
         best.map(|(_, candidate)| candidate.id.clone())
--- a/crates/nutmeggrade-policy/src/dispatch/failure_rate.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/failure_rate.rs
@@ -1,39 +1,39 @@
-//! The part of an endpoint's answers that are failures.
+//! Failure rate of an endpoint.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-/// Time in which an answer loses most of its weight. An endpoint that is avoided is tried again a few times as
-/// long after its last failures.
-const FADE: Duration = Duration::from_secs(4);
-/// Failures, and answers in all, that are assumed before any was counted.
-const ASSUMED: (f64, f64) = (0.5, 10.0);
+/// Time constant of the decay of an answer's weight. An endpoint that is avoided is tried again
+/// after a few times as long without failures.
+const DECAY_TIME: Duration = Duration::from_secs(4);
+/// Failures and total answers that are assumed before any was counted.
+const PRIOR_COUNTS: (f64, f64) = (0.5, 10.0);
 
-/// The part of an endpoint's answers that are failures, as several instances count them.
+/// Decaying fraction of an endpoint's answers that are failures, as counted by several instances.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FailureRate {
     failures: f64,
     answers: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl FailureRate {
-    /// Notes answers, and how many of them are failures.
+    /// Records answers and how many of them are failures.
     pub fn add(&mut self, (failures, answers): (u32, u32), now: Moment) {
-        let left = self.left(now);
-        self.failures = self.failures * left + f64::from(failures);
-        self.answers = self.answers * left + f64::from(answers);
-        self.at = now;
+        let decay = self.decay(now);
+        self.failures = self.failures * decay + f64::from(failures);
+        self.answers = self.answers * decay + f64::from(answers);
+        self.updated_at = now;
     }
 
-    /// Returns the part that are failures now.
+    /// Returns the fraction of answers that are failures at present.
     pub fn part(&self, now: Moment) -> f64 {
-        let left = self.left(now);
-        (self.failures * left + ASSUMED.0) / (self.answers * left + ASSUMED.1)
+        let decay = self.decay(now);
+        (self.failures * decay + PRIOR_COUNTS.0) / (self.answers * decay + PRIOR_COUNTS.1)
     }
 
-    fn left(&self, now: Moment) -> f64 {
-        (-(now.since(self.at).as_secs_f64() / FADE.as_secs_f64())).exp()
+    fn decay(&self, now: Moment) -> f64 {
+        (-(now.since(self.updated_at).as_secs_f64() / DECAY_TIME.as_secs_f64())).exp()
     }
 }
--- a/crates/nutmeggrade-policy/src/dispatch/health.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/health.rs
@@ -1,4 +1,4 @@
-//! Which endpoints fail.
+//! Health of an endpoint, judged by its answers.
 
 use std::time::Duration;
 
@@ -6,117 +6,120 @@
 
 use super::FailureRate;
 
-/// Time in which a failure loses most of its weight: a few heartbeats of an endpoint, after which the
-/// registry has taken out one that died.
-const FADE: Duration = Duration::from_secs(4);
-/// First pause after an endpoint that could not be reached; one round trip is a few milliseconds, so
-/// that a restarted endpoint is found again soon.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause; by then the registry knows.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// Age at which the word that an endpoint is gone is given again, if it still is: half of the pause that
-/// it brings, so that whoever heard it does not try the endpoint in between.
-const RENEWAL: Duration = Duration::from_millis(250);
-/// Part of the old weight that each success leaves.
-const FORGIVEN: f64 = 0.7;
-
-/// What an endpoint's own answers say of it.
+/// Time constant of the decay of a failure's weight: a few heartbeats of an endpoint, after which
+/// the registry has removed one that died.
+const DECAY_TIME: Duration = Duration::from_secs(4);
+/// First pause after an endpoint could not be reached. A round trip is a few milliseconds, so that
+/// a restarted endpoint is detected soon.
+const INITIAL_PAUSE: Duration = Duration::from_millis(500);
+/// Longest pause; by then the registry has removed a dead endpoint.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
+/// Interval at which the notice that an endpoint is gone is repeated while it still is: half of the
+/// pause that the notice sets, so that receivers don't try the endpoint in between.
+const GONE_NOTICE_INTERVAL: Duration = Duration::from_millis(250);
+/// Factor applied to the weight of earlier failures on each success.
+const SUCCESS_FACTOR: f64 = 0.7;
+
+/// Health of an endpoint as observed from its answers.
 ///
-/// Answers endpoints whose registration is fine while they fail or can't be reached. Without it each
-/// instance goes on sending them their share, and one notices that a fixed part of all requests
-/// fails until the registry drops the entry, or for good. An endpoint that could not be reached is
-/// left alone for a pause that doubles; one that answers with failures is only less attractive, since
-/// some kinds of request fail everywhere.
+/// An endpoint may fail or be unreachable while its registration is fine. Without this record each
+/// instance would go on sending it its share, and a fixed fraction of all requests would fail until
+/// the registry drops the entry, or permanently. An endpoint that can't be reached is paused, with
+/// the pause doubling each time. One that answers with failures only gets a worse score, since some
+/// kinds of request fail everywhere.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    trouble: f64,
-    at: Moment,
-    row: u32,
-    until: Option<Moment>,
-    told: Option<Moment>,
-    near: FailureRate,
-    all: FailureRate,
-    untold: (u32, u32),
+    failures: f64,
+    updated_at: Moment,
+    losses: u32,
+    paused_until: Option<Moment>,
+    gone_at: Option<Moment>,
+    domain_rate: FailureRate,
+    total_rate: FailureRate,
+    unsent: (u32, u32),
 }
 
 impl Health {
-    /// Notes an answer that is no failure.
+    /// Records an answer that is not a failure.
     pub fn succeeded(&mut self, now: Moment) {
-        self.trouble = self.trouble(now) * FORGIVEN;
-        self.at = now;
-        self.row = 0;
-        self.until = None;
-        self.told = None;
+        self.failures = self.trouble(now) * SUCCESS_FACTOR;
+        self.updated_at = now;
+        self.losses = 0;
+        self.paused_until = None;
+        self.gone_at = None;
         self.count((0, 1), now);
     }
 
-    /// Notes that the endpoint answered with a failure.
+    /// Records that the endpoint answered with a failure.
     pub fn failed(&mut self, now: Moment) {
-        self.trouble = self.trouble(now) + 1.0;
-        self.at = now;
+        self.failures = self.trouble(now) + 1.0;
+        self.updated_at = now;
         self.count((1, 1), now);
     }
 
     fn count(&mut self, (failures, answers): (u32, u32), now: Moment) {
-        self.untold = (self.untold.0 + failures, self.untold.1 + answers);
+        self.unsent = (self.unsent.0 + failures, self.unsent.1 + answers);
         self.add_counted((failures, answers), true, now);
     }
 
-    /// Notes answers that this instance or a peer counted, and how many of them are failures. `is_near` says
-    /// whether it is in the same failure domain.
+    /// Records answers counted by this instance or a peer, and how many of them are failures.
+    /// `is_near` is true if the counting instance is in the same failure domain.
     pub fn add_counted(&mut self, counted: (u32, u32), is_near: bool, now: Moment) {
-        self.all.add(counted, now);
+        self.total_rate.add(counted, now);
         if is_near {
-            self.near.add(counted, now);
+            self.domain_rate.add(counted, now);
         }
     }
 
-    /// Takes what peers were not told yet, if there are failures among it.
-    pub fn take_untold(&mut self) -> Option<(u32, u32)> {
-        (self.untold.0 > 0).then(|| std::mem::take(&mut self.untold))
+    /// Returns the counts not yet sent to peers and resets them, if they contain failures.
+    pub fn take_unsent(&mut self) -> Option<(u32, u32)> {
+        (self.unsent.0 > 0).then(|| std::mem::take(&mut self.unsent))
     }
 
-    /// Returns the part of the endpoint's answers that are failures. Some endpoints fail the callers of one
-    /// failure domain only.
+    /// Returns the failure rate of the endpoint, the higher of that seen in this failure domain and
+    /// that seen by all: some endpoints fail only the clients of one failure domain.
     pub fn failing(&self, now: Moment) -> f64 {
-        self.near.part(now).max(self.all.part(now))
+        self.domain_rate.part(now).max(self.total_rate.part(now))
     }
 
-    /// Notes that the endpoint could not be reached, or fell silent or broke off.
+    /// Records that the endpoint could not be reached, stopped responding or closed the connection
+    /// early.
     pub fn lost(&mut self, now: Moment) {
         self.failed(now);
-        let pause = PAUSE.saturating_mul(1 << self.row.min(3));
-        self.row += 1;
-        self.until = Some(now.after(pause.min(LONGEST_PAUSE)));
+        let pause = INITIAL_PAUSE.saturating_mul(1 << self.losses.min(3));
+        self.losses += 1;
+        self.paused_until = Some(now.after(pause.min(MAX_PAUSE)));
     }
 
-    /// Notes that all instances are told that nobody listens at the endpoint's address, by this one or
-    /// another. The pause is short and does not double: the endpoint may have started anew.
+    /// Records that all instances are notified, by this one or another, that nothing listens at the
+    /// endpoint's address. The pause is short and does not double, since the endpoint may have
+    /// restarted.
     pub fn gone(&mut self, now: Moment) {
-        self.told = Some(now);
-        let until = now.after(PAUSE);
-        self.until = Some(self.until.map_or(until, |old| old.max(until)));
+        self.gone_at = Some(now);
+        let until = now.after(INITIAL_PAUSE);
+        self.paused_until = Some(self.paused_until.map_or(until, |old| old.max(until)));
     }
 
-    /// Says whether all instances were told so lately that it need not be said again. An own pause says
-    /// nothing of that: it also follows a lost answer, of which nobody else hears.
+    /// Returns whether all instances were notified recently enough that no further notice is due. A
+    /// pause alone does not imply a notice: it also follows a lost answer, which is not announced
+    /// to peers.
     pub fn is_told_gone(&self, now: Moment) -> bool {
-        self.told.is_some_and(|at| now.since(at) < RENEWAL)
+        self.gone_at.is_some_and(|at| now.since(at) < GONE_NOTICE_INTERVAL)
     }
 
-    /// Returns when somebody last said that the endpoint is gone, unless it answered since.
+    /// Returns the time of the last notice that the endpoint is gone, unless it has answered since.
     pub const fn told_gone(&self) -> Option<Moment> {
-        self.told
+        self.gone_at
     }
 
-    /// Returns the recent failures, older ones with less weight.
+    /// Returns the number of recent failures, older ones with less weight.
     pub fn trouble(&self, now: Moment) -> f64 {
-        let age = now.since(self.at).as_secs_f64() / FADE.as_secs_f64();
-        self.trouble * (-age).exp()
+        let age = now.since(self.updated_at).as_secs_f64() / DECAY_TIME.as_secs_f64();
+        self.failures * (-age).exp()
     }
 
-    /// Says whether the endpoint is left alone for now.
+    /// Returns whether the endpoint is paused.
     pub fn is_paused(&self, now: Moment) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.paused_until.is_some_and(|until| now < until)
     }
 }
--- a/crates/nutmeggrade-policy/src/dispatch/load_book.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/load_book.rs
@@ -1,4 +1,4 @@
-//! Who has how much where.
+//! Load of endpoints from this instance and its peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,62 +8,62 @@
 use crate::Ticket;
 
 #[derive(Debug, Clone)]
-struct Own {
+struct OwnRequest {
     endpoint: EndpointId,
     placed: Placed,
 }
 
-/// What this instance and its peers have at each endpoint.
+/// Load that this instance and its peers have placed at each endpoint.
 ///
-/// Answers several instances that choose by the same stale reports: each sees the same free engine
-/// and all fill it. Instances tell each other several times a second what they have placed, counted
-/// by what it will take in the end, so that a choice knows of the others' choices a moment later.
+/// Instances that choose by the same stale reports all see the same free engine and fill it. They
+/// therefore exchange their placements several times a second, counted by what each request will
+/// use in the end, so that each choice takes the others' choices into account shortly after.
 #[derive(Debug, Default)]
 pub struct LoadBook {
-    own: BTreeMap<Ticket, Own>,
-    own_sum: BTreeMap<EndpointId, Placed>,
+    own: BTreeMap<Ticket, OwnRequest>,
+    own_totals: BTreeMap<EndpointId, Placed>,
     peers: BTreeMap<InstanceId, BTreeMap<EndpointId, Placed>>,
-    peer_sum: BTreeMap<EndpointId, Placed>,
+    peer_totals: BTreeMap<EndpointId, Placed>,
     health: BTreeMap<EndpointId, Health>,
     changed: BTreeSet<EndpointId>,
     is_urgent: bool,
 }
 
-/// What an instance has at the endpoints where that has changed.
+/// Load of an instance at the endpoints where it has changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// All that it has at each of them.
+    /// Total load of the instance at each of these endpoints.
     pub placed: BTreeMap<EndpointId, Placed>,
-    /// Whether a copy of a generation began or ended, by which instances take turns.
+    /// Whether a copy of a generation began or ended, which coordinates turns between instances.
     pub is_urgent: bool,
 }
 
 impl LoadBook {
-    /// Makes an empty book.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a request goes to an endpoint.
+    /// Records that a request goes to an endpoint.
     pub fn place(&mut self, ticket: Ticket, endpoint: &EndpointId, placed: Placed) {
         self.end(ticket);
-        self.note_change(endpoint, placed);
-        *self.own_sum.entry(endpoint.clone()).or_default() += placed;
-        self.own.insert(ticket, Own { endpoint: endpoint.clone(), placed });
+        self.mark_changed(endpoint, placed);
+        *self.own_totals.entry(endpoint.clone()).or_default() += placed;
+        self.own.insert(ticket, OwnRequest { endpoint: endpoint.clone(), placed });
     }
 
-    /// Notes that a request's prompt is read.
+    /// Records that the prompt of a request has been read.
     pub fn has_read(&mut self, ticket: Ticket) {
         let Some(own) = self.own.get_mut(&ticket) else { return };
         let read = Placed { reading: own.placed.reading, ..Placed::default() };
         own.placed -= read;
         self.changed.insert(own.endpoint.clone());
-        if let Some(sum) = self.own_sum.get_mut(&own.endpoint) {
+        if let Some(sum) = self.own_totals.get_mut(&own.endpoint) {
             *sum -= read;
         }
     }
 
-    /// Notes how much of a request is being copied to or from its endpoint.
+    /// Records how many tokens of a request are being copied to or from its endpoint.
     pub fn set_moving(&mut self, ticket: Ticket, tokens: u64) {
         let Some(own) = self.own.get_mut(&ticket) else { return };
         let old = Placed { moving: own.placed.moving, ..Placed::default() };
@@ -72,131 +72,134 @@
         own.placed += new;
         self.is_urgent = true;
         self.changed.insert(own.endpoint.clone());
-        if let Some(sum) = self.own_sum.get_mut(&own.endpoint) {
+        if let Some(sum) = self.own_totals.get_mut(&own.endpoint) {
             *sum -= old;
             *sum += new;
         }
     }
 
-    /// Notes that a request takes at least this much memory, which may be more than was expected.
+    /// Records that a request uses at least this much memory, which may exceed the expected amount.
     pub fn grow(&mut self, ticket: Ticket, memory: u64) {
         let Some(own) = self.own.get_mut(&ticket) else { return };
-        let more = Placed { memory: memory.saturating_sub(own.placed.memory), ..Placed::default() };
-        own.placed += more;
-        if let Some(sum) = self.own_sum.get_mut(&own.endpoint) {
-            *sum += more;
+        let growth =
+            Placed { memory: memory.saturating_sub(own.placed.memory), ..Placed::default() };
+        own.placed += growth;
+        if let Some(sum) = self.own_totals.get_mut(&own.endpoint) {
+            *sum += growth;
         }
     }
 
-    /// Notes that a request is at its endpoint no more.
+    /// Records that a request has left its endpoint.
     pub fn end(&mut self, ticket: Ticket) {
         let Some(own) = self.own.remove(&ticket) else { return };
-        self.note_change(&own.endpoint, own.placed);
-        if let Some(sum) = self.own_sum.get_mut(&own.endpoint) {
+        self.mark_changed(&own.endpoint, own.placed);
+        if let Some(sum) = self.own_totals.get_mut(&own.endpoint) {
             *sum -= own.placed;
             if sum.requests == 0 {
-                self.own_sum.remove(&own.endpoint);
+                self.own_totals.remove(&own.endpoint);
             }
         }
     }
 
-    /// Takes what a peer has placed.
+    /// Replaces the load of a peer.
     pub fn set_peer(&mut self, peer: &InstanceId, placed: &BTreeMap<EndpointId, Placed>) {
         let old = self.peers.insert(peer.clone(), placed.clone()).unwrap_or_default();
         for (endpoint, old) in &old {
-            replace(&mut self.peer_sum, endpoint, *old, Placed::default());
+            replace(&mut self.peer_totals, endpoint, *old, Placed::default());
         }
         for (endpoint, new) in placed {
-            replace(&mut self.peer_sum, endpoint, Placed::default(), *new);
+            replace(&mut self.peer_totals, endpoint, Placed::default(), *new);
         }
     }
 
-    /// Takes what a peer has at some endpoints.
+    /// Updates the load of a peer at some endpoints.
     pub fn change_peer(&mut self, peer: &InstanceId, placed: &BTreeMap<EndpointId, Placed>) {
-        let all = self.peers.entry(peer.clone()).or_default();
+        let peer_load = self.peers.entry(peer.clone()).or_default();
         for (endpoint, new) in placed {
-            let old = all.insert(endpoint.clone(), *new).unwrap_or_default();
-            replace(&mut self.peer_sum, endpoint, old, *new);
+            let old = peer_load.insert(endpoint.clone(), *new).unwrap_or_default();
+            replace(&mut self.peer_totals, endpoint, old, *new);
         }
     }
 
-    /// Returns what this instance has at the endpoints where that has changed since the last call.
+    /// Returns the load of this instance at the endpoints where it has changed since the last call.
     pub fn take_changes(&mut self) -> Changes {
         let changed = std::mem::take(&mut self.changed);
-        let now = |id: EndpointId| {
-            let placed = self.own_sum.get(&id).copied().unwrap_or_default();
+        let current = |id: EndpointId| {
+            let placed = self.own_totals.get(&id).copied().unwrap_or_default();
             (id, placed)
         };
-        let placed = changed.into_iter().map(now).collect();
+        let placed = changed.into_iter().map(current).collect();
         Changes { placed, is_urgent: std::mem::take(&mut self.is_urgent) }
     }
 
-    /// Forgets peers that are gone.
-    pub fn keep_peers(&mut self, is_there: impl Fn(&InstanceId) -> bool) {
-        let before = self.peers.len();
-        self.peers.retain(|peer, _| is_there(peer));
-        if self.peers.len() != before {
-            self.sum_peers();
+    /// Removes peers that are gone.
+    pub fn keep_peers(&mut self, is_present: impl Fn(&InstanceId) -> bool) {
+        let old_count = self.peers.len();
+        self.peers.retain(|peer, _| is_present(peer));
+        if self.peers.len() != old_count {
+            self.recompute_peers();
         }
     }
 
-    /// Notes what peers are told at once: work at engines, where a choice that does not know of it
-    /// costs memory and seconds. Short calls are over before it would help.
-    fn note_change(&mut self, endpoint: &EndpointId, placed: Placed) {
+    /// Marks an endpoint's load for immediate transmission to peers if the request is for an
+    /// engine, where a choice without it costs memory and seconds. Short calls end before it would
+    /// help.
+    fn mark_changed(&mut self, endpoint: &EndpointId, placed: Placed) {
         if placed.memory > 0 {
             self.changed.insert(endpoint.clone());
         }
     }
 
-    fn sum_peers(&mut self) {
-        self.peer_sum.clear();
+    fn recompute_peers(&mut self) {
+        self.peer_totals.clear();
         for (endpoint, placed) in self.peers.values().flatten() {
-            *self.peer_sum.entry(endpoint.clone()).or_default() += *placed;
+            *self.peer_totals.entry(endpoint.clone()).or_default() += *placed;
         }
     }
 
-    /// Returns what everybody has at an endpoint.
+    /// Returns the total load of an endpoint.
     pub fn at(&self, endpoint: &EndpointId) -> Placed {
-        let mut sum = self.own_sum.get(endpoint).copied().unwrap_or_default();
-        sum += self.peer_sum.get(endpoint).copied().unwrap_or_default();
+        let mut sum = self.own_totals.get(endpoint).copied().unwrap_or_default();
+        sum += self.peer_totals.get(endpoint).copied().unwrap_or_default();
         sum
     }
 
-    /// Returns what this instance has at each endpoint.
+    /// Returns the load of this instance at each endpoint.
     pub fn own(&self) -> &BTreeMap<EndpointId, Placed> {
-        &self.own_sum
+        &self.own_totals
     }
 
-    /// Returns what an endpoint's own answers say of it.
+    /// Returns the health of an endpoint, if any answer has been recorded.
     pub fn health(&self, endpoint: &EndpointId) -> Option<&Health> {
         self.health.get(endpoint)
     }
 
-    /// Returns what an endpoint's own answers say of it, to add to it.
+    /// Returns the health of an endpoint for update.
     pub fn health_mut(&mut self, endpoint: &EndpointId) -> &mut Health {
         self.health.entry(endpoint.clone()).or_default()
     }
 
-    /// Takes the answers that peers were not told yet, of endpoints that failed some.
+    /// Returns the answer counts not yet sent to peers, of endpoints with failures, and resets
+    /// them.
     pub fn take_failures(&mut self) -> BTreeMap<EndpointId, (u32, u32)> {
-        let untold = |(id, health): (&EndpointId, &mut Health)| {
-            health.take_untold().map(|counted| (id.clone(), counted))
+        let unsent = |(id, health): (&EndpointId, &mut Health)| {
+            health.take_unsent().map(|counted| (id.clone(), counted))
         };
-        self.health.iter_mut().filter_map(untold).collect()
+        self.health.iter_mut().filter_map(unsent).collect()
     }
 
-    /// Forgets what is known of endpoints that are gone.
-    pub fn keep_endpoints(&mut self, is_there: impl Fn(&EndpointId) -> bool) {
-        self.health.retain(|endpoint, _| is_there(endpoint));
+    /// Removes the health of endpoints that are gone.
+    pub fn keep_endpoints(&mut self, is_present: impl Fn(&EndpointId) -> bool) {
+        self.health.retain(|endpoint, _| is_present(endpoint));
     }
 }
 
-/// Replaces a part of an endpoint's sum; nothing is kept of one that becomes zero.
-fn replace(sums: &mut BTreeMap<EndpointId, Placed>, id: &EndpointId, old: Placed, new: Placed) {
-    let sum = sums.entry(id.clone()).or_default();
+/// Replaces a contribution to an endpoint's total and removes totals that become zero.
+fn replace(totals: &mut BTreeMap<EndpointId, Placed>, id: &EndpointId, old: Placed, new: Placed) {
+    let sum = totals.entry(id.clone()).or_default();
     *sum -= old;
     *sum += new;
     if *sum == Placed::default() {
-        sums.remove(id);
+        totals.remove(id);
     }
 }
--- a/crates/nutmeggrade-policy/src/dispatch/need.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/need.rs
@@ -1,4 +1,4 @@
-//! What a request takes of an endpoint.
+//! Resource requirements of a request.
 
 use std::collections::BTreeSet;
 
@@ -7,28 +7,28 @@
 use crate::Ticket;
 use crate::queue::Queued;
 
-/// One request that wants to be sent.
+/// A request that is to be sent to an endpoint.
 #[derive(Debug, Clone)]
 pub struct Need {
-    /// Names the request inside this instance.
+    /// Identifies the request within this instance.
     pub ticket: Ticket,
-    /// Who asks.
+    /// Workspace that sent it.
     pub workspace: WorkspaceId,
-    /// The service that it goes to.
+    /// Service that it goes to.
     pub service: ServiceId,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Tokens of the prompt; 0 without one.
+    /// Length of the prompt in tokens; 0 without one.
     pub prompt: u64,
-    /// Memory that it will probably take in the end, in tokens; 0 without a prompt.
+    /// Expected final memory use in tokens; 0 without a prompt.
     pub memory: u64,
     /// Endpoints that failed this request.
     pub avoid: BTreeSet<EndpointId>,
-    /// Until when it can still be answered in the time that its users are content with.
+    /// Latest start that still meets the response time acceptable to users.
     pub fresh_until: Moment,
-    /// The failure domain that its memory is copied from, if it goes on elsewhere.
+    /// Failure domain that its memory is copied from, if it continues on another endpoint.
     pub from: Option<DomainId>,
-    /// Whether the request is drawn for a new version, if that has room.
+    /// Whether the request is selected for a new version, provided that this has room.
     pub is_canary: bool,
 }
 
--- a/crates/nutmeggrade-policy/src/dispatch/room.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/room.rs
@@ -1,73 +1,77 @@
-//! Whether an endpoint has room, and which of several is better.
+//! Capacity checks and scores of endpoints.
 
 use super::{Candidate, Need, Placed};
 
-/// Part of an engine's memory that is promised away.
+/// Fraction of an engine's memory that is committed to requests.
 ///
-/// What running generations will take in the end is counted from their start, and most are at half
-/// of it, so that the engine itself is never full. The rest covers answers that grow beyond what
-/// their clients estimated.
-const MEMORY_PROMISED: f64 = 0.95;
-/// Requests in an endpoint's own queue for each of its slots, before requests wait here. A short
-/// queue there keeps its slots busy between two requests; a long one can't be reordered any more.
-const OVERBOOKED: f64 = 1.5;
-/// Tokens of prompts that an engine has to read before further ones wait here. An engine reads some
-/// ten tokens a millisecond beside its answers, so this is about a second; what waits there longer
-/// can't go elsewhere when another engine is free or this one leaves.
-const MOST_READING: u64 = 8_000;
-/// How much one recent failure counts, as a part of an endpoint's capacity.
-const TROUBLE: f64 = 0.15;
-/// Most that failures count: above it all that fail look alike, and load decides among them.
-const MOST_TROUBLE: f64 = 0.9;
-/// How much more of its answers an endpoint may fail than the best one before that counts; chance makes about as
-/// much.
-const FAILING_FROM: f64 = 0.1;
-/// How much an endpoint that fails everything counts, in endpoints that are full: it is used only where nothing
-/// else has room.
-const FAILING: f64 = 4.0;
-/// Prompt tokens being read that count as much as a full engine: reading them takes about a third
-/// of the time to a first event that users are content with.
-const READING_FULL: f64 = 9_000.0;
+/// Requests are counted with their final memory from their start, and most are halfway there, so
+/// that the engine itself is never full. The rest covers answers that grow beyond their clients'
+/// estimates.
+const COMMITTED_MEMORY_SHARE: f64 = 0.95;
+/// Requests per slot sent to an endpoint of a plain service before further ones wait here. A short
+/// queue at the endpoint keeps its slots busy between two requests; a long one can't be reordered
+/// any more.
+const REQUESTS_PER_SLOT: f64 = 1.5;
+/// Prompt tokens that an engine has to read before further prompts wait here. An engine reads some
+/// ten tokens a millisecond beside its answers, so this is about a second; a prompt that waits
+/// longer at the engine can't move to another engine that becomes free, or when this one leaves.
+const MAX_PENDING_PROMPT_TOKENS: u64 = 8_000;
+/// Score penalty of a recent failure, as a fraction of an endpoint's capacity.
+const FAILURE_PENALTY: f64 = 0.15;
+/// Upper bound of the penalty for recent failures; failing endpoints above it are compared by load
+/// alone.
+const MAX_FAILURE_PENALTY: f64 = 0.9;
+/// Failure rate above that of the best endpoint from which on it counts; random variation makes up
+/// about as much.
+const MIN_EXCESS_RATE: f64 = 0.1;
+/// Score penalty per unit of excess failure rate, where 1 is a full endpoint. An endpoint that
+/// fails everything is used only if no other has room.
+const EXCESS_RATE_PENALTY: f64 = 4.0;
+/// Pending prompt tokens that count as much as a full engine: reading them takes about a third of
+/// the acceptable time to the first event.
+const FULL_LOAD_PROMPT_TOKENS: f64 = 9_000.0;
 
-/// Says whether an endpoint has room for a request beside what is placed there.
+/// Returns whether an endpoint has room for a request beside the load already placed there.
 ///
-/// Answers engines whose memory runs out in the middle of answers: the newest is then preempted and
-/// read in again, its client sees the stream stop, and the engine works for nothing. Memory is
-/// counted by what answers will take in the end.
-pub fn fits(candidate: &Candidate, placed: &Placed, need: &Need) -> bool {
+/// Memory is counted by what answers will use in the end. Otherwise an engine would run out of
+/// memory in the middle of answers: it would preempt the newest and read its prompt again, the
+/// client would see the stream stall, and the work would be wasted.
+pub fn fits(candidate: &Candidate, placed: &Placed, request: &Need) -> bool {
     if candidate.cold_left == Some(0) {
         return false;
     }
     match candidate.memory {
         Some(memory) => {
-            let promised = memory as f64 * MEMORY_PROMISED;
-            let is_alone = placed.requests == 0 && need.memory <= memory;
-            let reads_soon = placed.reading == 0 || placed.reading + need.prompt <= MOST_READING;
+            let committable = memory as f64 * COMMITTED_MEMORY_SHARE;
+            let is_alone = placed.requests == 0 && request.memory <= memory;
+            let reads_soon =
+                placed.reading == 0 || placed.reading + request.prompt <= MAX_PENDING_PROMPT_TOKENS;
             reads_soon
                 && placed.requests < candidate.slots.max(1)
-                && (is_alone || (placed.memory + need.memory) as f64 <= promised)
+                && (is_alone || (placed.memory + request.memory) as f64 <= committable)
         }
-        None => f64::from(placed.requests) < f64::from(candidate.slots.max(1)) * OVERBOOKED,
+        None => f64::from(placed.requests) < f64::from(candidate.slots.max(1)) * REQUESTS_PER_SLOT,
     }
 }
 
-/// Says how unattractive an endpoint is; 1 is about one that is full.
-pub fn score(candidate: &Candidate, placed: &Placed, trouble: f64) -> f64 {
+/// Returns the cost score of an endpoint, lower being better; 1 is about a full endpoint.
+pub fn score(candidate: &Candidate, placed: &Placed, recent_failures: f64) -> f64 {
     let slots = f64::from(placed.requests) / f64::from(candidate.slots.max(1));
     let load = match candidate.memory {
         Some(memory) => {
             let memory = placed.memory as f64 / memory.max(1) as f64;
-            memory.max(slots) + (placed.reading + placed.moving) as f64 / READING_FULL
+            memory.max(slots) + (placed.reading + placed.moving) as f64 / FULL_LOAD_PROMPT_TOKENS
         }
         None => slots,
     };
-    load + (trouble * TROUBLE).min(MOST_TROUBLE)
+    load + (recent_failures * FAILURE_PENALTY).min(MAX_FAILURE_PENALTY)
 }
 
-/// Says how unattractive an endpoint is that fails a larger part of its answers than the best one.
+/// Returns the score penalty for a failure rate that exceeds that of the best endpoint by `excess`.
 ///
-/// Answers endpoints that are well by their own word and fail what they get. Each instance of a large fleet
-/// sends one of them a few requests a second, and by its own failures alone learns of it after most are lost.
+/// Some endpoints report healthy and fail their requests. In a large fleet each instance sends such
+/// an endpoint only a few requests a second, and by its own failures alone would detect it after
+/// most were lost.
 pub fn failing_penalty(excess: f64) -> f64 {
-    (excess - FAILING_FROM).max(0.0) * FAILING
+    (excess - MIN_EXCESS_RATE).max(0.0) * EXCESS_RATE_PENALTY
 }
--- a/crates/nutmeggrade-policy/src/engine.rs
+++ b/crates/nutmeggrade-policy/src/engine.rs
@@ -1,22 +1,22 @@
-//! An engine as the scheduler is told of it.
+//! Static description of an engine.
 
 use std::collections::BTreeSet;
 
 use nutmeggrade_core::prelude::*;
 
-/// An engine as the scheduler is told of it.
+/// Static description of an engine, as the registry and the configuration give it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Engine {
-    /// The engine.
+    /// Endpoint ID.
     pub id: EndpointId,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: DomainId,
-    /// Models it can run.
+    /// Models that it serves.
     pub models: BTreeSet<ModelId>,
-    /// Its key/value memory, in tokens.
+    /// Capacity of the key/value cache, in tokens.
     pub memory: u64,
     /// Generations that this instance may have on it while it is cold.
     pub cold_right: u32,
-    /// Instances that share it, this one included.
+    /// Number of instances that share it, this one included.
     pub sharers: u32,
 }
--- a/crates/nutmeggrade-policy/src/fleet.rs
+++ b/crates/nutmeggrade-policy/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Limits that hold for all instances together, decided by each one alone.
+//! Fleet-wide limits that each instance enforces for itself.
 
 mod cold_share;
 mod resend_budget;
--- a/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
+++ b/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
@@ -1,31 +1,31 @@
-//! How often requests may be sent a second time.
+//! Budget of requests that are sent a second time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-/// Part of the allowance that is used; the rest covers requests that arrive in another window than
-/// they were counted in.
-const USED: f64 = 0.8;
+/// Fraction of the allowance that is used; the rest covers requests that arrive in another window
+/// than they were counted in.
+const USABLE_SHARE: f64 = 0.8;
 
-/// What operators allow all instances together.
+/// Fleet-wide limits of resends, set by operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Second sends for each request of a window.
+    /// Resends per request in a window.
     pub ratio: f64,
-    /// Further ones in each window.
+    /// Additional resends per window.
     pub extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// This instance's part of the second sends to one service.
+/// Share of this instance in the resends to one service.
 ///
-/// Answers a service that fails under load: when every request is sent again the load doubles just
-/// then, and one notices that a short fault becomes a long one. Each instance may send again a part
-/// of its own requests, and its part of what is allowed beyond that. The parts of all add up to less
-/// than the allowance as long as nobody counts fewer instances than there are.
+/// Without a limit, a service that fails under load gets every request again and with it twice the
+/// load, so that a short fault becomes a long one. Each instance may resend a fraction of its own
+/// requests and its share of the additional resends. The shares of all instances add up to less
+/// than the allowance as long as none counts fewer instances than there are.
 #[derive(Debug, Clone)]
 pub struct ResendBudget {
     allowance: Allowance,
@@ -34,23 +34,24 @@
 }
 
 impl ResendBudget {
-    /// Makes a budget of which nothing is used.
+    /// Creates a budget of which nothing is used.
     pub fn new(allowance: Allowance) -> Self {
         Self { allowance, requests: VecDeque::new(), resends: VecDeque::new() }
     }
 
-    /// Notes a request.
+    /// Records a request.
     pub fn request(&mut self, now: Moment) {
-        self.forget(now);
+        self.remove_expired(now);
         self.requests.push_back(now);
     }
 
-    /// Takes one second send out of the budget, if one is left; `sharers` is the number of instances.
+    /// Takes a resend out of the budget and returns whether one was left; `sharers` is the number
+    /// of instances.
     pub fn take(&mut self, sharers: usize, now: Moment) -> bool {
-        self.forget(now);
+        self.remove_expired(now);
         let earned = self.allowance.ratio * self.requests.len() as f64;
-        let given = self.allowance.extra / sharers.max(1) as f64;
-        let left = (earned + given) * USED - self.resends.len() as f64;
+        let additional = self.allowance.extra / sharers.max(1) as f64;
+        let left = (earned + additional) * USABLE_SHARE - self.resends.len() as f64;
         if left < 1.0 {
             return false;
         }
@@ -58,7 +59,7 @@
         true
     }
 
-    fn forget(&mut self, now: Moment) {
+    fn remove_expired(&mut self, now: Moment) {
         let window = self.allowance.window;
         for times in [&mut self.requests, &mut self.resends] {
             while times.front().is_some_and(|t| now.since(*t) > window) {
--- a/crates/nutmeggrade-policy/src/knobs.rs
+++ b/crates/nutmeggrade-policy/src/knobs.rs
@@ -1,4 +1,4 @@
-//! What the weights of a preset choose.
+//! Settings that follow from a preset's weights.
 
 use std::time::Duration;
 
@@ -6,19 +6,20 @@
 
 /// Settings of the decisions, derived from a preset's weights.
 ///
-/// Answers two deployments that weigh the same figures differently. Weights are taken relative to
-/// their mean and bounded, so that no weight switches a decision off.
+/// The weights let deployments balance the same objectives differently. They are taken relative to
+/// their mean and bounded, so that no weight disables a decision.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Knobs {
     /// Standard deviations of memory kept free.
     pub reserve: f64,
-    /// Gap between tokens that an engine may show to one in five tokens.
+    /// Target gap between tokens; an engine may exceed it for one in five tokens.
     pub gap: Duration,
-    /// Time in which a returning engine's limit doubles.
+    /// Time in which the limit of a returning engine doubles.
     pub ramp: Duration,
-    /// Prompt tokens that may wait unread on an engine.
+    /// Prompt tokens that may be pending on an engine.
     pub unread: u64,
-    /// How much fuller, as a part of its memory, an engine may be that has the prompt's start cached.
+    /// Additional load, as a fraction of its memory, that an engine with the cached prompt prefix
+    /// may have.
     pub cached: f64,
 }
 
@@ -28,8 +29,9 @@
         let Weights { stall, domains, gap, preemptions } = *weights;
         let mean = ((stall + domains + gap + preemptions) / 4.0).max(f64::MIN_POSITIVE);
         let relative = |w: f64| (w / mean).clamp(0.5, 2.0);
-        // A preemption is a stall too, so both weights ask for reserve. Stalls also come from waiting
-        // for room, which reserve makes longer; so they ask for less of it.
+        // A preemption also stalls the stream, so both weights increase the reserve. Stalls also
+        // come from waiting for room, which a larger reserve lengthens, so that `stall` has the
+        // smaller factor.
         let reserve = 1.0 + 0.3 * relative(stall) + 0.7 * relative(preemptions);
         let unread = if relative(gap) > 1.0 { 1_024 } else { 2_048 };
         Self {
--- a/crates/nutmeggrade-policy/src/length.rs
+++ b/crates/nutmeggrade-policy/src/length.rs
@@ -1,4 +1,4 @@
-//! How long an answer will be, learned while answers run.
+//! Online estimates of answer lengths, updated while answers run.
 
 mod estimator;
 mod hazard;
--- a/crates/nutmeggrade-policy/src/length/hazard.rs
+++ b/crates/nutmeggrade-policy/src/length/hazard.rs
@@ -1,81 +1,83 @@
-//! Rate at which answers end, by how long they already are.
+//! Rate at which answers end, by their current length.
 
-/// Lower bounds of the length ranges, two an octave: lengths spread over three decades, and the
-/// rate of ending changes with their ratio rather than their difference.
-const BOUNDS: [u64; 24] = [
+/// Lower bounds of the length ranges, two per octave: lengths span three decades, and the rate of
+/// ending depends on their ratio rather than on their difference.
+const RANGE_STARTS: [u64; 24] = [
     0, 16, 32, 48, 64, 96, 128, 192, 256, 384, 512, 768, 1_024, 1_536, 2_048, 3_072, 4_096, 6_144,
     8_192, 12_288, 16_384, 24_576, 32_768, 49_152,
 ];
-/// What remains of old observations after each new ended answer: a window of about 200 answers.
-/// A window of 50 doubles the error of the tail, one of 1,000 follows a drift only after minutes.
-const KEEP: f64 = 0.995;
-/// Answers that the parent's rate counts for, per range; two give way to the first real ones.
-const PRIOR: f64 = 2.0;
-/// Median length before anything was seen; few end early, and the tail behind it is heavy, so that
-/// a cold estimator errs towards long answers.
-const UNKNOWN: f64 = 500.0;
+/// Factor applied to earlier observations on each ended answer: a window of about 200 answers. A
+/// window of 50 doubles the error of the tail; one of 1,000 follows a drift only after minutes.
+const DECAY_PER_ANSWER: f64 = 0.995;
+/// Weight of the parent's rate in each range, in answers; with two, the first observed answers soon
+/// prevail.
+const PRIOR_ANSWERS: f64 = 2.0;
+/// Median length of the prior. Few answers end early, and the tail is heavy, so that an estimator
+/// without observations errs towards long answers.
+const PRIOR_MEDIAN_TOKENS: f64 = 500.0;
 
-/// Ended answers and tokens seen in each range of lengths.
+/// Ended answers and observed tokens in each range of lengths.
 ///
-/// Counting tokens seen beside answers ended takes answers that still run into account. An estimator
-/// that learns from ended answers alone sees the short ones first, believes in short answers after a
-/// drift or a start, lets too many in, and the engine preempts them when they grow.
+/// Counting the observed tokens takes running answers into account. An estimator that uses ended
+/// answers alone observes the short ones first, underestimates lengths after a drift or a start,
+/// and admits too many requests, which the engine preempts when they grow.
 #[derive(Debug, Clone, Default)]
 pub struct Hazard {
-    ended: [f64; BOUNDS.len()],
-    tokens: [f64; BOUNDS.len()],
+    ended: [f64; RANGE_STARTS.len()],
+    tokens: [f64; RANGE_STARTS.len()],
 }
 
 impl Hazard {
-    /// Makes a table that has seen nothing.
+    /// Creates a table without observations.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that an answer grew from `from` to `to` tokens; `weight` is at most 1.
+    /// Records that an answer grew from `from` to `to` tokens; `weight` is at most 1.
     pub fn grow(&mut self, from: u64, to: u64, weight: f64) {
         let mut at = from;
         while at < to {
-            let range = range(at);
-            let end = upper(range).min(to);
+            let range = range_index(at);
+            let end = range_end(range).min(to);
             self.tokens[range] += (end - at) as f64 * weight;
             at = end;
         }
     }
 
-    /// Notes that an answer ended by itself at `length`; `weight` is at most 1.
+    /// Records that an answer ended by itself at `length`; `weight` is at most 1.
     pub fn end(&mut self, length: u64, weight: f64) {
-        let keep = 1.0 - (1.0 - KEEP) * weight;
+        let factor = 1.0 - (1.0 - DECAY_PER_ANSWER) * weight;
         for value in self.ended.iter_mut().chain(&mut self.tokens) {
-            *value *= keep;
+            *value *= factor;
         }
-        self.ended[range(length)] += weight;
+        self.ended[range_index(length)] += weight;
     }
 
-    /// Returns the rate of ending per token in a range, leaning on the parent's while little is seen.
+    /// Returns the rate of ending per token in a range, weighted towards the parent's rate while
+    /// there are few observations.
     pub(super) fn rate(&self, range: usize, parent: f64) -> f64 {
-        let pseudo = PRIOR * width(range);
-        (self.ended[range] + parent * pseudo) / (self.tokens[range] + pseudo)
+        let prior_tokens = PRIOR_ANSWERS * width(range);
+        (self.ended[range] + parent * prior_tokens) / (self.tokens[range] + prior_tokens)
     }
 }
 
-/// Returns the rate of ending per token before anything was seen.
-pub(super) fn unknown(range: usize) -> f64 {
-    let length = BOUNDS[range] as f64;
-    2.0 * length / (length * length + UNKNOWN * UNKNOWN)
+/// Returns the prior rate of ending per token.
+pub(super) fn prior_rate(range: usize) -> f64 {
+    let length = RANGE_STARTS[range] as f64;
+    2.0 * length / (length * length + PRIOR_MEDIAN_TOKENS * PRIOR_MEDIAN_TOKENS)
 }
 
-/// Returns the range that a length is in.
-pub(super) fn range(length: u64) -> usize {
-    BOUNDS.partition_point(|b| *b <= length).saturating_sub(1)
+/// Returns the index of the range that contains a length.
+pub(super) fn range_index(length: u64) -> usize {
+    RANGE_STARTS.partition_point(|b| *b <= length).saturating_sub(1)
 }
 
-/// Returns the end of a range.
-pub(super) fn upper(range: usize) -> u64 {
-    BOUNDS.get(range + 1).copied().unwrap_or(u64::MAX)
+/// Returns the exclusive end of a range.
+pub(super) fn range_end(range: usize) -> u64 {
+    RANGE_STARTS.get(range + 1).copied().unwrap_or(u64::MAX)
 }
 
 fn width(range: usize) -> f64 {
-    let end = BOUNDS.get(range + 1).copied().unwrap_or(BOUNDS[range] * 2);
-    (end - BOUNDS[range]) as f64
+    let end = RANGE_STARTS.get(range + 1).copied().unwrap_or(RANGE_STARTS[range] * 2);
+    (end - RANGE_STARTS[range]) as f64
 }
--- a/crates/nutmeggrade-policy/src/lib.rs
+++ b/crates/nutmeggrade-policy/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions under load: what is let in, what waits, what is turned away, where work goes.
+//! Load-dependent decisions: admission, queueing, refusal and routing.
 //!
-//! No network, no clock, no threads: `now` and the seed are arguments, so that a test plays a burst
-//! or a slow endpoint in virtual time. [`Scheduler`] is the whole of it for generations and
-//! [`ServicePicker`] for calls of plain services; each other type is one decision.
+//! Uses no network, clock or threads. The current time and the seed are arguments, so that tests
+//! can simulate a burst or a slow endpoint in virtual time. [`Scheduler`] makes all decisions about
+//! generations and [`ServicePicker`] those about calls of plain services; each other type makes one
+//! decision.
 
 pub mod cold_watch;
 pub mod dispatch;
@@ -25,8 +26,8 @@
 
 mod ask;
 mod engine;
-mod known;
-mod mix;
+mod engine_state;
+mod hash;
 mod scheduler;
 mod service_picker;
 mod spread;
--- a/crates/nutmeggrade-policy/src/lots.rs
+++ b/crates/nutmeggrade-policy/src/lots.rs
@@ -1,40 +1,40 @@
-//! Which instance may use room that is too small for all.
+//! Shared allocation of room that is too small for all instances.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-use crate::mix::{hash, mix};
+use crate::hash::{hash_bytes, mix_bits};
 
-/// How long a lot holds: the time until what was let in shows in reports and heartbeats.
-const HOLDS: Duration = Duration::from_millis(250);
+/// Time for which a draw is valid: until admitted requests show in reports and heartbeats.
+const DRAW_WINDOW: Duration = Duration::from_millis(250);
 
-/// Lots of one instance for one engine.
+/// Draws which instances may use the room of an engine.
 ///
-/// Answers room for one answer that seven instances see in the same report. Each would fill it, six
-/// too many, and the engine preempts them a second later. Where the room is less than what all would
-/// take, as many draw a winning lot on average as fit. Lots depend on seed and time alone, so that
-/// asking twice gains nothing.
+/// When several instances see the same room for one answer in a report, each would fill it, and the
+/// engine would preempt the excess answers a second later. Where the room is less than all
+/// instances together would take, on average as many instances win the draw as fit. Draws depend on
+/// seed and time alone, so that a repeated call gives no second chance.
 #[derive(Debug, Clone, Copy)]
 pub struct Lots {
     seed: u64,
 }
 
 impl Lots {
-    /// Makes the lots of an instance for an engine.
+    /// Creates the draws of an instance for an engine.
     pub fn new(seed: u64, endpoint: &EndpointId) -> Self {
-        Self { seed: mix(seed) ^ hash(endpoint.as_str().as_bytes()) }
+        Self { seed: mix_bits(seed) ^ hash_bytes(endpoint.as_str().as_bytes()) }
     }
 
-    /// Says whether this instance has a lot now, if each of `sharers` wants `need` of `room`.
+    /// Returns whether this instance may use the room, if each of `sharers` needs `need` of `room`.
     pub fn win(&self, room: f64, need: f64, sharers: u32, now: Moment) -> bool {
-        let all = need * f64::from(sharers);
-        if room >= all {
+        let total_need = need * f64::from(sharers);
+        if room >= total_need {
             return true;
         }
-        let window = now.since_start().as_millis() / HOLDS.as_millis();
+        let window = now.since_start().as_millis() / DRAW_WINDOW.as_millis();
         let window = u64::try_from(window).unwrap_or(u64::MAX);
-        let drawn = (mix(self.seed ^ mix(window)) >> 11) as f64 / (1_u64 << 53) as f64;
-        drawn * all < room
+        let uniform = (mix_bits(self.seed ^ mix_bits(window)) >> 11) as f64 / (1_u64 << 53) as f64;
+        uniform * total_need < room
     }
 }
--- a/crates/nutmeggrade-policy/src/memory.rs
+++ b/crates/nutmeggrade-policy/src/memory.rs
@@ -1,9 +1,9 @@
-//! Whether an engine's memory bears one more answer.
+//! Memory forecasts of engines.
 
+mod answer_mix;
 mod forecast;
-mod mix;
-mod others;
+mod peer_usage;
 
+pub use answer_mix::AnswerMix;
 pub use forecast::{AHEAD, Forecast};
-pub use mix::Mix;
-pub use others::Others;
+pub use peer_usage::Others;
--- a/crates/nutmeggrade-policy/src/memory/forecast.rs
+++ b/crates/nutmeggrade-policy/src/memory/forecast.rs
@@ -1,37 +1,40 @@
-//! Memory that answers will hold, as mean and variance at several distances.
+//! Forecast of the memory that answers will hold, as mean and variance at several distances.
 
 use std::ops::{AddAssign, SubAssign};
 
-/// Distances ahead, in steps of the engine; each about twice the last, as are the length ranges.
+/// Distances ahead, in decoding steps of the engine; each is about twice the previous one, as are
+/// the length ranges.
 pub const AHEAD: [u64; 10] = [0, 64, 192, 448, 960, 1_984, 4_032, 8_128, 16_320, 24_512];
 
-/// Mean and variance of the memory held at each distance ahead, if nothing new is let in.
+/// Mean and variance of the memory held at each distance ahead, if nothing new is admitted.
 ///
-/// Answers engines that fill up in the middle of answers. Neither what is held now nor what all
-/// would hold at their full lengths tells whether one more fits: most answers end before others have
-/// grown. Sums of means and variances over what runs together say how high the memory will probably
-/// rise; the more answers share an engine, the smaller the reserve for each.
+/// Neither the memory held at present nor that at full length of all answers shows whether one more
+/// answer fits, since most answers end before others have grown. The sums of means and variances
+/// over all answers on an engine give its probable peak; the more answers share an engine, the
+/// smaller the reserve for each. Without this forecast, engines run out of memory in the middle of
+/// answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Forecast {
     /// Expected tokens held.
     pub mean: [f64; AHEAD.len()],
-    /// Their variance.
+    /// Variance of the tokens held.
     pub variance: [f64; AHEAD.len()],
 }
 
 impl Forecast {
-    /// Makes the forecast of one answer that holds `held` tokens and goes on with these chances.
+    /// Creates the forecast of an answer that holds `held` tokens and reaches each distance with
+    /// the given probability.
     pub fn new(held: u64, survival: &[f64; AHEAD.len()]) -> Self {
         let mut forecast = Self::default();
-        for (i, alive) in survival.iter().enumerate() {
+        for (i, probability) in survival.iter().enumerate() {
             let memory = (held + AHEAD[i]) as f64;
-            forecast.mean[i] = alive * memory;
-            forecast.variance[i] = alive * (1.0 - alive) * memory * memory;
+            forecast.mean[i] = probability * memory;
+            forecast.variance[i] = probability * (1.0 - probability) * memory * memory;
         }
         forecast
     }
 
-    /// Returns the highest of mean and `reserve` standard deviations over all distances.
+    /// Returns the highest sum of the mean and `reserve` standard deviations over all distances.
     pub fn peak(&self, reserve: f64) -> f64 {
         let pairs = self.mean.iter().zip(&self.variance);
         pairs.map(|(m, v)| m + reserve * v.max(0.0).sqrt()).fold(0.0, f64::max)
@@ -57,7 +60,7 @@
 impl SubAssign<&Self> for Forecast {
     fn sub_assign(&mut self, rhs: &Self) {
         *self = self.with_scaled(rhs, -1.0);
-        // Rounding must not leave an empty engine with a debt.
+        // Rounding must not leave negative memory on an empty engine.
         for value in self.mean.iter_mut().chain(&mut self.variance) {
             *value = value.max(0.0);
         }
--- a/crates/nutmeggrade-policy/src/pace.rs
+++ b/crates/nutmeggrade-policy/src/pace.rs
@@ -1,44 +1,45 @@
-//! How long answers take.
+//! Expected duration of answers.
 
 use std::time::Duration;
 
-/// Pace while no answer has ended yet, for each token: between that of an engine with few and with
-/// many generations.
-const FIRST: Duration = Duration::from_millis(10);
-/// Weight of each further answer; some tens of answers are remembered.
-const WEIGHT: f64 = 0.05;
-/// Times the expected length that an answer gets. A client's estimate is right at the median only, so
-/// that without a margin half of the answers would take longer.
-const MARGIN: f64 = 1.5;
+/// Time per token before any answer has ended: between that of an engine with few and with many
+/// generations.
+const INITIAL_TOKEN_TIME: Duration = Duration::from_millis(10);
+/// Weight of each further answer; the average covers some tens of answers.
+const ANSWER_WEIGHT: f64 = 0.05;
+/// Factor applied to the expected length. A client's estimate is accurate at the median only:
+/// without a margin half of the answers would take longer.
+const LENGTH_MARGIN: f64 = 1.5;
 
-/// Pace at which answers are made, from the request to the last token.
+/// Average time per token of answers, from the request to the last token.
 ///
-/// Answers instances that stop: a long answer that begins just before the end is cut with most of its
-/// work done. With the pace one can tell at its start that it will not end in time, and its client
-/// begins at another instance at once.
+/// A stopping instance would cut a long answer that begins just before the end, with most of its
+/// work done. The pace shows at the start that the answer will not end in time, so that its client
+/// can begin at another instance at once.
 #[derive(Debug, Clone, Copy)]
 pub struct Pace {
-    token: Duration,
+    token_time: Duration,
 }
 
 impl Pace {
-    /// Makes a pace that has seen nothing.
+    /// Creates a pace without measurements.
     pub const fn new() -> Self {
-        Self { token: FIRST }
+        Self { token_time: INITIAL_TOKEN_TIME }
     }
 
-    /// Notes an answer of so many tokens.
+    /// Records the duration of an answer of `tokens` tokens.
     pub fn ended(&mut self, tokens: u64, took: Duration) {
         if tokens == 0 {
             return;
         }
-        let token = took.div_f64(tokens as f64);
-        self.token = self.token.mul_f64(1.0 - WEIGHT) + token.mul_f64(WEIGHT);
+        let token_time = took.div_f64(tokens as f64);
+        self.token_time =
+            self.token_time.mul_f64(1.0 - ANSWER_WEIGHT) + token_time.mul_f64(ANSWER_WEIGHT);
     }
 
-    /// Returns the time that an answer of this expected length probably ends within.
+    /// Returns the time within which an answer of this expected length probably ends.
     pub fn time(&self, tokens: u64) -> Duration {
-        self.token.mul_f64(tokens as f64 * MARGIN)
+        self.token_time.mul_f64(tokens as f64 * LENGTH_MARGIN)
     }
 }
 
--- a/crates/nutmeggrade-policy/src/prefill.rs
+++ b/crates/nutmeggrade-policy/src/prefill.rs
@@ -1,42 +1,42 @@
-//! How many prompt tokens an engine is given to read at a time.
+//! Limit of pending prompt tokens on an engine.
 
 use std::collections::BTreeMap;
 
 use crate::Ticket;
 
-/// Prompts sent to an engine whose first token has not come yet.
+/// Prompts sent to an engine whose first token has not arrived.
 ///
-/// Answers long prompts that come together. An engine reads them in the same steps in which it makes
-/// its neighbours' tokens; two at a time make each such step as long as a step can be, which every
-/// stream on the engine shows as a stutter. One prompt at a time is read in one to a few steps with
-/// plain steps between. A prompt longer than the limit goes alone.
+/// An engine reads prompts in the same steps in which it decodes other streams. Two long prompts at
+/// a time make each step as long as a step can be, which stalls every stream on the engine. One
+/// prompt at a time takes one to a few steps, with plain decoding steps between. A prompt longer
+/// than the limit is sent only when no other is pending.
 #[derive(Debug, Clone, Default)]
 pub struct PrefillPace {
-    unread: BTreeMap<Ticket, u64>,
-    sum: u64,
+    pending: BTreeMap<Ticket, u64>,
+    pending_tokens: u64,
 }
 
 impl PrefillPace {
-    /// Makes a pace with nothing unread.
+    /// Creates a limit without pending prompts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Says whether a prompt may be sent now.
+    /// Returns whether a prompt may be sent.
     pub fn allows(&self, prompt: u64, limit: u64) -> bool {
-        self.sum == 0 || self.sum + prompt <= limit
+        self.pending_tokens == 0 || self.pending_tokens + prompt <= limit
     }
 
-    /// Notes a prompt that was sent.
+    /// Records a prompt that was sent.
     pub fn sent(&mut self, ticket: Ticket, prompt: u64) {
-        self.unread.insert(ticket, prompt);
-        self.sum += prompt;
+        self.pending.insert(ticket, prompt);
+        self.pending_tokens += prompt;
     }
 
-    /// Notes that a prompt was read or given up.
+    /// Records that a prompt was read or given up.
     pub fn read(&mut self, ticket: Ticket) {
-        if let Some(prompt) = self.unread.remove(&ticket) {
-            self.sum -= prompt;
+        if let Some(prompt) = self.pending.remove(&ticket) {
+            self.pending_tokens -= prompt;
         }
     }
 }
--- a/crates/nutmeggrade-policy/src/priority.rs
+++ b/crates/nutmeggrade-policy/src/priority.rs
@@ -1,38 +1,40 @@
-//! What an engine should preempt first.
+//! Preemption priority of answers on an engine.
 
 use std::time::Duration;
 
-/// Time to spare, as a multiple of the expected time to the end, under which an answer is late soon.
-const TIGHT: f64 = 2.0;
-/// Share of the engine's memory from which an answer costs too much to compute again.
-const LARGE: f64 = 0.25;
+/// Factor of the expected duration; an answer with less time left than that is likely to be late.
+const MIN_SLACK_FACTOR: f64 = 2.0;
+/// Share of the engine's memory above which an answer is too costly to recompute.
+const COSTLY_MEMORY_SHARE: f64 = 0.25;
 
-/// Ranks answers so that the engine preempts what loses least.
+/// Preemption priority of an answer, which lets the engine preempt what loses least.
 ///
-/// Answers memory that fills up all the same. Without a rank the youngest goes, be it a short answer
-/// of which one more second is all that it needs, or one that misses its deadline if it waits. The
-/// engine takes the lowest rank and in it the youngest, which has least to compute again.
+/// Memory may fill up despite admission control. Without a priority the engine would preempt the
+/// youngest answer, also a short one that needs only another second, or one that would miss its
+/// deadline. The engine preempts the lowest priority and within it the youngest answer, which is
+/// the cheapest to recompute.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// Long, with time to spare.
     Spare,
     /// Long, and late or costly if preempted.
     Costly,
-    /// Short: its memory is small and free again soon.
+    /// Short: its memory is small and soon free again.
     Short,
 }
 
 impl Priority {
-    /// Ranks an answer by its task, time left, expected time to its end and expected memory share.
-    pub fn new(long: bool, left: Duration, service: Duration, share: f64) -> Self {
+    /// Selects the priority by the kind of task, the time left, the expected duration and the
+    /// expected share of memory.
+    pub fn new(long: bool, time_left: Duration, expected: Duration, memory_share: f64) -> Self {
         if !long {
             return Self::Short;
         }
-        let tight = left < service.mul_f64(TIGHT);
-        if tight || share > LARGE { Self::Costly } else { Self::Spare }
+        let is_urgent = time_left < expected.mul_f64(MIN_SLACK_FACTOR);
+        if is_urgent || memory_share > COSTLY_MEMORY_SHARE { Self::Costly } else { Self::Spare }
     }
 
-    /// Returns the engine's number; higher is preempted later.
+    /// Returns the number sent to the engine; higher is preempted later.
     pub const fn number(self) -> i32 {
         self as i32
     }
--- a/crates/nutmeggrade-policy/src/queue.rs
+++ b/crates/nutmeggrade-policy/src/queue.rs
@@ -1,4 +1,4 @@
-//! Who is next.
+//! Fair queues of waiting requests.
 
 mod fair_queue;
 mod lane;
--- a/crates/nutmeggrade-policy/src/queue/lane.rs
+++ b/crates/nutmeggrade-policy/src/queue/lane.rs
@@ -1,4 +1,4 @@
-//! Waiting requests of one kind, fair across workspaces.
+//! Fair queue of requests of one kind.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,12 +6,12 @@
 
 use crate::{Ask, Ticket};
 
-/// What a lane has to know of a request.
+/// A request that can be queued in a [`Lane`].
 pub trait Queued {
-    /// Names the request inside this instance.
+    /// Identifies the request within this instance.
     fn ticket(&self) -> Ticket;
 
-    /// Says who asks.
+    /// Returns the workspace that sent it.
     fn workspace(&self) -> &WorkspaceId;
 }
 
@@ -26,127 +26,128 @@
 }
 
 #[derive(Debug)]
-struct Line<A> {
-    asks: VecDeque<A>,
-    start: f64,
+struct WorkspaceQueue<R> {
+    requests: VecDeque<R>,
+    virtual_start: f64,
 }
 
-impl<A> Default for Line<A> {
+impl<R> Default for WorkspaceQueue<R> {
     fn default() -> Self {
-        Self { asks: VecDeque::new(), start: 0.0 }
+        Self { requests: VecDeque::new(), virtual_start: 0.0 }
     }
 }
 
-/// Start-time fair queue: whoever got least so far is next.
+/// Start-time fair queue across workspaces: the workspace with the least service so far is next.
 ///
-/// Answers two workspaces that send most of the load. In one line all wait behind them, and a
-/// workspace with one request a minute waits as long as the one that fills the queue. Each workspace
-/// has a line of its own; taking a request moves its workspace back by the request's cost. A
-/// workspace that was away begins at the present, with no credit for its absence.
+/// In a single queue all workspaces would wait behind those that send most of the load, also one
+/// with a single request a minute. Each workspace has its own queue, and each request taken
+/// advances the virtual start of its workspace by its cost. A workspace that was idle starts at the
+/// current virtual time, without credit for its absence.
 #[derive(Debug)]
-pub struct Lane<A = Ask> {
-    lines: BTreeMap<WorkspaceId, Line<A>>,
+pub struct Lane<R = Ask> {
+    queues: BTreeMap<WorkspaceId, WorkspaceQueue<R>>,
     order: BTreeSet<(u64, WorkspaceId)>,
     owners: BTreeMap<Ticket, WorkspaceId>,
-    present: f64,
+    virtual_time: f64,
 }
 
-impl<A> Default for Lane<A> {
+impl<R> Default for Lane<R> {
     fn default() -> Self {
         Self {
-            lines: BTreeMap::new(),
+            queues: BTreeMap::new(),
             order: BTreeSet::new(),
             owners: BTreeMap::new(),
-            present: 0.0,
+            virtual_time: 0.0,
         }
     }
 }
 
-impl<A: Queued + Clone> Lane<A> {
-    /// Makes an empty lane.
+impl<R: Queued + Clone> Lane<R> {
+    /// Creates an empty lane.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a request at the end of its workspace's line.
-    pub fn push(&mut self, ask: &A) {
-        let present = self.present;
-        self.owners.insert(ask.ticket(), ask.workspace().clone());
-        let line = self.lines.entry(ask.workspace().clone()).or_default();
-        if line.asks.is_empty() {
-            line.start = line.start.max(present);
-            self.order.insert((key(line.start), ask.workspace().clone()));
+    /// Appends a request to the queue of its workspace.
+    pub fn push(&mut self, request: &R) {
+        let virtual_time = self.virtual_time;
+        self.owners.insert(request.ticket(), request.workspace().clone());
+        let queue = self.queues.entry(request.workspace().clone()).or_default();
+        if queue.requests.is_empty() {
+            queue.virtual_start = queue.virtual_start.max(virtual_time);
+            self.order.insert((sort_key(queue.virtual_start), request.workspace().clone()));
         }
-        line.asks.push_back(ask.clone());
+        queue.requests.push_back(request.clone());
     }
 
-    /// Returns the workspaces that wait, the next one first.
-    pub fn heads(&self) -> impl Iterator<Item = &A> {
-        let heads = self.order.iter().filter_map(|(_, w)| self.lines.get(w));
-        heads.filter_map(|l| l.asks.front())
+    /// Returns the first request of each workspace, in the order of service.
+    pub fn heads(&self) -> impl Iterator<Item = &R> {
+        let heads = self.order.iter().filter_map(|(_, w)| self.queues.get(w));
+        heads.filter_map(|q| q.requests.front())
     }
 
-    /// Takes a request out that got its place, at a cost to its workspace.
+    /// Removes a request that was placed, and charges its cost to its workspace.
     pub fn take(&mut self, ticket: Ticket, cost: f64) {
         let Some(workspace) = self.owners.get(&ticket).cloned() else { return };
-        let Some(line) = self.lines.get_mut(&workspace) else { return };
-        self.order.remove(&(key(line.start), workspace.clone()));
-        self.present = self.present.max(line.start);
-        line.start += cost;
-        self.order.insert((key(line.start), workspace));
+        let Some(queue) = self.queues.get_mut(&workspace) else { return };
+        self.order.remove(&(sort_key(queue.virtual_start), workspace.clone()));
+        self.virtual_time = self.virtual_time.max(queue.virtual_start);
+        queue.virtual_start += cost;
+        self.order.insert((sort_key(queue.virtual_start), workspace));
         self.remove(ticket);
     }
 
-    /// Takes a request out that gave up; costs nothing.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<A> {
+    /// Removes a request whose client gave up, at no cost to its workspace.
+    pub fn remove(&mut self, ticket: Ticket) -> Option<R> {
         let workspace = self.owners.remove(&ticket)?;
-        let line = self.lines.get_mut(&workspace)?;
-        let place = line.asks.iter().position(|a| a.ticket() == ticket)?;
-        let ask = line.asks.remove(place);
-        if line.asks.is_empty() {
-            self.order.remove(&(key(line.start), workspace));
-            // Lines that are behind the present would begin there anyway.
-            let present = self.present;
-            self.lines.retain(|_, l| !l.asks.is_empty() || l.start > present);
+        let queue = self.queues.get_mut(&workspace)?;
+        let index = queue.requests.iter().position(|r| r.ticket() == ticket)?;
+        let request = queue.requests.remove(index);
+        if queue.requests.is_empty() {
+            self.order.remove(&(sort_key(queue.virtual_start), workspace));
+            // A queue behind the virtual time would start there anyway.
+            let virtual_time = self.virtual_time;
+            self.queues.retain(|_, q| !q.requests.is_empty() || q.virtual_start > virtual_time);
         }
-        ask
+        request
     }
 
-    /// Returns all whose deadline passed, or that can't finish any more by `late`.
-    pub fn expired(&self, late: impl Fn(&A) -> bool) -> Vec<Ticket> {
-        let asks = self.lines.values().flat_map(|l| &l.asks);
-        asks.filter(|a| late(a)).map(Queued::ticket).collect()
+    /// Returns the tickets of all requests for which `is_expired` is true.
+    pub fn expired(&self, is_expired: impl Fn(&R) -> bool) -> Vec<Ticket> {
+        let requests = self.queues.values().flat_map(|q| &q.requests);
+        requests.filter(|r| is_expired(r)).map(Queued::ticket).collect()
     }
 
     /// Returns how many requests would be taken before a new one of this workspace.
     pub fn ahead(&self, workspace: &WorkspaceId) -> usize {
-        let own = self.lines.get(workspace).map_or(0, |l| l.asks.len());
-        // Everyone else gets a turn for each own one.
-        self.lines.values().map(|l| l.asks.len().min(own + 1)).sum::<usize>().min(self.len())
+        let own = self.queues.get(workspace).map_or(0, |q| q.requests.len());
+        // Each other workspace gets one turn per request of this one.
+        self.queues.values().map(|q| q.requests.len().min(own + 1)).sum::<usize>().min(self.len())
     }
 
-    /// Returns how many of a workspace wait.
+    /// Returns the number of waiting requests of a workspace.
     pub fn waiting(&self, workspace: &WorkspaceId) -> usize {
-        self.lines.get(workspace).map_or(0, |l| l.asks.len())
+        self.queues.get(workspace).map_or(0, |q| q.requests.len())
     }
 
-    /// Returns how many workspaces wait.
+    /// Returns the number of workspaces with waiting requests.
     pub fn workspaces(&self) -> usize {
         self.order.len()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.owners.len()
     }
 
-    /// Says whether nobody waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
     }
 }
 
-/// Orders starts in a set; positive floats sort as their bits do.
-fn key(start: f64) -> u64 {
-    start.max(0.0).to_bits()
+/// Returns a key that sorts as `virtual_start`: the bits of positive floats sort as their values
+/// do.
+fn sort_key(virtual_start: f64) -> u64 {
+    virtual_start.max(0.0).to_bits()
 }
--- a/crates/nutmeggrade-policy/src/rollout.rs
+++ b/crates/nutmeggrade-policy/src/rollout.rs
@@ -1,4 +1,4 @@
-//! How far a roll-out may go, by what its new version has shown.
+//! Decisions about the progress of a rollout, based on the outcomes of its new version.
 
 mod binomial;
 mod evidence;
--- a/crates/nutmeggrade-policy/src/rollout/evidence.rs
+++ b/crates/nutmeggrade-policy/src/rollout/evidence.rs
@@ -1,38 +1,40 @@
-//! Compares two versions by the outcomes of their requests.
+//! Comparison of two versions by the outcomes of their requests.
 
 use nutmeggrade_core::rollout::{Latencies, Outcomes, RolloutTally, RouteOutcomes};
 
 use super::binomial::tail;
 use super::verdict::{Complaint, Verdict};
 
-/// Probability below which a difference is no chance.
-const SURE: f64 = 2e-5;
-/// Probability below which a difference is suspect, so that the version is not completed.
-const DOUBTFUL: f64 = 0.02;
-/// Least difference of two parts that matters: fewer failures than that pass for chance for ever.
-const LEAST_FAILURES: f64 = 0.04;
-/// Least difference of the parts of answers that are above some duration. Two versions never have quite
-/// the same load.
-const LEAST_LATE: f64 = 0.15;
-/// Answers of the new version from which on it may be called bad.
-const FEWEST_BAD: u32 = 6;
-/// Answers of the new version from which on it may be called good.
-const FEWEST_GOOD: u32 = 20;
-/// The same for each route that brings a [`ROUTE_PART`] of the requests.
-const FEWEST_ROUTE: u32 = 6;
-/// Part of a service's answers from which on a route has to be known by itself.
-const ROUTE_PART: f64 = 0.1;
+/// Probability of a chance difference below which the new version is bad.
+const BAD_PROBABILITY: f64 = 2e-5;
+/// Probability of a chance difference below which the new version is suspect and not completed.
+const SUSPECT_PROBABILITY: f64 = 0.02;
+/// Least excess failure rate that is detected; a smaller one always counts as chance.
+const MIN_FAILURE_EXCESS: f64 = 0.04;
+/// Least excess in the fraction of answers above a duration that is detected. Two versions never
+/// have exactly the same load.
+const MIN_LATENCY_EXCESS: f64 = 0.15;
+/// Answers of the new version required to judge it bad.
+const MIN_ANSWERS_BAD: u32 = 6;
+/// Answers of the new version required to judge it good.
+const MIN_ANSWERS_GOOD: u32 = 20;
+/// Answers of the new version required on each route with at least [`ROUTE_SHARE`] of the requests
+/// to judge it good.
+const MIN_ANSWERS_ROUTE: u32 = 6;
+/// Fraction of a service's answers from which on a route needs its own evidence.
+const ROUTE_SHARE: f64 = 0.1;
 
-/// Compares a new version with the old one by what both did at the same time.
+/// Compares a new version with the old one by outcomes from the same period.
 ///
-/// Failures and answers above each duration are counted, and the new version's part of them is compared with
-/// the old one's. That needs no assumption on the spread of durations, and counts of instances add up.
+/// The fractions of failures and of answers above each duration are compared between the versions.
+/// This assumes nothing about the distribution of durations, and the counts of several instances
+/// can be added.
 pub fn compare(tally: &RolloutTally) -> Verdict {
     let all = tally.all_routes();
-    let mut worst = judge_route("*", &all);
+    let mut worst = compare_route("*", &all);
     for (route, outcomes) in &tally.routes {
-        let verdict = judge_route(route, outcomes);
-        if rank(&verdict) > rank(&worst) {
+        let verdict = compare_route(route, outcomes);
+        if severity(&verdict) > severity(&worst) {
             worst = verdict;
         }
     }
@@ -40,31 +42,34 @@
         return worst;
     }
     let answers = f64::from(all.old.count());
-    let is_known = |o: &RouteOutcomes| {
-        f64::from(o.old.count()) < ROUTE_PART * answers || o.new.count() >= FEWEST_ROUTE
+    let has_evidence = |o: &RouteOutcomes| {
+        f64::from(o.old.count()) < ROUTE_SHARE * answers || o.new.count() >= MIN_ANSWERS_ROUTE
     };
-    let is_enough = all.new.count() >= FEWEST_GOOD && tally.routes.values().all(is_known);
-    if is_enough { Verdict::Good } else { Verdict::Unclear }
+    let is_sufficient =
+        all.new.count() >= MIN_ANSWERS_GOOD && tally.routes.values().all(has_evidence);
+    if is_sufficient { Verdict::Good } else { Verdict::Unclear }
 }
 
-fn judge_route(route: &str, outcomes: &RouteOutcomes) -> Verdict {
+fn compare_route(route: &str, outcomes: &RouteOutcomes) -> Verdict {
     let RouteOutcomes { old, new } = outcomes;
-    let found = [
-        (Complaint::Fails, failures(old, new)),
-        (Complaint::StartsLate, lateness(&old.first, &new.first)),
-        (Complaint::StreamsSlowly, lateness(&old.pace, &new.pace)),
+    let probabilities = [
+        (Complaint::Fails, failure_probability(old, new)),
+        (Complaint::StartsLate, latency_probability(&old.first, &new.first)),
+        (Complaint::StreamsSlowly, latency_probability(&old.pace, &new.pace)),
     ];
-    let least = found.into_iter().min_by(|a, b| a.1.total_cmp(&b.1));
-    match least {
-        Some((complaint, chance)) if chance < SURE && new.count() >= FEWEST_BAD => {
+    let lowest = probabilities.into_iter().min_by(|a, b| a.1.total_cmp(&b.1));
+    match lowest {
+        Some((complaint, probability))
+            if probability < BAD_PROBABILITY && new.count() >= MIN_ANSWERS_BAD =>
+        {
             Verdict::Bad { route: route.to_owned(), complaint }
         }
-        Some((_, chance)) if chance < DOUBTFUL => Verdict::Suspect,
+        Some((_, probability)) if probability < SUSPECT_PROBABILITY => Verdict::Suspect,
         _ => Verdict::Good,
     }
 }
 
-const fn rank(verdict: &Verdict) -> u8 {
+const fn severity(verdict: &Verdict) -> u8 {
     match verdict {
         Verdict::Good => 0,
         Verdict::Unclear => 1,
@@ -73,35 +78,44 @@
     }
 }
 
-fn failures(old: &Outcomes, new: &Outcomes) -> f64 {
-    excess((old.failures, old.count()), (new.failures, new.count()), LEAST_FAILURES)
+fn failure_probability(old: &Outcomes, new: &Outcomes) -> f64 {
+    excess_probability((old.failures, old.count()), (new.failures, new.count()), MIN_FAILURE_EXCESS)
 }
 
-/// Returns the least probability over all durations, as many times as there are durations that tell anything.
-fn lateness(old: &Latencies, new: &Latencies) -> f64 {
+/// Returns the lowest probability over all informative durations, multiplied by their number
+/// (Bonferroni correction).
+fn latency_probability(old: &Latencies, new: &Latencies) -> f64 {
     let (old_count, new_count) = (old.count(), new.count());
-    let mut least: f64 = 1.0;
-    let mut bounds = 0_u32;
+    let mut lowest: f64 = 1.0;
+    let mut tested = 0_u32;
     for (old_above, new_above) in old.above().zip(new.above()) {
         if new_above == 0 || old_above == old_count {
             continue;
         }
-        bounds += 1;
-        least = least.min(excess((old_above, old_count), (new_above, new_count), LEAST_LATE));
+        tested += 1;
+        lowest = lowest.min(excess_probability(
+            (old_above, old_count),
+            (new_above, new_count),
+            MIN_LATENCY_EXCESS,
+        ));
     }
-    (least * f64::from(bounds.max(1))).min(1.0)
+    (lowest * f64::from(tested.max(1))).min(1.0)
 }
 
-/// Returns the probability that as many of the new answers are hit by chance, where hits are a `margin`
-/// more frequent than among the old answers.
-fn excess((old_hits, old): (u32, u32), (new_hits, new): (u32, u32), margin: f64) -> f64 {
+/// Returns the probability that the new version has at least as many hits by chance if its hit rate
+/// is `margin` above that of the old version.
+fn excess_probability(
+    (old_hits, old): (u32, u32),
+    (new_hits, new): (u32, u32),
+    margin: f64,
+) -> f64 {
     if new == 0 || old == 0 {
         return 1.0;
     }
-    let part = (f64::from(old_hits) + 0.5) / (f64::from(old) + 1.0);
-    let error = (part * (1.0 - part) / f64::from(old)).sqrt();
-    if f64::from(new_hits) / f64::from(new) <= part + margin {
+    let old_rate = (f64::from(old_hits) + 0.5) / (f64::from(old) + 1.0);
+    let error = (old_rate * (1.0 - old_rate) / f64::from(old)).sqrt();
+    if f64::from(new_hits) / f64::from(new) <= old_rate + margin {
         return 1.0;
     }
-    tail(new_hits, new, part + 2.0 * error)
+    tail(new_hits, new, old_rate + 2.0 * error)
 }
--- a/crates/nutmeggrade-policy/src/rollout/exposure.rs
+++ b/crates/nutmeggrade-policy/src/rollout/exposure.rs
@@ -1,24 +1,25 @@
-//! How many requests a version may get that turns out bad.
+//! Bounds on the exposure of requests to a new version.
 
-/// How many requests a version may get that turns out bad.
+/// Bound on the number of requests that a version may get if it turns out bad.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExposureBound {
-    /// Part of the service's requests within the time that the order gives.
+    /// Fraction of the service's requests within the duration of the order.
     pub share: f64,
-    /// Requests beyond that part.
+    /// Requests allowed in addition to that fraction.
     pub tolerance: f64,
 }
 
 impl ExposureBound {
-    /// Returns how many requests may be exposed of so many.
+    /// Returns the number of `requests` that may be exposed.
     pub fn of(&self, requests: f64) -> f64 {
         self.share * requests + self.tolerance
     }
 }
 
-/// Returns how many of a new version's endpoints get the requests that are drawn for it: so few that each
-/// has the load that it will have when all requests go there. A version may be bad under load only.
+/// Returns how many endpoints of a new version get the requests selected for it. The number is
+/// small enough that each has the same load as when all requests go to the new version, since a
+/// version may be bad only under load.
 pub fn watched(endpoints: usize, share: f64) -> usize {
-    let is_reached = |count: &usize| *count as f64 >= endpoints as f64 * share;
-    (1..=endpoints).find(is_reached).unwrap_or(endpoints)
+    let is_enough = |count: &usize| *count as f64 >= endpoints as f64 * share;
+    (1..=endpoints).find(is_enough).unwrap_or(endpoints)
 }
--- a/crates/nutmeggrade-policy/src/rollout/facts.rs
+++ b/crates/nutmeggrade-policy/src/rollout/facts.rs
@@ -1,43 +1,44 @@
-//! What is known of a roll-out when it is judged.
+//! Inputs of a rollout decision.
 
 use std::time::Duration;
 
 use nutmeggrade_core::rollout::{RolloutPhase, RolloutTally};
 
-/// What endpoints of both versions can bear.
+/// Capacity of the endpoints of both versions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Capacity {
     /// Whether endpoints of other versions are registered.
     pub has_old: bool,
     /// Whether endpoints of the new version are registered.
     pub has_new: bool,
-    /// Requests that usable endpoints of other versions work on at a time.
+    /// Concurrent requests of all usable endpoints of other versions.
     pub old_slots: u32,
-    /// Requests that usable, warm endpoints of the new version work on at a time.
+    /// Concurrent requests of all usable, warm endpoints of the new version.
     pub new_slots: u32,
-    /// Requests that the service has at all endpoints.
+    /// Requests that the service has in flight at all endpoints.
     pub running: u32,
 }
 
-/// What is known of a roll-out when it is judged.
+/// Inputs of a rollout decision.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Facts {
-    /// Time since the first instance knew of the order.
+    /// Time since the first instance received the order.
     pub age: Duration,
-    /// Time in which it has to be decided.
+    /// Time within which the rollout has to be decided.
     pub duration: Duration,
-    /// How far it is.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// What all instances counted.
+    /// Counts of all instances.
     pub tally: RolloutTally,
-    /// What the endpoints can bear.
+    /// Capacity of the endpoints.
     pub capacity: Capacity,
     /// Generations at other versions that have to move before these may stop.
     pub movable: u32,
-    /// Whether most of the instances that were heard in the last half a minute still are. Both sides of a cut
-    /// have a judge, and only the larger one may go on.
+    /// Whether a majority of the instances heard from in the last 30 seconds is still heard from.
+    /// In a network partition each side has a deciding instance, and only the larger side may
+    /// proceed.
     pub has_quorum: bool,
-    /// Whether all instances that were heard in the last half a minute send nothing to other versions any more
-    /// and have nothing there.
+    /// Whether all instances heard from in the last 30 seconds have stopped sending to other
+    /// versions and have nothing in flight there.
     pub is_clear: bool,
 }
--- a/crates/nutmeggrade-policy/src/rollout/verdict.rs
+++ b/crates/nutmeggrade-policy/src/rollout/verdict.rs
@@ -1,8 +1,8 @@
-//! What evidence says of a version.
+//! Result of the comparison of two versions.
 
 use std::fmt;
 
-/// What is wrong with a version.
+/// Way in which a new version is worse.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Complaint {
     /// It fails more often than the old one.
@@ -23,20 +23,20 @@
     }
 }
 
-/// What evidence says of a version.
+/// Result of the comparison of two versions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// Too little is known.
+    /// There is too little evidence.
     Unclear,
-    /// It is as good as the old one, as far as so many answers can show.
+    /// It shows no difference from the old one at the current number of answers.
     Good,
     /// It may be worse.
     Suspect,
     /// It is worse.
     Bad {
-        /// The route that shows it; `*` for all together.
+        /// The route that shows it; `*` for all routes together.
         route: String,
-        /// What is wrong.
+        /// Way in which it is worse.
         complaint: Complaint,
     },
 }
--- a/crates/nutmeggrade-policy/src/scheduler/placing.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/placing.rs
@@ -1,79 +1,103 @@
-//! Choosing the engine of a request.
+//! Engine selection for a request.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
 use super::Scheduler;
-use crate::known::View;
+use crate::engine_state::PlacementContext;
 use crate::memory::Forecast;
 use crate::priority::Priority;
-use crate::router::{AFFINE, DRAWN};
+use crate::router::{AFFINE_CANDIDATES, CANDIDATES_PER_REQUEST};
 use crate::stream::Stream;
 use crate::{Ask, Verdict};
 
-/// How much fuller than the drawn engines one with the prompt's start in its cache may be.
-const BOUND: f64 = 1.25;
+/// Load that an engine with the cached prompt prefix may have, as a multiple of the mean load of
+/// the randomly drawn engines.
+const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
 impl Scheduler {
     /// Starts a request if an engine has room for it.
-    pub(super) fn place(&mut self, ask: &Ask, now: Moment) -> Option<Verdict> {
-        let forecast = self.forecast(ask);
-        let endpoint = self.choose(ask, &forecast, now)?;
-        let left = ask.deadline.since(now);
-        let service = self.service(ask);
-        let known = self.engines.get_mut(&endpoint)?;
-        let share = forecast.peak(0.0) / known.engine.memory.max(1) as f64;
-        let priority = Priority::new(ask.long, left, service, share).number();
-        let others = self.mix.per_token();
-        let usual = self.mix.mean_held();
-        let knobs = &self.knobs;
-        known.start(&View { ask, forecast: &forecast, others: &others, usual, knobs, now });
-        self.mix.add(&forecast);
+    pub(super) fn place(&mut self, request: &Ask, now: Moment) -> Option<Verdict> {
+        let forecast = self.forecast(request);
+        let endpoint = self.choose_engine(request, &forecast, now)?;
+        let time_left = request.deadline.since(now);
+        let expected = self.expected_duration(request);
+        let engine = self.engines.get_mut(&endpoint)?;
+        let memory_share = forecast.peak(0.0) / engine.spec.memory.max(1) as f64;
+        let priority = Priority::new(request.long, time_left, expected, memory_share).number();
+        let per_token = self.answer_mix.per_token();
+        let mean_held = self.answer_mix.mean_held();
+        let settings = &self.knobs;
+        engine.record_start(&PlacementContext {
+            request,
+            forecast: &forecast,
+            per_token: &per_token,
+            mean_held,
+            settings,
+            now,
+        });
+        self.answer_mix.add(&forecast);
         let stream = Stream {
             endpoint: endpoint.clone(),
-            workspace: ask.workspace.clone(),
-            task: ask.task.clone(),
-            prompt: ask.prompt,
-            max: ask.max_tokens,
-            done: 0,
-            learned: 0,
-            last: None,
+            workspace: request.workspace.clone(),
+            task: request.task.clone(),
+            prompt: request.prompt,
+            max_tokens: request.max_tokens,
+            generated: 0,
+            recorded: 0,
+            last_token: None,
             forecast,
         };
-        self.streams.insert(ask.ticket, stream);
+        self.streams.insert(request.ticket, stream);
         Some(Verdict::Go { endpoint, priority })
     }
 
-    /// Returns the time that an answer is expected to take once it runs.
-    pub(super) fn service(&self, ask: &Ask) -> Duration {
-        let Ask { workspace, task, max_tokens, .. } = ask;
+    /// Returns the expected duration of an answer from its start on an engine.
+    pub(super) fn expected_duration(&self, request: &Ask) -> Duration {
+        let Ask { workspace, task, max_tokens, .. } = request;
         let tokens = self.lengths.remaining(workspace, task, 0, *max_tokens);
-        self.gap.mul_f64(tokens)
+        self.mean_gap.mul_f64(tokens)
     }
 
-    fn choose(&mut self, ask: &Ask, forecast: &Forecast, now: Moment) -> Option<EndpointId> {
-        let others = self.mix.per_token();
-        let usual = self.mix.mean_held();
-        let view = View { ask, forecast, others: &others, usual, knobs: &self.knobs, now };
+    fn choose_engine(
+        &mut self,
+        request: &Ask,
+        forecast: &Forecast,
+        now: Moment,
+    ) -> Option<EndpointId> {
+        let per_token = self.answer_mix.per_token();
+        let mean_held = self.answer_mix.mean_held();
+        let context = PlacementContext {
+            request,
+            forecast,
+            per_token: &per_token,
+            mean_held,
+            settings: &self.knobs,
+            now,
+        };
         let engines = &self.engines;
-        let score = |id: &EndpointId| engines.get(id).and_then(|k| k.score(&view));
+        let score = |id: &EndpointId| engines.get(id).and_then(|k| k.score(&context));
 
         let mut best: Option<(f64, &EndpointId)> = None;
-        let mut sum = 0.0;
-        let mut count = 0.0;
-        for id in self.router.draw(&ask.model).take(DRAWN) {
+        let mut score_sum = 0.0;
+        let mut scored = 0.0;
+        for id in self.router.draw(&request.model).take(CANDIDATES_PER_REQUEST) {
             let Some(score) = score(id) else { continue };
-            sum += score;
-            count += 1.0;
+            score_sum += score;
+            scored += 1.0;
             if best.is_none_or(|(b, _)| score < b) {
                 best = Some((score, id));
             }
         }
-        let best = best.map(|(_, id)| id.clone());
-        let bound = if count > 0.0 { BOUND * sum / count + self.knobs.cached } else { 1.0 };
-        let mut affine = self.router.affine(&ask.model, ask.prefix).take(AFFINE);
-        let cached = affine.find(|id| score(id).is_some_and(|s| s <= bound));
-        cached.cloned().or(best)
+        let least_loaded = best.map(|(_, id)| id.clone());
+        let load_bound = if scored > 0.0 {
+            AFFINITY_LOAD_FACTOR * score_sum / scored + self.knobs.cached
+        } else {
+            1.0
+        };
+        let mut affine = self.router.affine(&request.model, request.prefix).take(AFFINE_CANDIDATES);
+        let cached = affine.find(|id| score(id).is_some_and(|s| s <= load_bound));
+        cached.cloned().or(least_loaded)
     }
 }
--- a/crates/nutmeggrade-policy/src/scheduler/waiting.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/waiting.rs
@@ -1,4 +1,4 @@
-//! Letting requests wait, go or return.
+//! Admission of new requests and release of waiting ones.
 
 use std::time::Duration;
 
@@ -8,139 +8,148 @@
 use crate::wait::WaitEstimate;
 use crate::{Ask, Ticket, Verdict};
 
-/// Wait that a refused caller is told while nothing better is known.
-const COME_BACK: Duration = Duration::from_secs(2);
-/// Bounds of that wait: shorter is one wave, longer holds callers off after the load has gone.
-const LONGEST_BACK: Duration = Duration::from_secs(30);
-/// Chance of a whole answer under which a request isn't let in.
-const HOPELESS: f64 = 0.05;
-/// Between two looks for requests that can't finish any more.
-const LOOK: Duration = Duration::from_millis(250);
-/// Workspaces tried in a lane before it rests till the next look.
-const TRIES: usize = 3;
-/// Most requests let go at one look; bounds the time under the scheduler's lock.
-const MOST: usize = 64;
+/// Retry delay for a refused request while no wait estimate exists.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(2);
+/// Longest retry delay; a longer one keeps clients away after the load has gone. The shortest is
+/// half of [`DEFAULT_RETRY_AFTER`]; with a shorter one all would return in one wave.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Least probability of a complete answer before the deadline for which a request is admitted.
+const MIN_COMPLETION_PROBABILITY: f64 = 0.05;
+/// Interval of the search for waiting requests that can no longer finish in time.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Workspaces tried in a lane before the lane is skipped for the rest of the release.
+const MAX_WORKSPACES_TRIED: usize = 3;
+/// Most requests released per call; bounds the time under the scheduler's lock.
+const MAX_RELEASED: usize = 64;
 
 impl Scheduler {
     /// Decides about a new request, or one that failed elsewhere before its first token.
-    pub fn ask(&mut self, ask: &Ask, now: Moment) -> Verdict {
-        if ask.deadline <= now || self.is_hopeless(ask, now) {
-            return self.refuse(Code::TooLate, COME_BACK);
+    pub fn ask(&mut self, request: &Ask, now: Moment) -> Verdict {
+        if request.deadline <= now || self.is_unlikely_to_finish(request, now) {
+            return self.refuse(Code::TooLate, DEFAULT_RETRY_AFTER);
         }
-        if !self.offers(ask) {
-            return self.refuse(Code::NoEndpoint, COME_BACK);
+        if !self.has_usable_engine(request) {
+            return self.refuse(Code::NoEndpoint, DEFAULT_RETRY_AFTER);
         }
-        if self.queue.lane(ask.long).is_empty()
-            && let Some(verdict) = self.place(ask, now)
+        if self.queue.lane(request.long).is_empty()
+            && let Some(verdict) = self.place(request, now)
         {
             return verdict;
         }
-        let wait = self.wait(ask);
-        if !self.queue.has_room(&ask.workspace, self.queue_limit) {
-            return self.refuse(Code::QueueFull, back(wait));
+        let wait = self.estimate_wait(request);
+        if !self.queue.has_room(&request.workspace, self.queue_limit) {
+            return self.refuse(Code::QueueFull, retry_after(wait));
         }
         if let Some(wait) = wait
-            && !WaitEstimate::in_time(wait, self.service(ask), ask.deadline.since(now))
+            && !WaitEstimate::in_time(
+                wait,
+                self.expected_duration(request),
+                request.deadline.since(now),
+            )
         {
-            return self.refuse(Code::TooLate, back(Some(wait)));
+            return self.refuse(Code::TooLate, retry_after(Some(wait)));
         }
-        self.queue.lane_mut(ask.long).push(ask);
+        self.queue.lane_mut(request.long).push(request);
         Verdict::Wait
     }
 
-    /// Decides about those that wait; returns each whose wait ended.
+    /// Releases or refuses waiting requests; returns each whose wait ended.
     pub fn release(&mut self, now: Moment) -> Vec<(Ticket, Verdict)> {
         let mut ended = Vec::new();
         self.expire(now, &mut ended);
         let mut released = [0, 0];
-        let mut open = [true, true];
-        // Turn about, so that neither kind keeps the other out.
-        while (open[0] || open[1]) && ended.len() < MOST {
+        let mut may_release = [true, true];
+        // Alternates between lanes so that neither starves the other.
+        while (may_release[0] || may_release[1]) && ended.len() < MAX_RELEASED {
             for long in [false, true] {
-                let lane = usize::from(long);
-                if !open[lane] {
+                let index = usize::from(long);
+                if !may_release[index] {
                     continue;
                 }
-                match self.next(long, now) {
-                    Some(done) => {
-                        ended.push(done);
-                        released[lane] += 1;
+                match self.release_next(long, now) {
+                    Some(result) => {
+                        ended.push(result);
+                        released[index] += 1;
                     }
-                    None => open[lane] = false,
+                    None => may_release[index] = false,
                 }
             }
         }
         for long in [false, true] {
-            let lane = usize::from(long);
-            let waits = !self.queue.lane(long).is_empty();
-            if waits || released[lane] > 0 {
-                self.waits[lane].released(released[lane], now);
+            let index = usize::from(long);
+            let is_waiting = !self.queue.lane(long).is_empty();
+            if is_waiting || released[index] > 0 {
+                self.wait_estimates[index].released(released[index], now);
             } else {
-                self.waits[lane].idle(now);
+                self.wait_estimates[index].idle(now);
             }
         }
         ended
     }
 
-    fn next(&mut self, long: bool, now: Moment) -> Option<(Ticket, Verdict)> {
-        let heads: Vec<_> = self.queue.lane(long).heads().take(TRIES).cloned().collect();
-        for ask in heads {
-            let Some(verdict) = self.place(&ask, now) else { continue };
-            let tokens = self.lengths.remaining(&ask.workspace, &ask.task, 0, ask.max_tokens);
-            self.queue.lane_mut(long).take(ask.ticket, ask.prompt as f64 + tokens);
-            return Some((ask.ticket, verdict));
+    fn release_next(&mut self, long: bool, now: Moment) -> Option<(Ticket, Verdict)> {
+        let heads: Vec<_> =
+            self.queue.lane(long).heads().take(MAX_WORKSPACES_TRIED).cloned().collect();
+        for request in heads {
+            let Some(verdict) = self.place(&request, now) else { continue };
+            let tokens =
+                self.lengths.remaining(&request.workspace, &request.task, 0, request.max_tokens);
+            self.queue.lane_mut(long).take(request.ticket, request.prompt as f64 + tokens);
+            return Some((request.ticket, verdict));
         }
         None
     }
 
     fn expire(&mut self, now: Moment, ended: &mut Vec<(Ticket, Verdict)>) {
-        let look = now.since(self.looked) >= LOOK;
-        if look {
-            self.looked = now;
+        let is_sweep = now.since(self.last_sweep) >= SWEEP_INTERVAL;
+        if is_sweep {
+            self.last_sweep = now;
         }
         for long in [false, true] {
-            let late = |a: &Ask| a.deadline <= now || (look && self.is_hopeless(a, now));
-            let lost = |a: &Ask| look && !self.offers(a);
-            let queued = self.queue.lane(long);
-            let over = queued.expired(late).into_iter().map(|t| (t, Code::TooLate));
-            let gone = queued.expired(lost).into_iter().map(|t| (t, Code::NoEndpoint));
-            for (ticket, code) in over.chain(gone).collect::<Vec<_>>() {
+            let is_late = |request: &Ask| {
+                request.deadline <= now || (is_sweep && self.is_unlikely_to_finish(request, now))
+            };
+            let has_no_engine = |request: &Ask| is_sweep && !self.has_usable_engine(request);
+            let lane = self.queue.lane(long);
+            let late = lane.expired(is_late).into_iter().map(|t| (t, Code::TooLate));
+            let unserved = lane.expired(has_no_engine).into_iter().map(|t| (t, Code::NoEndpoint));
+            for (ticket, code) in late.chain(unserved).collect::<Vec<_>>() {
                 if self.queue.remove(ticket).is_some() {
-                    let verdict = self.refuse(code, COME_BACK);
+                    let verdict = self.refuse(code, DEFAULT_RETRY_AFTER);
                     ended.push((ticket, verdict));
                 }
             }
         }
     }
 
-    /// Says whether an answer has next to no chance to be whole in time, even if it starts now.
-    fn is_hopeless(&self, ask: &Ask, now: Moment) -> bool {
-        let left = ask.deadline.since(now).as_secs_f64();
-        let steps = left / self.gap.as_secs_f64().max(1e-4);
+    /// Returns whether an answer is unlikely to complete in time even if it starts immediately.
+    fn is_unlikely_to_finish(&self, request: &Ask, now: Moment) -> bool {
+        let seconds_left = request.deadline.since(now).as_secs_f64();
+        let steps = seconds_left / self.mean_gap.as_secs_f64().max(1e-4);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a positive count; the cast saturates"
         )]
         let tokens = steps as u64;
-        if tokens >= ask.max_tokens {
+        if tokens >= request.max_tokens {
             return false;
         }
-        let Ask { workspace, task, max_tokens, .. } = ask;
-        let [on] = self.lengths.survival(workspace, task, 0, *max_tokens, &[tokens]);
-        1.0 - on < HOPELESS
+        let Ask { workspace, task, max_tokens, .. } = request;
+        let [survival] = self.lengths.survival(workspace, task, 0, *max_tokens, &[tokens]);
+        1.0 - survival < MIN_COMPLETION_PROBABILITY
     }
 
-    fn offers(&self, ask: &Ask) -> bool {
-        self.router.offers(&ask.model, &ask.avoid)
+    fn has_usable_engine(&self, request: &Ask) -> bool {
+        self.router.offers(&request.model, &request.avoid)
     }
 
-    fn wait(&self, ask: &Ask) -> Option<Duration> {
-        let ahead = self.queue.lane(ask.long).ahead(&ask.workspace);
-        self.waits[usize::from(ask.long)].wait(ahead + 1)
+    fn estimate_wait(&self, request: &Ask) -> Option<Duration> {
+        let ahead = self.queue.lane(request.long).ahead(&request.workspace);
+        self.wait_estimates[usize::from(request.long)].wait(ahead + 1)
     }
 }
 
-fn back(wait: Option<Duration>) -> Duration {
-    wait.unwrap_or(COME_BACK).clamp(COME_BACK / 2, LONGEST_BACK)
+fn retry_after(wait: Option<Duration>) -> Duration {
+    wait.unwrap_or(DEFAULT_RETRY_AFTER).clamp(DEFAULT_RETRY_AFTER / 2, MAX_RETRY_AFTER)
 }
--- a/crates/nutmeggrade-policy/src/share.rs
+++ b/crates/nutmeggrade-policy/src/share.rs
@@ -1,19 +1,20 @@
-//! What peers let in that no report or heartbeat shows yet.
+//! Admissions of peers that no report or heartbeat shows yet.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-/// Mean age of what heartbeats and reports show.
-const UNSEEN: Duration = Duration::from_millis(700);
+/// Mean age of the state that heartbeats and reports show.
+const REPORT_DELAY: Duration = Duration::from_millis(700);
 
-/// Sum of what this instance let in lately, fading as reports and heartbeats come to show it.
+/// Sum of recent admissions of this instance, which decays as reports and heartbeats come to show
+/// them.
 ///
-/// Answers seven instances that see the same free room at once. Each fills it, and the engine gets
-/// seven times what it bears; the next report sends all of them elsewhere. Since requests are spread
-/// over instances, the peers let in about as much as this one does: each own admission counts once
-/// more for each peer until it shows. All together then stay within the room, and an instance that
-/// is alone loses a second, not room.
+/// When several instances see the same free room in a report, each would fill it, and the next
+/// report would send all of them elsewhere. Since requests are spread evenly over instances, each
+/// peer admits about as much as this instance: each own admission counts once more for each peer
+/// until it shows. All instances together then stay within the room, and one without peers waits a
+/// second longer but loses no room.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Unseen {
     sum: f64,
@@ -21,20 +22,20 @@
 }
 
 impl Unseen {
-    /// Makes a sum of nothing.
+    /// Creates an empty sum.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that `amount` was let in.
+    /// Records the admission of `amount`.
     pub fn add(&mut self, amount: f64, now: Moment) {
         self.sum = self.now(Duration::ZERO, now) + amount;
         self.at = now;
     }
 
-    /// Returns what one peer probably let in unseen, with reports of this age.
+    /// Returns the estimated unreported admissions of one peer, with reports of this age.
     pub fn now(&self, age: Duration, now: Moment) -> f64 {
-        let fade = UNSEEN.max(age).as_secs_f64();
-        self.sum * (-now.since(self.at).as_secs_f64() / fade).exp()
+        let time_constant = REPORT_DELAY.max(age).as_secs_f64();
+        self.sum * (-now.since(self.at).as_secs_f64() / time_constant).exp()
     }
 }
--- a/crates/nutmeggrade-policy/src/slow_start.rs
+++ b/crates/nutmeggrade-policy/src/slow_start.rs
@@ -1,43 +1,43 @@
-//! How fast an engine that came back gets its work.
+//! Ramp-up of engines that return to service.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-/// Answers on an engine at the beginning, over all instances; about what a cold one bears.
-const FIRST: f64 = 3.0;
-/// Doublings after which there is no limit any more; 3 times 2 to the 6th is a full batch.
+/// Initial limit of answers on an engine, over all instances; about the capacity of a cold engine.
+const INITIAL_LIMIT: f64 = 3.0;
+/// Doublings after which the limit ends; 3 times 2 to the 6th is a full batch.
 const DOUBLINGS: f64 = 6.0;
 
-/// Ramp of an engine that was cold or out of service.
+/// Concurrency limit of an engine that was cold or out of service.
 ///
-/// Answers a whole failure domain coming back. Its engines are empty, so that every instance sends
-/// them everything at once, prompts are read instead of tokens made, and streams that start there
-/// stutter together; all engines of the domain fill with answers of one age, which then grow
-/// together. The limit doubles once in the ramp's time, as fast as what was let in shows in reports
-/// and heartbeats.
+/// When a whole failure domain returns, its engines are empty, and without a limit every instance
+/// would send them all its work at once. The engines would then read prompts instead of generating
+/// tokens, their new streams would stall together, and their answers would be of one age and grow
+/// at the same time. The limit doubles once per `ramp`, which is about the time until admitted
+/// requests show in reports and heartbeats.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SlowStart {
     began: Option<Moment>,
 }
 
 impl SlowStart {
-    /// Makes a ramp that has ended.
+    /// Creates a ramp that has ended.
     pub const fn new() -> Self {
         Self { began: None }
     }
 
-    /// Begins the ramp, from its start if one is under way.
+    /// Begins the ramp, or restarts one in progress.
     pub const fn begin(&mut self, now: Moment) {
         self.began = Some(now);
     }
 
-    /// Returns the most answers on the engine now; `None` once the ramp is over.
+    /// Returns the most answers allowed on the engine; `None` once the ramp is over.
     pub fn limit(&self, ramp: Duration, now: Moment) -> Option<f64> {
-        let passed = now.since(self.began?).as_secs_f64() / ramp.as_secs_f64().max(1e-3);
-        if passed >= DOUBLINGS {
+        let doublings = now.since(self.began?).as_secs_f64() / ramp.as_secs_f64().max(1e-3);
+        if doublings >= DOUBLINGS {
             return None;
         }
-        Some(FIRST * passed.exp2())
+        Some(INITIAL_LIMIT * doublings.exp2())
     }
 }
--- a/crates/nutmeggrade-policy/src/stream.rs
+++ b/crates/nutmeggrade-policy/src/stream.rs
@@ -1,23 +1,24 @@
-//! One generation that runs.
+//! A running generation.
 
 use nutmeggrade_core::prelude::*;
 
 use crate::memory::Forecast;
 
-/// Tokens between two looks at a running answer; half the narrowest of the wider length ranges.
-pub(crate) const LOOK: u64 = 32;
+/// Tokens between two updates of the length estimates and the forecast of a running answer; half of
+/// the narrowest of the wider length ranges.
+pub(crate) const UPDATE_INTERVAL_TOKENS: u64 = 32;
 
-/// One generation that this instance has on an engine.
+/// A generation that this instance runs on an engine.
 #[derive(Debug)]
 pub(crate) struct Stream {
     pub endpoint: EndpointId,
     pub workspace: WorkspaceId,
     pub task: TaskId,
     pub prompt: u64,
-    pub max: u64,
-    pub done: u64,
-    /// Length up to which the estimator knows it.
-    pub learned: u64,
-    pub last: Option<Moment>,
+    pub max_tokens: u64,
+    pub generated: u64,
+    /// Length up to which the length estimates include it.
+    pub recorded: u64,
+    pub last_token: Option<Moment>,
     pub forecast: Forecast,
 }
--- a/crates/nutmeggrade-policy/src/verdict.rs
+++ b/crates/nutmeggrade-policy/src/verdict.rs
@@ -1,41 +1,41 @@
-//! What is decided about a request.
+//! Decisions about requests, and how requests end.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-/// Names one request inside one instance.
+/// Identifies a request within an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What is decided about a request.
+/// Decision about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
     /// Start it on this engine.
     Go {
-        /// The engine.
+        /// Chosen engine.
         endpoint: EndpointId,
-        /// Higher is preempted later.
+        /// Preemption priority; higher is preempted later.
         priority: i32,
     },
-    /// It waits; a later [`crate::Scheduler::release`] decides.
+    /// Keep it in the queue until [`crate::Scheduler::release`] decides.
     Wait,
-    /// Refuse it, and say when to come back.
+    /// Refuse it with a retry delay.
     Refuse {
-        /// The numbered code.
+        /// Result code.
         code: Code,
-        /// When to come back.
+        /// Time after which the client may retry.
         retry_after: Duration,
     },
 }
 
-/// How a request that was let in ended.
+/// How an admitted request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer came.
+    /// The answer is complete.
     Finished,
     /// The engine failed.
     Failed,
-    /// The caller left or the deadline passed.
+    /// The client disconnected or the deadline passed.
     Cancelled,
 }
--- a/crates/nutmeggrade-policy/src/wait.rs
+++ b/crates/nutmeggrade-policy/src/wait.rs
@@ -1,66 +1,73 @@
-//! How long a request would wait.
+//! Estimated wait of queued requests.
 
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-/// Time over which the rate of leaving the queue is averaged: long enough to hold some tens of
-/// answers, short enough to follow a failure domain going out.
-const WINDOW: Duration = Duration::from_secs(8);
-/// Part of the time to spare that a request may be expected to wait. The rest covers the error of
-/// the expected length; with all of it, half of those at the queue's end start and don't finish.
-const PATIENCE: f64 = 0.8;
+/// Averaging time of the release rate: long enough to include some tens of answers, short enough to
+/// follow the loss of a failure domain.
+const AVERAGING_TIME: Duration = Duration::from_secs(8);
+/// Fraction of the time to spare that the estimated wait may use. The rest covers the error of the
+/// expected length; without it, half of the requests at the end of the queue would start and not
+/// finish.
+const MAX_WAIT_SHARE: f64 = 0.8;
 
-/// Rate at which waiting requests of one kind get their place.
+/// Release rate of waiting requests of one kind.
 ///
-/// Answers queues longer than deadlines. Whoever waits in vain holds its caller up to the deadline,
-/// and often starts just too late to finish, so that under three times the load most answers that
-/// engines make are thrown away. The estimate refuses it as it comes, with the time to come back.
+/// If queues are longer than deadlines, requests that wait in vain keep their clients waiting up to
+/// the deadline and often start slightly too late to finish; at three times the capacity engines
+/// would waste most of their work. The estimate lets such a request be refused on arrival, with a
+/// retry delay.
 #[derive(Debug, Clone, Default)]
 pub struct WaitEstimate {
     rate: f64,
-    at: Moment,
-    began: Option<Moment>,
+    updated_at: Moment,
+    started_at: Option<Moment>,
 }
 
 impl WaitEstimate {
-    /// Makes an estimate that has seen nothing.
+    /// Creates an estimate without measurements.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that `count` requests got their place, zero included.
+    /// Records that `count` requests were released, zero included.
     pub fn released(&mut self, count: usize, now: Moment) {
-        let passed = now.since(self.at).as_secs_f64();
-        let began = *self.began.get_or_insert(now);
-        self.at = now;
-        if passed <= 0.0 {
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        let started_at = *self.started_at.get_or_insert(now);
+        self.updated_at = now;
+        if elapsed <= 0.0 {
             return;
         }
-        // Early on the window is the time since the start, or the rate would begin near zero.
-        let known = now.since(began).min(WINDOW).as_secs_f64().max(passed);
-        let weight = 1.0 - (-passed / known).exp();
-        self.rate += weight * (count as f64 / passed - self.rate);
+        // Until the averaging time has passed, the average covers the time since the start;
+        // otherwise the rate would start near zero.
+        let window = now.since(started_at).min(AVERAGING_TIME).as_secs_f64().max(elapsed);
+        let weight = 1.0 - (-elapsed / window).exp();
+        self.rate += weight * (count as f64 / elapsed - self.rate);
     }
 
-    /// Notes that nobody waits: the rate of leaving an empty queue says nothing of a full one.
+    /// Records that no request waits: the release rate of an empty queue does not apply to a full
+    /// one.
     pub fn idle(&mut self, now: Moment) {
-        self.at = now;
-        self.began = None;
+        self.updated_at = now;
+        self.started_at = None;
     }
 
-    /// Returns how long a request waits behind `ahead` others; `None` while nothing is known.
+    /// Returns the estimated wait behind `ahead` other requests; `None` before there are enough
+    /// measurements.
     pub fn wait(&self, ahead: usize) -> Option<Duration> {
-        let known = self.began.is_some_and(|b| self.at.since(b) >= WINDOW / 4);
-        if !known {
+        let is_known =
+            self.started_at.is_some_and(|at| self.updated_at.since(at) >= AVERAGING_TIME / 4);
+        if !is_known {
             return None;
         }
         let seconds = (ahead as f64 / self.rate.max(1e-3)).min(3_600.0);
         Some(Duration::from_secs_f64(seconds))
     }
 
-    /// Says whether a request that takes `service` can wait so long and finish in the time left.
+    /// Returns whether a request with the expected duration `service` can wait this long and finish
+    /// in the time left.
     pub fn in_time(wait: Duration, service: Duration, left: Duration) -> bool {
-        left.checked_sub(service).is_some_and(|spare| wait <= spare.mul_f64(PATIENCE))
+        left.checked_sub(service).is_some_and(|spare| wait <= spare.mul_f64(MAX_WAIT_SHARE))
     }
 }
