--- a/crates/nutmeggrade-policy/src/cold_watch.rs
+++ b/crates/nutmeggrade-policy/src/cold_watch.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns the mean gap, or that of most engines before enough steps have been measured.
-    pub fn usual(&self) -> Duration {
+    pub fn mean_gap(&self) -> Duration {
         let seconds = if self.measured_steps >= MIN_MEASURED_STEPS { self.mean_gap } else { 0.015 };
         Duration::from_secs_f64(seconds)
     }
--- a/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::lane_key::LaneKey;
-use super::{Candidate, LoadBook, Need, Placed, failing_penalty, fits, score};
+use super::{Candidate, LoadBook, Need, Placed, failure_rate_penalty, fits, score};
 use crate::queue::Lane;
 use crate::wait::WaitEstimate;
 use crate::{Spread, Ticket};
@@ -219,7 +219,8 @@
         let usable: Vec<&Candidate> = open.iter().copied().filter(is_available).collect();
         // A paused endpoint is better than none.
         let usable = if usable.is_empty() { open } else { usable };
-        let failure_rate = |c: &Candidate| self.book.health(&c.id).map_or(0.0, |h| h.failing(now));
+        let failure_rate =
+            |c: &Candidate| self.book.health(&c.id).map_or(0.0, |h| h.failure_rate(now));
         // The least failure rate of all endpoints is taken as caused by the requests, not by an
         // endpoint.
         let base_rate = usable.iter().map(|c| failure_rate(c)).fold(1.0, f64::min);
@@ -229,14 +230,15 @@
             if !fits(candidate, &placed, request) {
                 continue;
             }
-            let recent_failures = self.book.health(&candidate.id).map_or(0.0, |h| h.trouble(now));
+            let recent_failures =
+                self.book.health(&candidate.id).map_or(0.0, |h| h.recent_failures(now));
             let random = self.rng.random_range(0.0..MAX_RANDOM_PENALTY);
             let domain_penalty = match &request.from {
                 Some(from) if *from != candidate.domain => CROSS_DOMAIN_COPY_PENALTY,
                 None if self.domain != candidate.domain => CROSS_DOMAIN_PENALTY,
                 _ => 0.0,
             };
-            let failure_penalty = failing_penalty(failure_rate(candidate) - base_rate);
+            let failure_penalty = failure_rate_penalty(failure_rate(candidate) - base_rate);
             let total = score(candidate, &placed, recent_failures)
                 + failure_penalty
                 + domain_penalty
--- a/crates/nutmeggrade-policy/src/dispatch/failure_rate.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/failure_rate.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns the fraction of answers that are failures at present.
-    pub fn part(&self, now: Moment) -> f64 {
+    pub fn value(&self, now: Moment) -> f64 {
         let decay = self.decay(now);
         (self.failures * decay + PRIOR_COUNTS.0) / (self.answers * decay + PRIOR_COUNTS.1)
     }
--- a/crates/nutmeggrade-policy/src/dispatch/health.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/health.rs
@@ -42,7 +42,7 @@
 impl Health {
     /// Records an answer that is not a failure.
     pub fn succeeded(&mut self, now: Moment) {
-        self.failures = self.trouble(now) * SUCCESS_FACTOR;
+        self.failures = self.recent_failures(now) * SUCCESS_FACTOR;
         self.updated_at = now;
         self.losses = 0;
         self.paused_until = None;
@@ -52,7 +52,7 @@
 
     /// Records that the endpoint answered with a failure.
     pub fn failed(&mut self, now: Moment) {
-        self.failures = self.trouble(now) + 1.0;
+        self.failures = self.recent_failures(now) + 1.0;
         self.updated_at = now;
         self.count((1, 1), now);
     }
@@ -78,8 +78,8 @@
 
     /// Returns the failure rate of the endpoint, the higher of that seen in this failure domain and
     /// that seen by all: some endpoints fail only the clients of one failure domain.
-    pub fn failing(&self, now: Moment) -> f64 {
-        self.domain_rate.part(now).max(self.total_rate.part(now))
+    pub fn failure_rate(&self, now: Moment) -> f64 {
+        self.domain_rate.value(now).max(self.total_rate.value(now))
     }
 
     /// Records that the endpoint could not be reached, stopped responding or closed the connection
@@ -113,7 +113,7 @@
     }
 
     /// Returns the number of recent failures, older ones with less weight.
-    pub fn trouble(&self, now: Moment) -> f64 {
+    pub fn recent_failures(&self, now: Moment) -> f64 {
         let age = now.since(self.updated_at).as_secs_f64() / DECAY_TIME.as_secs_f64();
         self.failures * (-age).exp()
     }
--- a/crates/nutmeggrade-policy/src/dispatch/load_book.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/load_book.rs
@@ -31,7 +31,7 @@
 
 /// Load of an instance at the endpoints where it has changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Changes {
+pub struct LoadChanges {
     /// Total load of the instance at each of these endpoints.
     pub placed: BTreeMap<EndpointId, Placed>,
     /// Whether a copy of a generation began or ended, which coordinates turns between instances.
@@ -122,14 +122,14 @@
     }
 
     /// Returns the load of this instance at the endpoints where it has changed since the last call.
-    pub fn take_changes(&mut self) -> Changes {
+    pub fn take_changes(&mut self) -> LoadChanges {
         let changed = std::mem::take(&mut self.changed);
         let current = |id: EndpointId| {
             let placed = self.own_totals.get(&id).copied().unwrap_or_default();
             (id, placed)
         };
         let placed = changed.into_iter().map(current).collect();
-        Changes { placed, is_urgent: std::mem::take(&mut self.is_urgent) }
+        LoadChanges { placed, is_urgent: std::mem::take(&mut self.is_urgent) }
     }
 
     /// Removes peers that are gone.
--- a/crates/nutmeggrade-policy/src/dispatch/room.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/room.rs
@@ -72,6 +72,6 @@
 /// Some endpoints report healthy and fail their requests. In a large fleet each instance sends such
 /// an endpoint only a few requests a second, and by its own failures alone would detect it after
 /// most were lost.
-pub fn failing_penalty(excess: f64) -> f64 {
+pub fn failure_rate_penalty(excess: f64) -> f64 {
     (excess - MIN_EXCESS_RATE).max(0.0) * EXCESS_RATE_PENALTY
 }
--- a/crates/nutmeggrade-policy/src/rollout.rs
+++ b/crates/nutmeggrade-policy/src/rollout.rs
@@ -12,4 +12,4 @@
 pub use exposure::{ExposureBound, watched};
 pub use facts::{Capacity, Facts};
 pub use judge::{Judge, Ruling};
-pub use verdict::{Complaint, Verdict};
+pub use verdict::{Regression, Verdict};
--- a/crates/nutmeggrade-policy/src/rollout/evidence.rs
+++ b/crates/nutmeggrade-policy/src/rollout/evidence.rs
@@ -3,7 +3,7 @@
 use nutmeggrade_core::rollout::{Latencies, Outcomes, RolloutTally, RouteOutcomes};
 
 use super::binomial::tail;
-use super::verdict::{Complaint, Verdict};
+use super::verdict::{Regression, Verdict};
 
 /// Probability of a chance difference below which the new version is bad.
 const BAD_PROBABILITY: f64 = 2e-5;
@@ -53,9 +53,9 @@
 fn compare_route(route: &str, outcomes: &RouteOutcomes) -> Verdict {
     let RouteOutcomes { old, new } = outcomes;
     let probabilities = [
-        (Complaint::Fails, failure_probability(old, new)),
-        (Complaint::StartsLate, latency_probability(&old.first, &new.first)),
-        (Complaint::StreamsSlowly, latency_probability(&old.pace, &new.pace)),
+        (Regression::Fails, failure_probability(old, new)),
+        (Regression::StartsLate, latency_probability(&old.first, &new.first)),
+        (Regression::StreamsSlowly, latency_probability(&old.pace, &new.pace)),
     ];
     let lowest = probabilities.into_iter().min_by(|a, b| a.1.total_cmp(&b.1));
     match lowest {
--- a/crates/nutmeggrade-policy/src/rollout/verdict.rs
+++ b/crates/nutmeggrade-policy/src/rollout/verdict.rs
@@ -4,7 +4,7 @@
 
 /// Way in which a new version is worse.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Complaint {
+pub enum Regression {
     /// It fails more often than the old one.
     Fails,
     /// It answers or begins its streams later.
@@ -13,7 +13,7 @@
     StreamsSlowly,
 }
 
-impl fmt::Display for Complaint {
+impl fmt::Display for Regression {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Fails => "fails",
@@ -37,7 +37,7 @@
         /// The route that shows it; `*` for all routes together.
         route: String,
         /// Way in which it is worse.
-        complaint: Complaint,
+        complaint: Regression,
     },
 }
 
--- a/crates/nutmeggrade-policy/src/scheduler.rs
+++ b/crates/nutmeggrade-policy/src/scheduler.rs
@@ -45,7 +45,7 @@
     wait_estimates: [WaitEstimate; 2],
     last_sweep: Moment,
     mean_gap: Duration,
-    knobs: Knobs,
+    settings: Knobs,
     jitter: Spread,
     seed: u64,
 }
@@ -65,7 +65,7 @@
             wait_estimates: [WaitEstimate::new(), WaitEstimate::new()],
             last_sweep: Moment::ZERO,
             mean_gap: INITIAL_TOKEN_GAP,
-            knobs: Knobs::new(&Weights::default()),
+            settings: Knobs::new(&Weights::default()),
             jitter: Spread::new(seed),
             seed,
         }
@@ -74,7 +74,7 @@
     /// Applies the limits and weights of the active preset.
     pub fn set_preset(&mut self, preset: &Preset) {
         self.queue_limit = preset.limits.queue as usize;
-        self.knobs = Knobs::new(&preset.weights);
+        self.settings = Knobs::new(&preset.weights);
     }
 
     /// Replaces the engines that may get new work; generations on other engines continue.
@@ -129,7 +129,7 @@
         if let Some(engine) = self.engines.get_mut(&stream.endpoint) {
             if let Some(last) = last {
                 let gap = now.since(last);
-                let target = self.knobs.gap.max(self.mean_gap.mul_f64(SLOW_ENGINE_FACTOR));
+                let target = self.settings.gap.max(self.mean_gap.mul_f64(SLOW_ENGINE_FACTOR));
                 engine.record_gap(gap, target, now);
                 // A single stalled stream must not dominate the mean.
                 let gap = gap.min(self.mean_gap * 4);
--- a/crates/nutmeggrade-policy/src/scheduler/placing.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/placing.rs
@@ -28,7 +28,7 @@
         let priority = Priority::new(request.long, time_left, expected, memory_share).number();
         let per_token = self.answer_mix.per_token();
         let mean_held = self.answer_mix.mean_held();
-        let settings = &self.knobs;
+        let settings = &self.settings;
         engine.record_start(&PlacementContext {
             request,
             forecast: &forecast,
@@ -73,7 +73,7 @@
             forecast,
             per_token: &per_token,
             mean_held,
-            settings: &self.knobs,
+            settings: &self.settings,
             now,
         };
         let engines = &self.engines;
@@ -92,7 +92,7 @@
         }
         let least_loaded = best.map(|(_, id)| id.clone());
         let load_bound = if scored > 0.0 {
-            AFFINITY_LOAD_FACTOR * score_sum / scored + self.knobs.cached
+            AFFINITY_LOAD_FACTOR * score_sum / scored + self.settings.cached
         } else {
             1.0
         };
