--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -14,7 +14,7 @@
 };
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::Placed;
-use nutmeggrade_policy::dispatch::LoadBook;
+use nutmeggrade_policy::dispatch::LoadTable;
 use nutmeggrade_state::fleet_view::{FleetView, Forwarders, PERIOD};
 
 /// Instances of a fleet.
@@ -66,7 +66,7 @@
 /// What one instance of a fleet knows.
 struct Known {
     view: FleetView,
-    book: LoadBook,
+    book: LoadTable,
     size: u32,
     now: Moment,
 }
@@ -75,7 +75,7 @@
     fn new(size: u32) -> anyhow::Result<Self> {
         let view = FleetView::new(&name(0)?, &seat(0)?, &[]);
         let now = Moment::from_millis(60_000);
-        let mut known = Self { view, book: LoadBook::new(), size, now };
+        let mut known = Self { view, book: LoadTable::new(), size, now };
         for number in 1..size {
             known.hear(&beacon(number, 1)?);
         }
--- a/crates/nutmeggrade-fakes/src/rollout/instance.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/instance.rs
@@ -5,7 +5,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::{RolloutNotice, RolloutReport};
 use nutmeggrade_core::routing::EndpointInfo;
-use nutmeggrade_policy::rollout::{Facts, Judge, watched};
+use nutmeggrade_policy::rollout::{Judge, RolloutInputs, watched};
 use nutmeggrade_state::registry::{Registered, Registry};
 use nutmeggrade_state::rollout::{EndpointLoad, Reported, RolloutTable, Standing, Surroundings};
 
@@ -124,7 +124,7 @@
             is_movable: plan.is_stream,
         };
         let seen = Surroundings::new(&self.registry, (&self.service, &view.id.version), load, now);
-        let facts = Facts {
+        let facts = RolloutInputs {
             age: view.age,
             duration: view.duration,
             phase: view.phase,
--- a/crates/nutmeggrade-policy/src/knobs.rs
+++ b/crates/nutmeggrade-policy/src/decision_settings.rs
@@ -9,7 +9,7 @@
 /// The weights let deployments balance the same objectives differently. They are taken relative to
 /// their mean and bounded, so that no weight disables a decision.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Knobs {
+pub struct DecisionSettings {
     /// Standard deviations of memory kept free.
     pub reserve: f64,
     /// Target gap between tokens; an engine may exceed it for one in five tokens.
@@ -23,7 +23,7 @@
     pub cached: f64,
 }
 
-impl Knobs {
+impl DecisionSettings {
     /// Derives the settings.
     pub fn new(weights: &Weights) -> Self {
         let Weights { stall, domains, gap, preemptions } = *weights;
--- a/crates/nutmeggrade-policy/src/dispatch.rs
+++ b/crates/nutmeggrade-policy/src/dispatch.rs
@@ -10,10 +10,10 @@
 mod room;
 
 pub use candidate::Candidate;
-pub use dispatcher::{Dispatcher, Offer};
+pub use dispatcher::{DispatchDecision, Dispatcher};
 pub use failure_rate::FailureRate;
 pub use health::Health;
-pub use load_book::{LoadBook, LoadChanges};
-pub use need::Need;
+pub use load_book::{LoadChanges, LoadTable};
+pub use need::DispatchRequest;
 pub use nutmeggrade_core::routing::Placed;
 pub use room::{failure_rate_penalty, fits, score};
--- a/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
@@ -8,10 +8,10 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::lane_key::LaneKey;
-use super::{Candidate, LoadBook, Need, Placed, failure_rate_penalty, fits, score};
+use super::{Candidate, DispatchRequest, LoadTable, Placed, failure_rate_penalty, fits, score};
 use crate::queue::Lane;
 use crate::wait::WaitEstimate;
-use crate::{Spread, Ticket};
+use crate::{RetryJitter, Ticket};
 
 /// Upper bound of the random part of an endpoint's score. It keeps instances that see the same load
 /// from all choosing the same endpoint between two heartbeats.
@@ -30,7 +30,7 @@
 
 /// Decision about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Offer {
+pub enum DispatchDecision {
     /// Send it to this endpoint.
     Go(EndpointId),
     /// Keep it in the queue until [`Dispatcher::release`] decides.
@@ -49,12 +49,12 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     /// Load of each endpoint from this instance and its peers.
-    pub book: LoadBook,
+    pub book: LoadTable,
     domain: DomainId,
     candidates: BTreeMap<ServiceId, Vec<Candidate>>,
-    lanes: BTreeMap<LaneKey, Lane<Need>>,
+    lanes: BTreeMap<LaneKey, Lane<DispatchRequest>>,
     wait_estimates: BTreeMap<LaneKey, WaitEstimate>,
-    jitter: Spread,
+    jitter: RetryJitter,
     rng: ChaCha8Rng,
 }
 
@@ -62,12 +62,12 @@
     /// Creates a dispatcher for an instance in `domain`, without endpoints.
     pub fn new(domain: &DomainId, seed: u64) -> Self {
         Self {
-            book: LoadBook::new(),
+            book: LoadTable::new(),
             domain: domain.clone(),
             candidates: BTreeMap::new(),
             lanes: BTreeMap::new(),
             wait_estimates: BTreeMap::new(),
-            jitter: Spread::new(seed),
+            jitter: RetryJitter::new(seed),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -78,15 +78,20 @@
     }
 
     /// Decides about a new request, which may wait for at most `patience`.
-    pub fn offer(&mut self, request: &Need, patience: Duration, now: Moment) -> Offer {
+    pub fn offer(
+        &mut self,
+        request: &DispatchRequest,
+        patience: Duration,
+        now: Moment,
+    ) -> DispatchDecision {
         if !self.must_queue(request)
             && let Some(endpoint) = self.choose(request, now)
         {
             self.place(request, &endpoint);
-            return Offer::Go(endpoint);
+            return DispatchDecision::Go(endpoint);
         }
         if !self.can_ever_run(request) {
-            return Offer::Refuse(self.jitter.draw(DEFAULT_RETRY_DELAY));
+            return DispatchDecision::Refuse(self.jitter.draw(DEFAULT_RETRY_DELAY));
         }
         let key = LaneKey::on_time(&request.service, request.priority);
         let late_key = LaneKey::late(&request.service, request.priority);
@@ -97,10 +102,10 @@
         if let Some(wait) = estimate
             && wait > patience
         {
-            return Offer::Refuse(self.jitter.draw(wait.min(MAX_RETRY_DELAY) / 2));
+            return DispatchDecision::Refuse(self.jitter.draw(wait.min(MAX_RETRY_DELAY) / 2));
         }
         lane.push(request);
-        Offer::Wait
+        DispatchDecision::Wait
     }
 
     /// Places waiting requests where room is free, the most urgent first.
@@ -130,7 +135,7 @@
     }
 
     /// Removes a request whose client gave up waiting; returns its retry delay.
-    pub fn give_up(&mut self, request: &Need) -> Duration {
+    pub fn give_up(&mut self, request: &DispatchRequest) -> Duration {
         let key = LaneKey::on_time(&request.service, request.priority);
         for key in [&key, &LaneKey::late(&request.service, request.priority)] {
             if let Some(lane) = self.lanes.get_mut(key) {
@@ -143,12 +148,16 @@
     }
 
     /// Selects an endpoint for a generation that moves there from another, bypassing the queue.
-    pub fn choose_move(&mut self, request: &Need, now: Moment) -> Option<EndpointId> {
+    pub fn choose_move_target(
+        &mut self,
+        request: &DispatchRequest,
+        now: Moment,
+    ) -> Option<EndpointId> {
         self.choose(request, now)
     }
 
     /// Draws the retry delay of a request that no endpoint can serve.
-    pub fn return_time(&mut self) -> Duration {
+    pub fn draw_retry_delay(&mut self) -> Duration {
         self.jitter.draw(DEFAULT_RETRY_DELAY)
     }
 
@@ -158,7 +167,7 @@
     }
 
     /// Records that a request goes to an endpoint.
-    pub fn place(&mut self, request: &Need, endpoint: &EndpointId) {
+    pub fn place(&mut self, request: &DispatchRequest, endpoint: &EndpointId) {
         let placed =
             Placed { requests: 1, memory: request.memory, reading: request.prompt, moving: 0 };
         self.book.place(request.ticket, endpoint, placed);
@@ -169,7 +178,7 @@
     }
 
     /// Returns whether requests of the same or a higher priority wait for the same service.
-    fn must_queue(&self, request: &Need) -> bool {
+    fn must_queue(&self, request: &DispatchRequest) -> bool {
         let first = LaneKey::on_time(&request.service, 0);
         let last = LaneKey::on_time(&request.service, request.priority);
         self.lanes.range(first..=last).any(|(_, lane)| !lane.is_empty())
@@ -179,7 +188,7 @@
     fn move_late(&mut self, now: Moment) {
         let mut late = Vec::new();
         for (key, lane) in self.lanes.iter_mut().filter(|(key, _)| !key.is_late) {
-            for ticket in lane.expired(|request| request.fresh_until <= now) {
+            for ticket in lane.expired(|request| request.start_deadline <= now) {
                 late.extend(lane.remove(ticket).map(|request| (key.priority, request)));
             }
         }
@@ -189,14 +198,14 @@
     }
 
     /// Returns whether any endpoint could run the request if it had no other load.
-    fn can_ever_run(&self, request: &Need) -> bool {
+    fn can_ever_run(&self, request: &DispatchRequest) -> bool {
         let endpoints = self.candidates.get(&request.service);
         let can_run = |c: &Candidate| !c.is_canary && c.memory.is_none_or(|m| request.memory <= m);
         endpoints.is_some_and(|c| c.iter().any(can_run))
     }
 
-    fn take_next(&mut self, key: &LaneKey, now: Moment) -> Option<(Need, EndpointId)> {
-        let heads: Vec<Need> = self.lanes.get(key)?.heads().cloned().collect();
+    fn take_next(&mut self, key: &LaneKey, now: Moment) -> Option<(DispatchRequest, EndpointId)> {
+        let heads: Vec<DispatchRequest> = self.lanes.get(key)?.heads().cloned().collect();
         heads.into_iter().find_map(|request| {
             let endpoint = self.choose(&request, now)?;
             Some((request, endpoint))
@@ -205,12 +214,17 @@
 
     /// Selects among the endpoints of a new version if the request is selected for it. Otherwise,
     /// or if none of them has room, selects among all others.
-    fn choose(&mut self, request: &Need, now: Moment) -> Option<EndpointId> {
+    fn choose(&mut self, request: &DispatchRequest, now: Moment) -> Option<EndpointId> {
         let canary = if request.is_canary { self.choose_among(request, true, now) } else { None };
         canary.or_else(|| self.choose_among(request, false, now))
     }
 
-    fn choose_among(&mut self, request: &Need, is_canary: bool, now: Moment) -> Option<EndpointId> {
+    fn choose_among(
+        &mut self,
+        request: &DispatchRequest,
+        is_canary: bool,
+        now: Moment,
+    ) -> Option<EndpointId> {
         let candidates = self.candidates.get(&request.service)?;
         let is_available =
             |c: &&Candidate| !self.book.health(&c.id).is_some_and(|h| h.is_paused(now));
--- a/crates/nutmeggrade-policy/src/dispatch/health.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/health.rs
@@ -59,12 +59,12 @@
 
     fn count(&mut self, (failures, answers): (u32, u32), now: Moment) {
         self.unsent = (self.unsent.0 + failures, self.unsent.1 + answers);
-        self.add_counted((failures, answers), true, now);
+        self.record_counts((failures, answers), true, now);
     }
 
     /// Records answers counted by this instance or a peer, and how many of them are failures.
     /// `is_near` is true if the counting instance is in the same failure domain.
-    pub fn add_counted(&mut self, counted: (u32, u32), is_near: bool, now: Moment) {
+    pub fn record_counts(&mut self, counted: (u32, u32), is_near: bool, now: Moment) {
         self.total_rate.add(counted, now);
         if is_near {
             self.domain_rate.add(counted, now);
@@ -103,7 +103,7 @@
     /// Returns whether all instances were notified recently enough that no further notice is due. A
     /// pause alone does not imply a notice: it also follows a lost answer, which is not announced
     /// to peers.
-    pub fn is_told_gone(&self, now: Moment) -> bool {
+    pub fn has_recent_gone_notice(&self, now: Moment) -> bool {
         self.gone_at.is_some_and(|at| now.since(at) < GONE_NOTICE_INTERVAL)
     }
 
--- a/crates/nutmeggrade-policy/src/dispatch/load_book.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/load_book.rs
@@ -19,7 +19,7 @@
 /// therefore exchange their placements several times a second, counted by what each request will
 /// use in the end, so that each choice takes the others' choices into account shortly after.
 #[derive(Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTable {
     own: BTreeMap<Ticket, OwnRequest>,
     own_totals: BTreeMap<EndpointId, Placed>,
     peers: BTreeMap<InstanceId, BTreeMap<EndpointId, Placed>>,
@@ -38,7 +38,7 @@
     pub is_urgent: bool,
 }
 
-impl LoadBook {
+impl LoadTable {
     /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
@@ -133,7 +133,7 @@
     }
 
     /// Removes peers that are gone.
-    pub fn keep_peers(&mut self, is_present: impl Fn(&InstanceId) -> bool) {
+    pub fn retain_peers(&mut self, is_present: impl Fn(&InstanceId) -> bool) {
         let old_count = self.peers.len();
         self.peers.retain(|peer, _| is_present(peer));
         if self.peers.len() != old_count {
@@ -189,7 +189,7 @@
     }
 
     /// Removes the health of endpoints that are gone.
-    pub fn keep_endpoints(&mut self, is_present: impl Fn(&EndpointId) -> bool) {
+    pub fn retain_endpoints(&mut self, is_present: impl Fn(&EndpointId) -> bool) {
         self.health.retain(|endpoint, _| is_present(endpoint));
     }
 }
--- a/crates/nutmeggrade-policy/src/dispatch/need.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/need.rs
@@ -9,7 +9,7 @@
 
 /// A request that is to be sent to an endpoint.
 #[derive(Debug, Clone)]
-pub struct Need {
+pub struct DispatchRequest {
     /// Identifies the request within this instance.
     pub ticket: Ticket,
     /// Workspace that sent it.
@@ -25,14 +25,14 @@
     /// Endpoints that failed this request.
     pub avoid: BTreeSet<EndpointId>,
     /// Latest start that still meets the response time acceptable to users.
-    pub fresh_until: Moment,
+    pub start_deadline: Moment,
     /// Failure domain that its memory is copied from, if it continues on another endpoint.
     pub from: Option<DomainId>,
     /// Whether the request is selected for a new version, provided that this has room.
     pub is_canary: bool,
 }
 
-impl Queued for Need {
+impl Queued for DispatchRequest {
     fn ticket(&self) -> Ticket {
         self.ticket
     }
--- a/crates/nutmeggrade-policy/src/dispatch/room.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/room.rs
@@ -1,6 +1,6 @@
 //! Capacity checks and scores of endpoints.
 
-use super::{Candidate, Need, Placed};
+use super::{Candidate, DispatchRequest, Placed};
 
 /// Fraction of an engine's memory that is committed to requests.
 ///
@@ -36,7 +36,7 @@
 /// Memory is counted by what answers will use in the end. Otherwise an engine would run out of
 /// memory in the middle of answers: it would preempt the newest and read its prompt again, the
 /// client would see the stream stall, and the work would be wasted.
-pub fn fits(candidate: &Candidate, placed: &Placed, request: &Need) -> bool {
+pub fn fits(candidate: &Candidate, placed: &Placed, request: &DispatchRequest) -> bool {
     if candidate.cold_left == Some(0) {
         return false;
     }
--- a/crates/nutmeggrade-policy/src/engine_state.rs
+++ b/crates/nutmeggrade-policy/src/engine_state.rs
@@ -6,12 +6,12 @@
 use nutmeggrade_core::prelude::*;
 
 use crate::cold_watch::ColdWatch;
+use crate::decision_settings::DecisionSettings;
 use crate::gap::GapLimit;
-use crate::knobs::Knobs;
-use crate::lots::Lots;
-use crate::memory::{Forecast, Others};
-use crate::prefill::PrefillPace;
-use crate::share::Unseen;
+use crate::lots::RoomLottery;
+use crate::memory::{Forecast, PeerUsage};
+use crate::prefill::PrefillLimit;
+use crate::share::UnreportedAdmissions;
 use crate::slow_start::SlowStart;
 use crate::{Ask, Engine, Ticket};
 
@@ -35,7 +35,7 @@
     pub per_token: &'a Forecast,
     /// Mean number of tokens that an answer holds.
     pub mean_held: f64,
-    pub settings: &'a Knobs,
+    pub settings: &'a DecisionSettings,
     pub now: Moment,
 }
 
@@ -50,15 +50,15 @@
     pub peer_requests: u32,
     forecast: Forecast,
     report: Option<LoadReport>,
-    peer_usage: Others,
-    unreported_tokens: Unseen,
-    unreported_requests: Unseen,
+    peer_usage: PeerUsage,
+    unreported_tokens: UnreportedAdmissions,
+    unreported_requests: UnreportedAdmissions,
     gap_limit: GapLimit,
     cold_watch: ColdWatch,
     suspected_at: Option<Moment>,
     slow_start: SlowStart,
-    lottery: Lots,
-    prefill: PrefillPace,
+    lottery: RoomLottery,
+    prefill: PrefillLimit,
 }
 
 impl EngineState {
@@ -70,15 +70,15 @@
             peer_requests: 0,
             forecast: Forecast::default(),
             report: None,
-            peer_usage: Others::default(),
-            unreported_tokens: Unseen::new(),
-            unreported_requests: Unseen::new(),
+            peer_usage: PeerUsage::default(),
+            unreported_tokens: UnreportedAdmissions::new(),
+            unreported_requests: UnreportedAdmissions::new(),
             gap_limit: GapLimit::new(),
             cold_watch: ColdWatch::new(),
             suspected_at: None,
             slow_start: SlowStart::new(),
-            lottery: Lots::new(seed, &engine.id),
-            prefill: PrefillPace::new(),
+            lottery: RoomLottery::new(seed, &engine.id),
+            prefill: PrefillLimit::new(),
         }
     }
 
--- a/crates/nutmeggrade-policy/src/fleet.rs
+++ b/crates/nutmeggrade-policy/src/fleet.rs
@@ -4,4 +4,4 @@
 mod resend_budget;
 
 pub use cold_share::ColdShare;
-pub use resend_budget::{Allowance, ResendBudget};
+pub use resend_budget::{ResendBudget, ResendLimits};
--- a/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
+++ b/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
@@ -11,7 +11,7 @@
 
 /// Fleet-wide limits of resends, set by operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Allowance {
+pub struct ResendLimits {
     /// Resends per request in a window.
     pub ratio: f64,
     /// Additional resends per window.
@@ -28,14 +28,14 @@
 /// than the allowance as long as none counts fewer instances than there are.
 #[derive(Debug, Clone)]
 pub struct ResendBudget {
-    allowance: Allowance,
+    allowance: ResendLimits,
     requests: VecDeque<Moment>,
     resends: VecDeque<Moment>,
 }
 
 impl ResendBudget {
     /// Creates a budget of which nothing is used.
-    pub fn new(allowance: Allowance) -> Self {
+    pub fn new(allowance: ResendLimits) -> Self {
         Self { allowance, requests: VecDeque::new(), resends: VecDeque::new() }
     }
 
--- a/crates/nutmeggrade-policy/src/lib.rs
+++ b/crates/nutmeggrade-policy/src/lib.rs
@@ -6,10 +6,10 @@
 //! decision.
 
 pub mod cold_watch;
+pub mod decision_settings;
 pub mod dispatch;
 pub mod fleet;
 pub mod gap;
-pub mod knobs;
 pub mod length;
 pub mod lots;
 pub mod memory;
@@ -39,5 +39,5 @@
 pub use retry_budget::RetryBudget;
 pub use scheduler::Scheduler;
 pub use service_picker::ServicePicker;
-pub use spread::Spread;
+pub use spread::RetryJitter;
 pub use verdict::{End, Ticket, Verdict};
--- a/crates/nutmeggrade-policy/src/lots.rs
+++ b/crates/nutmeggrade-policy/src/lots.rs
@@ -16,11 +16,11 @@
 /// instances together would take, on average as many instances win the draw as fit. Draws depend on
 /// seed and time alone, so that a repeated call gives no second chance.
 #[derive(Debug, Clone, Copy)]
-pub struct Lots {
+pub struct RoomLottery {
     seed: u64,
 }
 
-impl Lots {
+impl RoomLottery {
     /// Creates the draws of an instance for an engine.
     pub fn new(seed: u64, endpoint: &EndpointId) -> Self {
         Self { seed: mix_bits(seed) ^ hash_bytes(endpoint.as_str().as_bytes()) }
--- a/crates/nutmeggrade-policy/src/memory.rs
+++ b/crates/nutmeggrade-policy/src/memory.rs
@@ -5,5 +5,5 @@
 mod peer_usage;
 
 pub use answer_mix::AnswerMix;
-pub use forecast::{AHEAD, Forecast};
-pub use peer_usage::Others;
+pub use forecast::{FORECAST_STEPS, Forecast};
+pub use peer_usage::PeerUsage;
--- a/crates/nutmeggrade-policy/src/memory/answer_mix.rs
+++ b/crates/nutmeggrade-policy/src/memory/answer_mix.rs
@@ -1,13 +1,14 @@
 //! Forecast for the mix of answers of this instance.
 
-use super::{AHEAD, Forecast};
+use super::{FORECAST_STEPS, Forecast};
 
 /// Weight of the assumed mix, in tokens; ten typical answers.
 const PRIOR_TOKENS: f64 = 20_000.0;
 /// Assumed mean per token held: most answers grow on and end within a thousand steps.
-const PRIOR_MEAN: [f64; AHEAD.len()] = [1.0, 1.02, 1.03, 1.0, 0.85, 0.55, 0.25, 0.1, 0.0, 0.0];
+const PRIOR_MEAN: [f64; FORECAST_STEPS.len()] =
+    [1.0, 1.02, 1.03, 1.0, 0.85, 0.55, 0.25, 0.1, 0.0, 0.0];
 /// Assumed variance per token held.
-const PRIOR_VARIANCE: [f64; AHEAD.len()] =
+const PRIOR_VARIANCE: [f64; FORECAST_STEPS.len()] =
     [0.0, 100.0, 250.0, 450.0, 700.0, 800.0, 600.0, 300.0, 0.0, 0.0];
 
 /// Forecast of all answers of this instance, which also stands for those of its peers.
--- a/crates/nutmeggrade-policy/src/memory/forecast.rs
+++ b/crates/nutmeggrade-policy/src/memory/forecast.rs
@@ -4,7 +4,7 @@
 
 /// Distances ahead, in decoding steps of the engine; each is about twice the previous one, as are
 /// the length ranges.
-pub const AHEAD: [u64; 10] = [0, 64, 192, 448, 960, 1_984, 4_032, 8_128, 16_320, 24_512];
+pub const FORECAST_STEPS: [u64; 10] = [0, 64, 192, 448, 960, 1_984, 4_032, 8_128, 16_320, 24_512];
 
 /// Mean and variance of the memory held at each distance ahead, if nothing new is admitted.
 ///
@@ -16,18 +16,18 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Forecast {
     /// Expected tokens held.
-    pub mean: [f64; AHEAD.len()],
+    pub mean: [f64; FORECAST_STEPS.len()],
     /// Variance of the tokens held.
-    pub variance: [f64; AHEAD.len()],
+    pub variance: [f64; FORECAST_STEPS.len()],
 }
 
 impl Forecast {
     /// Creates the forecast of an answer that holds `held` tokens and reaches each distance with
     /// the given probability.
-    pub fn new(held: u64, survival: &[f64; AHEAD.len()]) -> Self {
+    pub fn new(held: u64, survival: &[f64; FORECAST_STEPS.len()]) -> Self {
         let mut forecast = Self::default();
         for (i, probability) in survival.iter().enumerate() {
-            let memory = (held + AHEAD[i]) as f64;
+            let memory = (held + FORECAST_STEPS[i]) as f64;
             forecast.mean[i] = probability * memory;
             forecast.variance[i] = probability * (1.0 - probability) * memory * memory;
         }
@@ -43,7 +43,7 @@
     /// Returns the sum of this forecast and `factor` times another.
     #[must_use]
     pub fn with_scaled(mut self, other: &Self, factor: f64) -> Self {
-        for i in 0..AHEAD.len() {
+        for i in 0..FORECAST_STEPS.len() {
             self.mean[i] += other.mean[i] * factor;
             self.variance[i] += other.variance[i] * factor;
         }
--- a/crates/nutmeggrade-policy/src/memory/peer_usage.rs
+++ b/crates/nutmeggrade-policy/src/memory/peer_usage.rs
@@ -27,13 +27,13 @@
 /// admitted since. So this instance's usage at the time of the report is subtracted, and the rest
 /// is scaled by the change of the peers' counts since then.
 #[derive(Debug, Default)]
-pub struct Others {
+pub struct PeerUsage {
     history: VecDeque<Usage>,
     held: f64,
     count: f64,
 }
 
-impl Others {
+impl PeerUsage {
     /// Records a report, with this instance's current usage.
     pub fn report(&mut self, report: &LoadReport, held: f64, count: usize, now: Moment) {
         self.history.push_back(Usage { at: now, held, count: count as f64 });
--- a/crates/nutmeggrade-policy/src/prefill.rs
+++ b/crates/nutmeggrade-policy/src/prefill.rs
@@ -11,12 +11,12 @@
 /// prompt at a time takes one to a few steps, with plain decoding steps between. A prompt longer
 /// than the limit is sent only when no other is pending.
 #[derive(Debug, Clone, Default)]
-pub struct PrefillPace {
+pub struct PrefillLimit {
     pending: BTreeMap<Ticket, u64>,
     pending_tokens: u64,
 }
 
-impl PrefillPace {
+impl PrefillLimit {
     /// Creates a limit without pending prompts.
     pub fn new() -> Self {
         Self::default()
--- a/crates/nutmeggrade-policy/src/rollout.rs
+++ b/crates/nutmeggrade-policy/src/rollout.rs
@@ -10,6 +10,6 @@
 pub use binomial::tail;
 pub use evidence::compare;
 pub use exposure::{ExposureBound, watched};
-pub use facts::{Capacity, Facts};
-pub use judge::{Judge, Ruling};
+pub use facts::{Capacity, RolloutInputs};
+pub use judge::{Judge, RolloutDecision};
 pub use verdict::{Regression, Verdict};
--- a/crates/nutmeggrade-policy/src/rollout/facts.rs
+++ b/crates/nutmeggrade-policy/src/rollout/facts.rs
@@ -21,7 +21,7 @@
 
 /// Inputs of a rollout decision.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Facts {
+pub struct RolloutInputs {
     /// Time since the first instance received the order.
     pub age: Duration,
     /// Time within which the rollout has to be decided.
--- a/crates/nutmeggrade-policy/src/rollout/judge.rs
+++ b/crates/nutmeggrade-policy/src/rollout/judge.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::rollout::{RolloutPhase, RolloutTally};
 
-use super::{Capacity, ExposureBound, Facts, Verdict, compare};
+use super::{Capacity, ExposureBound, RolloutInputs, Verdict, compare};
 
 /// Interval between kept samples of the tally.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
@@ -45,7 +45,7 @@
 
 /// Decision about a rollout.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ruling {
+pub struct RolloutDecision {
     /// Phase to enter or keep.
     pub phase: RolloutPhase,
     /// Share of the requests that the new version gets in [`RolloutPhase::Canary`].
@@ -77,7 +77,7 @@
     }
 
     /// Decides about the phase and share of the rollout at the time of `facts`.
-    pub fn rule(&mut self, facts: &Facts) -> Ruling {
+    pub fn rule(&mut self, facts: &RolloutInputs) -> RolloutDecision {
         if facts.phase.is_switched() && self.switched.is_none() {
             self.switched = Some((facts.age, facts.tally.clone()));
         }
@@ -85,11 +85,11 @@
         let (phase, why) = self.next_phase(facts, &verdict);
         let sends_canary = phase == RolloutPhase::Canary && facts.has_quorum;
         let share = if sends_canary { self.canary_share(facts) } else { 0.0 };
-        Ruling { phase, share, verdict, why }
+        RolloutDecision { phase, share, verdict, why }
     }
 
     /// Compares the versions over the whole rollout and over recent spans; the worst result counts.
-    fn evaluate(&mut self, facts: &Facts) -> Verdict {
+    fn evaluate(&mut self, facts: &RolloutInputs) -> Verdict {
         let is_due = |(at, _): &(Duration, RolloutTally)| facts.age >= *at + SAMPLE_INTERVAL;
         if self.samples.back().is_none_or(is_due) {
             self.samples.push_back((facts.age, facts.tally.clone()));
@@ -121,7 +121,7 @@
         }
     }
 
-    fn next_phase(&self, facts: &Facts, verdict: &Verdict) -> (RolloutPhase, &'static str) {
+    fn next_phase(&self, facts: &RolloutInputs, verdict: &Verdict) -> (RolloutPhase, &'static str) {
         use RolloutPhase::{Canary, Cleared, Held, Reverting, Switching};
         let phase = facts.phase;
         if phase >= Reverting {
@@ -164,12 +164,12 @@
     }
 
     /// Returns whether the new version got all new requests for long enough.
-    fn has_settled(&self, facts: &Facts) -> bool {
+    fn has_settled(&self, facts: &RolloutInputs) -> bool {
         self.switched.as_ref().is_some_and(|(at, _)| facts.age >= *at + MIN_SWITCHED_TIME)
     }
 
     /// Returns whether the new version's endpoints can serve the load.
-    fn has_capacity(facts: &Facts) -> bool {
+    fn has_capacity(facts: &RolloutInputs) -> bool {
         let Capacity { old_slots, new_slots, running, .. } = facts.capacity;
         f64::from(new_slots) >= f64::from(old_slots).min(f64::from(running) * SLOTS_PER_RUNNING)
             && new_slots > 0
@@ -177,7 +177,7 @@
 
     /// Returns whether the switch may begin: the order has nearly ended, and all requests that the
     /// new version gets until then stay within the exposure bound even if it is bad.
-    fn may_switch(&self, facts: &Facts) -> bool {
+    fn may_switch(&self, facts: &RolloutInputs) -> bool {
         if facts.age >= facts.duration + EXPOSURE_CLOCK_MARGIN {
             return true;
         }
@@ -194,7 +194,7 @@
     }
 
     /// Returns the share of the requests that the new version gets in the canary phase.
-    fn canary_share(&self, facts: &Facts) -> f64 {
+    fn canary_share(&self, facts: &RolloutInputs) -> f64 {
         let time_left = facts.duration.saturating_sub(facts.age).as_secs_f64();
         let Some(rate) = self.request_rate(facts) else { return CANARY_SHARE_BOUNDS.0 };
         let expected = f64::from(facts.tally.requests) + rate * time_left;
@@ -210,7 +210,7 @@
     }
 
     /// Returns the request rate of the service per second, once there are enough samples.
-    fn request_rate(&self, facts: &Facts) -> Option<f64> {
+    fn request_rate(&self, facts: &RolloutInputs) -> Option<f64> {
         let (at, before) =
             self.samples.front().filter(|(at, _)| facts.age >= *at + SAMPLE_INTERVAL)?;
         let requests = facts.tally.requests.saturating_sub(before.requests);
--- a/crates/nutmeggrade-policy/src/scheduler.rs
+++ b/crates/nutmeggrade-policy/src/scheduler.rs
@@ -10,15 +10,15 @@
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
 
+use crate::decision_settings::DecisionSettings;
 use crate::engine_state::EngineState;
-use crate::knobs::Knobs;
 use crate::length::LengthEstimator;
-use crate::memory::{AHEAD, AnswerMix, Forecast};
+use crate::memory::{AnswerMix, FORECAST_STEPS, Forecast};
 use crate::queue::FairQueue;
 use crate::router::Router;
 use crate::stream::{Stream, UPDATE_INTERVAL_TOKENS};
 use crate::wait::WaitEstimate;
-use crate::{Ask, End, Engine, Spread, Ticket, Verdict};
+use crate::{Ask, End, Engine, RetryJitter, Ticket, Verdict};
 
 /// Mean gap between tokens before any has been measured.
 const INITIAL_TOKEN_GAP: Duration = Duration::from_millis(15);
@@ -45,8 +45,8 @@
     wait_estimates: [WaitEstimate; 2],
     last_sweep: Moment,
     mean_gap: Duration,
-    settings: Knobs,
-    jitter: Spread,
+    settings: DecisionSettings,
+    jitter: RetryJitter,
     seed: u64,
 }
 
@@ -65,8 +65,8 @@
             wait_estimates: [WaitEstimate::new(), WaitEstimate::new()],
             last_sweep: Moment::ZERO,
             mean_gap: INITIAL_TOKEN_GAP,
-            settings: Knobs::new(&Weights::default()),
-            jitter: Spread::new(seed),
+            settings: DecisionSettings::new(&Weights::default()),
+            jitter: RetryJitter::new(seed),
             seed,
         }
     }
@@ -74,7 +74,7 @@
     /// Applies the limits and weights of the active preset.
     pub fn set_preset(&mut self, preset: &Preset) {
         self.queue_limit = preset.limits.queue as usize;
-        self.settings = Knobs::new(&preset.weights);
+        self.settings = DecisionSettings::new(&preset.weights);
     }
 
     /// Replaces the engines that may get new work; generations on other engines continue.
@@ -177,7 +177,8 @@
         let Some(stream) = self.streams.get_mut(&ticket) else { return };
         let Stream { workspace, task, generated, max_tokens, .. } = &*stream;
         self.lengths.grow(workspace, task, stream.recorded, *generated);
-        let survival = self.lengths.survival(workspace, task, *generated, *max_tokens, &AHEAD);
+        let survival =
+            self.lengths.survival(workspace, task, *generated, *max_tokens, &FORECAST_STEPS);
         let forecast = Forecast::new(stream.prompt + *generated, &survival);
         let old = std::mem::replace(&mut stream.forecast, forecast);
         stream.recorded = stream.generated;
@@ -190,7 +191,7 @@
 
     fn forecast(&self, request: &Ask) -> Forecast {
         let Ask { workspace, task, max_tokens, .. } = request;
-        let survival = self.lengths.survival(workspace, task, 0, *max_tokens, &AHEAD);
+        let survival = self.lengths.survival(workspace, task, 0, *max_tokens, &FORECAST_STEPS);
         Forecast::new(request.prompt, &survival)
     }
 
--- a/crates/nutmeggrade-policy/src/share.rs
+++ b/crates/nutmeggrade-policy/src/share.rs
@@ -16,12 +16,12 @@
 /// until it shows. All instances together then stay within the room, and one without peers waits a
 /// second longer but loses no room.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Unseen {
+pub struct UnreportedAdmissions {
     sum: f64,
     at: Moment,
 }
 
-impl Unseen {
+impl UnreportedAdmissions {
     /// Creates an empty sum.
     pub fn new() -> Self {
         Self::default()
--- a/crates/nutmeggrade-policy/src/spread.rs
+++ b/crates/nutmeggrade-policy/src/spread.rs
@@ -12,11 +12,11 @@
 /// period of the delay. Each gets a delay between the base and twice the base; a factor of two
 /// halves the height of the wave without much longer waits.
 #[derive(Debug)]
-pub struct Spread {
+pub struct RetryJitter {
     rng: ChaCha8Rng,
 }
 
-impl Spread {
+impl RetryJitter {
     /// Creates a generator of delays that depends on the seed alone.
     pub fn new(seed: u64) -> Self {
         Self { rng: ChaCha8Rng::seed_from_u64(seed) }
--- a/crates/nutmeggrade-relay/src/node/endpoints.rs
+++ b/crates/nutmeggrade-relay/src/node/endpoints.rs
@@ -136,7 +136,7 @@
         let now = self.now();
         let mut tables = lock(&self.tables);
         let health = tables.dispatcher.book.health_mut(endpoint);
-        if health.is_told_gone(now) {
+        if health.has_recent_gone_notice(now) {
             return;
         }
         health.gone(now);
@@ -164,7 +164,7 @@
         let mut tables = lock(&self.tables);
         for (endpoint, counted) in &outcomes.answers {
             if tables.registry.get(endpoint).is_some() {
-                tables.dispatcher.book.health_mut(endpoint).add_counted(*counted, is_near, now);
+                tables.dispatcher.book.health_mut(endpoint).record_counts(*counted, is_near, now);
             }
         }
     }
--- a/crates/nutmeggrade-relay/src/probes.rs
+++ b/crates/nutmeggrade-relay/src/probes.rs
@@ -38,7 +38,7 @@
     let is_told = {
         let tables = lock(&node.tables);
         let now = node.now();
-        tables.dispatcher.book.health(&endpoint.id).is_some_and(|h| h.is_told_gone(now))
+        tables.dispatcher.book.health(&endpoint.id).is_some_and(|h| h.has_recent_gone_notice(now))
     };
     if is_told || !lock(&node.probed).insert(endpoint.id.clone()) {
         return;
--- a/crates/nutmeggrade-relay/src/relay/call.rs
+++ b/crates/nutmeggrade-relay/src/relay/call.rs
@@ -9,7 +9,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::{EventPosition, Prompt, Route};
 use nutmeggrade_policy::Ticket;
-use nutmeggrade_policy::dispatch::Need;
+use nutmeggrade_policy::dispatch::DispatchRequest;
 
 /// Rank of requests whose route or workspace has a rank that engines don't know.
 const LAST_RANK: u8 = 9;
@@ -53,9 +53,9 @@
 
 impl Call {
     /// Returns what the request takes of an endpoint.
-    pub fn need(&self, ticket: Ticket, anybody: &WorkspaceId) -> Need {
+    pub fn need(&self, ticket: Ticket, anybody: &WorkspaceId) -> DispatchRequest {
         let prompt = self.prompt.as_ref();
-        Need {
+        DispatchRequest {
             ticket,
             workspace: self.workspace.as_ref().unwrap_or(anybody).clone(),
             service: self.service.clone(),
@@ -63,7 +63,7 @@
             prompt: prompt.map_or(0, |p| p.tokens),
             memory: prompt.map_or(0, |p| p.tokens + p.expected()),
             avoid: std::collections::BTreeSet::new(),
-            fresh_until: self.arrived.after(self.route.target.mul_f64(FRESH)),
+            start_deadline: self.arrived.after(self.route.target.mul_f64(FRESH)),
             from: None,
             is_canary: false,
         }
--- a/crates/nutmeggrade-relay/src/relay/escape.rs
+++ b/crates/nutmeggrade-relay/src/relay/escape.rs
@@ -10,7 +10,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
 use nutmeggrade_policy::Ticket;
-use nutmeggrade_policy::dispatch::Need;
+use nutmeggrade_policy::dispatch::DispatchRequest;
 use nutmeggrade_wire::engine::{self, Copied, MoveEnd};
 use rand::RngExt;
 use tokio::time::sleep;
@@ -111,7 +111,7 @@
     node: Arc<Node>,
     id: RequestId,
     source: EndpointInfo,
-    need: Need,
+    need: DispatchRequest,
     ticket: Ticket,
     memory: u64,
     is_stopping: Arc<AtomicBool>,
@@ -210,7 +210,7 @@
             let mut tables = lock(&self.node.tables);
             // Those that may be gone are no place to go on.
             self.need.avoid.extend(tables.registry.missing().cloned());
-            let id = tables.dispatcher.choose_move(&self.need, self.node.now())?;
+            let id = tables.dispatcher.choose_move_target(&self.need, self.node.now())?;
             tables.dispatcher.place(&self.need, &id);
             id
         };
--- a/crates/nutmeggrade-relay/src/relay/intake.rs
+++ b/crates/nutmeggrade-relay/src/relay/intake.rs
@@ -124,7 +124,7 @@
 }
 
 fn come_back(node: &Node, code: Code, why: &str) -> Failure {
-    let wait = lock(&node.tables).dispatcher.return_time();
+    let wait = lock(&node.tables).dispatcher.draw_retry_delay();
     Failure::new(code, why).with_retry_after(wait)
 }
 
--- a/crates/nutmeggrade-relay/src/relay/place.rs
+++ b/crates/nutmeggrade-relay/src/relay/place.rs
@@ -6,7 +6,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
 use nutmeggrade_policy::Ticket;
-use nutmeggrade_policy::dispatch::Need;
+use nutmeggrade_policy::dispatch::DispatchRequest;
 
 use super::call::Call;
 use crate::node::Node;
@@ -41,7 +41,7 @@
 /// Takes a request out of the queue if its client leaves while it waits.
 struct Waiting<'a> {
     node: &'a Arc<Node>,
-    need: &'a Need,
+    need: &'a DispatchRequest,
     is_over: bool,
 }
 
@@ -58,7 +58,7 @@
 /// # Errors
 ///
 /// Fails if there is no room soon enough, with the time to come back.
-pub async fn find(node: &Arc<Node>, call: &Call, need: &Need) -> Result<Place, Failure> {
+pub async fn find(node: &Arc<Node>, call: &Call, need: &DispatchRequest) -> Result<Place, Failure> {
     let begun = node.now();
     let patience = call.route.target.mul_f64(MOST_TARGETS).min(call.left(begun).mul_f64(MOST_LEFT));
     let offer = lock(&node.tables).offer(need, patience, begun);
@@ -82,7 +82,7 @@
     let place = take(node, need.ticket, &id);
     log(node, call, need, &id, place.as_ref(), waited);
     place.ok_or_else(|| {
-        let wait = lock(&node.tables).dispatcher.return_time();
+        let wait = lock(&node.tables).dispatcher.draw_retry_delay();
         Failure::new(Code::NoRoom, "the chosen endpoint is gone").with_retry_after(wait)
     })
 }
@@ -92,7 +92,7 @@
 fn log(
     node: &Node,
     call: &Call,
-    need: &Need,
+    need: &DispatchRequest,
     endpoint: &EndpointId,
     place: Option<&Place>,
     waited: Duration,
--- a/crates/nutmeggrade-relay/src/relay/search.rs
+++ b/crates/nutmeggrade-relay/src/relay/search.rs
@@ -9,7 +9,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::Outcome;
 use nutmeggrade_core::routing::{EndpointInfo, RouteKind};
-use nutmeggrade_policy::dispatch::{Health, Need};
+use nutmeggrade_policy::dispatch::{DispatchRequest, Health};
 use nutmeggrade_state::attempt::Attempt;
 
 use super::call::Call;
@@ -60,7 +60,7 @@
     pub call: Call,
     /// What may be said and done about it.
     pub attempt: Attempt,
-    need: Need,
+    need: DispatchRequest,
     unsent: u32,
     last: Option<(Parts, Bytes)>,
     pending: Pending,
--- a/crates/nutmeggrade-relay/src/rollouts/judging.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/judging.rs
@@ -5,7 +5,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::{RolloutId, RolloutNotice};
 use nutmeggrade_core::routing::RouteMap;
-use nutmeggrade_policy::rollout::{ExposureBound, Facts, Judge, Ruling, Verdict};
+use nutmeggrade_policy::rollout::{ExposureBound, Judge, RolloutDecision, RolloutInputs, Verdict};
 
 use crate::node::{Node, Phase};
 use crate::tables::{Tables, lock};
@@ -60,7 +60,7 @@
         let seen = tables.surroundings(map, (service, &id.version), now);
         let view = tables.rollouts.view(service, now)?;
         let members: Vec<InstanceId> = tables.fleet.members(now).cloned().collect();
-        let facts = Facts {
+        let facts = RolloutInputs {
             age: view.age,
             duration: view.duration,
             phase: view.phase,
@@ -80,7 +80,7 @@
     }
 }
 
-fn log(service: &ServiceId, id: &RolloutId, facts: &Facts, ruling: &Ruling) {
+fn log(service: &ServiceId, id: &RolloutId, facts: &RolloutInputs, ruling: &RolloutDecision) {
     let answers = facts.tally.all_routes();
     let (route, complaint) = match &ruling.verdict {
         Verdict::Bad { route, complaint } => (route.as_str(), complaint.to_string()),
--- a/crates/nutmeggrade-relay/src/settings.rs
+++ b/crates/nutmeggrade-relay/src/settings.rs
@@ -9,7 +9,7 @@
 use anyhow::Context;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::settings::{Kind, Mistake, Spec, Values};
-use nutmeggrade_policy::fleet::Allowance;
+use nutmeggrade_policy::fleet::ResendLimits;
 use nutmeggrade_policy::rollout::ExposureBound;
 
 use file::SettingsFile;
@@ -111,7 +111,7 @@
     /// Longest that clients keep an instance's address.
     pub entry_keep: Duration,
     /// Second sends that all instances together may make.
-    pub resends: Allowance,
+    pub resends: ResendLimits,
     /// How far a cold endpoint's rate may be exceeded.
     pub cold_overrun: f64,
     /// Requests that a cold endpoint may get beyond that.
@@ -175,7 +175,7 @@
             memory: usize::try_from(values.number("memory") << 20).context("--memory")?,
             grace: values.seconds("grace"),
             entry_keep: values.seconds("entry-keep"),
-            resends: Allowance {
+            resends: ResendLimits {
                 ratio: values.decimal("resend-ratio"),
                 extra: values.decimal("resend-extra"),
                 window: values.seconds("resend-window"),
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -8,7 +8,7 @@
 use nutmeggrade_core::rollout::Outcome;
 use nutmeggrade_core::routing::{EndpointInfo, RouteMap, ServiceSpec};
 use nutmeggrade_policy::Ticket;
-use nutmeggrade_policy::dispatch::{Candidate, Dispatcher, Need, Offer};
+use nutmeggrade_policy::dispatch::{Candidate, DispatchDecision, DispatchRequest, Dispatcher};
 use nutmeggrade_policy::fleet::{ColdShare, ResendBudget};
 use nutmeggrade_policy::pace::Pace;
 use nutmeggrade_policy::rollout::watched;
@@ -68,23 +68,23 @@
     /// Decides about a request; one that waits hears by the channel. A refusal says when to come back.
     pub fn offer(
         &mut self,
-        need: &Need,
+        need: &DispatchRequest,
         patience: Duration,
         now: Moment,
     ) -> Result<oneshot::Receiver<EndpointId>, Duration> {
         let (sender, receiver) = oneshot::channel();
         match self.dispatcher.offer(need, patience, now) {
-            Offer::Go(endpoint) => {
+            DispatchDecision::Go(endpoint) => {
                 self.note_cold(&endpoint, now);
                 // The receiver is in hand, so the send can't fail.
                 drop(sender.send(endpoint));
                 Ok(receiver)
             }
-            Offer::Wait => {
+            DispatchDecision::Wait => {
                 self.waiting.insert(need.ticket, sender);
                 Ok(receiver)
             }
-            Offer::Refuse(wait) => Err(wait),
+            DispatchDecision::Refuse(wait) => Err(wait),
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Takes a request out that gave up waiting; returns when it may come back.
-    pub fn give_up(&mut self, need: &Need) -> Duration {
+    pub fn give_up(&mut self, need: &DispatchRequest) -> Duration {
         self.waiting.remove(&need.ticket);
         self.dispatcher.book.end(need.ticket);
         self.dispatcher.give_up(need)
@@ -214,7 +214,7 @@
         }
         self.cold.retain(|id, _| cold.contains(id));
         let registry = &self.registry;
-        self.dispatcher.book.keep_endpoints(|id| registry.get(id).is_some());
+        self.dispatcher.book.retain_endpoints(|id| registry.get(id).is_some());
         self.dispatcher.set_candidates(candidates);
     }
 }
--- a/crates/nutmeggrade-relay/src/ticker.rs
+++ b/crates/nutmeggrade-relay/src/ticker.rs
@@ -38,7 +38,7 @@
     for peer in live.difference(&heard) {
         tracing::info!(event = "peer_silent", %peer);
     }
-    tables.dispatcher.book.keep_peers(|peer| heard.contains(peer));
+    tables.dispatcher.book.retain_peers(|peer| heard.contains(peer));
     let waiting = tables.dispatcher.waiting();
     drop(tables);
     node.metrics.peers.set(i64::try_from(heard.len()).unwrap_or(i64::MAX));
--- a/crates/nutmeggrade-state/src/rollout/table.rs
+++ b/crates/nutmeggrade-state/src/rollout/table.rs
@@ -9,7 +9,7 @@
     StoredRollout,
 };
 
-use nutmeggrade_policy::rollout::Ruling;
+use nutmeggrade_policy::rollout::RolloutDecision;
 
 use super::entry::Entry;
 use super::peer_count::PeerCount;
@@ -233,7 +233,7 @@
     pub fn rule(
         &mut self,
         service: &ServiceId,
-        ruling: &Ruling,
+        ruling: &RolloutDecision,
         now: Moment,
     ) -> Option<RolloutNotice> {
         let entry = self.entries.get_mut(service)?;
--- a/tests/suite/policy/cold.rs
+++ b/tests/suite/policy/cold.rs
@@ -5,8 +5,8 @@
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::cold_watch::ColdWatch;
-use nutmeggrade_policy::lots::Lots;
-use nutmeggrade_policy::share::Unseen;
+use nutmeggrade_policy::lots::RoomLottery;
+use nutmeggrade_policy::share::UnreportedAdmissions;
 use nutmeggrade_policy::slow_start::SlowStart;
 use nutmeggrade_policy::{End, Engine, Ticket, Verdict};
 
@@ -82,7 +82,7 @@
     let windows = 400;
     let mut wins = 0;
     for node in 0..7 {
-        let lots = Lots::new(node, &endpoint(3));
+        let lots = RoomLottery::new(node, &endpoint(3));
         let won = |w: &u64| lots.win(1.0, 1.0, 7, Moment::from_millis(w * 250));
         wins += (0..windows).filter(won).count();
         assert!(lots.win(7.0, 1.0, 7, Moment::ZERO), "room for all needs no lot");
@@ -93,7 +93,7 @@
 // What an instance let in stands for what its peers let in until reports show it.
 #[test]
 fn unseen_admissions_fade() {
-    let mut unseen = Unseen::new();
+    let mut unseen = UnreportedAdmissions::new();
     unseen.add(100.0, Moment::from_millis(1_000));
     let at = |ms, age| unseen.now(age, Moment::from_millis(ms));
     assert!((at(1_000, Duration::ZERO) - 100.0).abs() < 1e-9);
--- a/tests/suite/policy/dispatch.rs
+++ b/tests/suite/policy/dispatch.rs
@@ -5,7 +5,9 @@
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::Ticket;
-use nutmeggrade_policy::dispatch::{Candidate, Dispatcher, Need, Offer, Placed};
+use nutmeggrade_policy::dispatch::{
+    Candidate, DispatchDecision, DispatchRequest, Dispatcher, Placed,
+};
 
 use super::{endpoint, workspace};
 
@@ -40,8 +42,8 @@
     dispatcher
 }
 
-fn need(ticket: u64, owner: usize, priority: u8, memory: u64) -> Need {
-    Need {
+fn need(ticket: u64, owner: usize, priority: u8, memory: u64) -> DispatchRequest {
+    DispatchRequest {
         ticket: Ticket(ticket),
         workspace: workspace(owner),
         service: service(),
@@ -49,7 +51,7 @@
         prompt: 0,
         memory,
         avoid: BTreeSet::new(),
-        fresh_until: Moment::from_millis(3_600_000),
+        start_deadline: Moment::from_millis(3_600_000),
         from: None,
         is_canary: false,
     }
@@ -59,9 +61,9 @@
     Moment::from_millis(ms)
 }
 
-fn place(offer: &Offer) -> Option<EndpointId> {
+fn place(offer: &DispatchDecision) -> Option<EndpointId> {
     match offer {
-        Offer::Go(endpoint) => Some(endpoint.clone()),
+        DispatchDecision::Go(endpoint) => Some(endpoint.clone()),
         _ => None,
     }
 }
@@ -71,7 +73,7 @@
 #[test]
 fn burst_does_not_overfill_memory() {
     let mut dispatcher = dispatcher((0..3).map(engine).collect());
-    let offers: Vec<Offer> =
+    let offers: Vec<DispatchDecision> =
         (0..60).map(|t| dispatcher.offer(&need(t, 0, 1, 3_500), PATIENCE, at(0))).collect();
     let placed = offers.iter().filter(|o| place(o).is_some()).count();
     assert_eq!(placed, 24);
@@ -88,7 +90,7 @@
     for ticket in 0..30 {
         dispatcher.offer(&need(ticket, 0, 1, 3_500), PATIENCE, at(0));
     }
-    assert_eq!(dispatcher.offer(&need(100, 1, 0, 2_000), PATIENCE, at(5)), Offer::Wait);
+    assert_eq!(dispatcher.offer(&need(100, 1, 0, 2_000), PATIENCE, at(5)), DispatchDecision::Wait);
     dispatcher.book.end(Ticket(0));
     let released: Vec<Ticket> = dispatcher.release(at(10)).into_iter().map(|(t, _)| t).collect();
     assert_eq!(released[0], Ticket(100));
@@ -133,12 +135,12 @@
     let mut dispatcher = dispatcher((0..4).map(engine).collect());
     let mut engines = BTreeSet::new();
     for ticket in 0..4 {
-        let need = Need { prompt: 3_000, ..need(ticket, 0, 1, 3_500) };
+        let need = DispatchRequest { prompt: 3_000, ..need(ticket, 0, 1, 3_500) };
         engines.extend(place(&dispatcher.offer(&need, PATIENCE, at(0))));
     }
     assert_eq!(engines.len(), 4);
     for ticket in 4..40 {
-        let need = Need { prompt: 3_000, ..need(ticket, 0, 1, 3_500) };
+        let need = DispatchRequest { prompt: 3_000, ..need(ticket, 0, 1, 3_500) };
         dispatcher.offer(&need, PATIENCE, at(0));
     }
     for number in 0..4 {
@@ -196,9 +198,9 @@
     for ticket in 0..4_000 {
         let now = at(ticket * 5);
         match dispatcher.offer(&need(ticket, 0, 1, 0), Duration::from_millis(300), now) {
-            Offer::Go(_) => running.push_back(Ticket(ticket)),
-            Offer::Wait => {}
-            Offer::Refuse(wait) => {
+            DispatchDecision::Go(_) => running.push_back(Ticket(ticket)),
+            DispatchDecision::Wait => {}
+            DispatchDecision::Refuse(wait) => {
                 refused.insert(wait);
             }
         }
@@ -219,7 +221,7 @@
 fn request_that_fits_nowhere_is_refused() {
     let mut dispatcher = dispatcher(vec![engine(0)]);
     let offer = dispatcher.offer(&need(1, 0, 1, 40_000), PATIENCE, at(0));
-    assert!(matches!(offer, Offer::Refuse(_)));
+    assert!(matches!(offer, DispatchDecision::Refuse(_)));
 }
 
 // A generation leaves its engine. It goes to the same failure domain although an engine elsewhere is
@@ -229,10 +231,10 @@
     let far = Candidate { domain: domain("far"), ..engine(1) };
     let mut dispatcher = dispatcher(vec![engine(0), far]);
     dispatcher.offer(&need(1, 0, 1, 3_500), PATIENCE, at(0));
-    let moving = Need { from: Some(domain("near")), ..need(2, 0, 1, 3_500) };
-    assert_eq!(dispatcher.choose_move(&moving, at(0)), Some(endpoint(0)));
-    let moving = Need { from: Some(domain("far")), ..need(3, 0, 1, 3_500) };
-    assert_eq!(dispatcher.choose_move(&moving, at(0)), Some(endpoint(1)));
+    let moving = DispatchRequest { from: Some(domain("near")), ..need(2, 0, 1, 3_500) };
+    assert_eq!(dispatcher.choose_move_target(&moving, at(0)), Some(endpoint(0)));
+    let moving = DispatchRequest { from: Some(domain("far")), ..need(3, 0, 1, 3_500) };
+    assert_eq!(dispatcher.choose_move_target(&moving, at(0)), Some(endpoint(1)));
 }
 
 // Engines are full for longer than users are content to wait. A request that has just come gets the
@@ -243,11 +245,11 @@
     for ticket in 0..6 {
         assert!(place(&dispatcher.offer(&need(ticket, 0, 1, 0), PATIENCE, at(0))).is_some());
     }
-    let old = Need { fresh_until: at(500), ..need(10, 0, 1, 0) };
-    assert_eq!(dispatcher.offer(&old, PATIENCE, at(0)), Offer::Wait);
+    let old = DispatchRequest { start_deadline: at(500), ..need(10, 0, 1, 0) };
+    assert_eq!(dispatcher.offer(&old, PATIENCE, at(0)), DispatchDecision::Wait);
     dispatcher.release(at(600));
-    let new = Need { fresh_until: at(1_400), ..need(11, 0, 1, 0) };
-    assert_eq!(dispatcher.offer(&new, PATIENCE, at(900)), Offer::Wait);
+    let new = DispatchRequest { start_deadline: at(1_400), ..need(11, 0, 1, 0) };
+    assert_eq!(dispatcher.offer(&new, PATIENCE, at(900)), DispatchDecision::Wait);
     dispatcher.book.end(Ticket(0));
     assert_eq!(dispatcher.release(at(950)), [(Ticket(11), endpoint(0))]);
     dispatcher.book.end(Ticket(1));
@@ -263,14 +265,14 @@
     let full = Placed { requests: 7, memory: 20_000, reading: 0, moving: 0 };
     let peer = InstanceId::new("i-2").expect("an id");
     dispatcher.book.change_peer(&peer, &BTreeMap::from([(endpoint(1), full)]));
-    assert_eq!(dispatcher.choose_move(&need(0, 0, 1, 3_500), at(0)), Some(endpoint(0)));
+    assert_eq!(dispatcher.choose_move_target(&need(0, 0, 1, 3_500), at(0)), Some(endpoint(0)));
     dispatcher.book.health_mut(&endpoint(0)).gone(at(0));
-    assert_eq!(dispatcher.choose_move(&need(1, 0, 1, 3_500), at(400)), Some(endpoint(1)));
+    assert_eq!(dispatcher.choose_move_target(&need(1, 0, 1, 3_500), at(400)), Some(endpoint(1)));
     assert_eq!(
         place(&dispatcher.offer(&need(2, 0, 1, 3_500), PATIENCE, at(400))),
         Some(endpoint(1))
     );
-    assert_eq!(dispatcher.choose_move(&need(3, 0, 1, 3_500), at(600)), Some(endpoint(0)));
+    assert_eq!(dispatcher.choose_move_target(&need(3, 0, 1, 3_500), at(600)), Some(endpoint(0)));
 }
 
 /// Instances that each send a request every 50 ms to five endpoints of which one fails all. Returns how many
@@ -304,7 +306,7 @@
         for own in (0..INSTANCES).filter(|_| is_told && ms % 100 == 0) {
             for (id, counted) in fleet[own].book.take_failures() {
                 for (_, peer) in fleet.iter_mut().enumerate().filter(|(n, _)| *n != own) {
-                    peer.book.health_mut(&id).add_counted(counted, true, at(ms));
+                    peer.book.health_mut(&id).record_counts(counted, true, at(ms));
                 }
             }
         }
--- a/tests/suite/policy/fleet.rs
+++ b/tests/suite/policy/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_policy::fleet::{Allowance, ColdShare, ResendBudget};
+use nutmeggrade_policy::fleet::{ColdShare, ResendBudget, ResendLimits};
 use nutmeggrade_policy::pace::Pace;
 
 const WINDOW: Duration = Duration::from_secs(10);
@@ -15,7 +15,7 @@
 /// Checks that a fleet in which every request fails sends no more a second time than is allowed, in
 /// any window.
 fn within_budget(instances: usize, per_second: u64) {
-    let allowance = Allowance { ratio: 0.2, extra: 54.0, window: WINDOW };
+    let allowance = ResendLimits { ratio: 0.2, extra: 54.0, window: WINDOW };
     let mut budgets = vec![ResendBudget::new(allowance); instances];
     let mut times: Vec<(u64, bool)> = Vec::new();
     let pause = 1_000 / per_second;
--- a/tests/suite/policy/gaps.rs
+++ b/tests/suite/policy/gaps.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::gap::GapLimit;
-use nutmeggrade_policy::prefill::PrefillPace;
+use nutmeggrade_policy::prefill::PrefillLimit;
 use nutmeggrade_policy::{Ticket, Verdict};
 
 use super::{ask, endpoint, scheduler, warm};
@@ -52,7 +52,7 @@
 // Two long prompts in one batch make every neighbour's step as long as a step can be.
 #[test]
 fn prompts_are_read_one_at_a_time() {
-    let mut pace = PrefillPace::new();
+    let mut pace = PrefillLimit::new();
     assert!(pace.allows(9_000, 1_024), "a long one goes alone");
     pace.sent(Ticket(1), 900);
     assert!(pace.allows(100, 1_024));
--- a/tests/suite/policy/load_book.rs
+++ b/tests/suite/policy/load_book.rs
@@ -3,7 +3,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::Placed;
 use nutmeggrade_policy::Ticket;
-use nutmeggrade_policy::dispatch::LoadBook;
+use nutmeggrade_policy::dispatch::LoadTable;
 
 fn placed() -> Placed {
     Placed { requests: 1, memory: 3_000, reading: 2_000, moving: 0 }
@@ -13,7 +13,7 @@
 #[test]
 fn copies_are_urgent_and_other_changes_are_not() {
     let engine = EndpointId::new("e-1").expect("an id");
-    let mut book = LoadBook::new();
+    let mut book = LoadTable::new();
     book.place(Ticket(1), &engine, placed());
     assert!(!book.take_changes().is_urgent);
     book.has_read(Ticket(1));
@@ -34,13 +34,13 @@
     let ids = ["e-1", "e-2"].map(|id| EndpointId::new(id).expect("an id"));
     let peer = InstanceId::new("i-2").expect("an id");
     let other = InstanceId::new("i-3").expect("an id");
-    let mut book = LoadBook::new();
+    let mut book = LoadTable::new();
     book.set_peer(&peer, &[(ids[0].clone(), placed())].into());
     book.set_peer(&other, &[(ids[0].clone(), placed())].into());
     book.change_peer(&peer, &[(ids[1].clone(), placed())].into());
     assert_eq!((book.at(&ids[0]).requests, book.at(&ids[1]).requests), (2, 1));
     book.set_peer(&peer, &[(ids[1].clone(), placed())].into());
     assert_eq!((book.at(&ids[0]).requests, book.at(&ids[1]).requests), (1, 1));
-    book.keep_peers(|instance| *instance == other);
+    book.retain_peers(|instance| *instance == other);
     assert_eq!((book.at(&ids[0]).requests, book.at(&ids[1]).requests), (1, 0));
 }
--- a/tests/suite/policy/memory.rs
+++ b/tests/suite/policy/memory.rs
@@ -5,8 +5,8 @@
 use nutmeggrade_core::config::Weights;
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_policy::knobs::Knobs;
-use nutmeggrade_policy::memory::{AHEAD, Forecast, Others};
+use nutmeggrade_policy::decision_settings::DecisionSettings;
+use nutmeggrade_policy::memory::{FORECAST_STEPS, Forecast, PeerUsage};
 use nutmeggrade_policy::priority::Priority;
 use nutmeggrade_policy::{End, Engine, Ticket, Verdict};
 
@@ -34,7 +34,7 @@
 // What was let in a moment ago is not in the report yet, and what is in it must not count twice.
 #[test]
 fn lagging_report_is_corrected_first_hand() {
-    let mut others = Others::default();
+    let mut others = PeerUsage::default();
     let report =
         |used, running, age| LoadReport { running, age: Duration::from_millis(age), ..warm(used) };
     others.report(&report(0, 0, 0), 10_000.0, 5, Moment::from_millis(1_000));
@@ -49,8 +49,8 @@
 #[test]
 fn forecasts_come_back_to_nothing() {
     let mut sum = Forecast::default();
-    let one = Forecast::new(500, &[0.7; AHEAD.len()]);
-    let two = Forecast::new(900, &[0.3; AHEAD.len()]);
+    let one = Forecast::new(500, &[0.7; FORECAST_STEPS.len()]);
+    let two = Forecast::new(900, &[0.3; FORECAST_STEPS.len()]);
     sum += &one;
     sum += &two;
     assert!(sum.peak(2.0) > sum.peak(0.0));
@@ -113,12 +113,12 @@
 #[test]
 fn weights_choose_within_bounds() {
     let weights = |gap, preemptions| Weights { stall: 1.0, domains: 1.0, gap, preemptions };
-    let even = Knobs::new(&weights(1.0, 1.0));
-    let careful = Knobs::new(&weights(1.0, 10.0));
-    let smooth = Knobs::new(&weights(10.0, 1.0));
+    let even = DecisionSettings::new(&weights(1.0, 1.0));
+    let careful = DecisionSettings::new(&weights(1.0, 10.0));
+    let smooth = DecisionSettings::new(&weights(10.0, 1.0));
     assert!(careful.reserve > even.reserve && careful.reserve <= 3.0);
     assert!(smooth.gap < even.gap && smooth.gap >= Duration::from_millis(30));
     assert!(smooth.unread < even.unread && smooth.cached > even.cached);
     let nothing = Weights { stall: 0.0, domains: 0.0, gap: 0.0, preemptions: 0.0 };
-    assert!(Knobs::new(&nothing).reserve >= 1.0);
+    assert!(DecisionSettings::new(&nothing).reserve >= 1.0);
 }
--- a/tests/suite/policy/rollouts.rs
+++ b/tests/suite/policy/rollouts.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_core::rollout::{Outcome, RolloutPhase, RolloutTally};
 use nutmeggrade_policy::rollout::{
-    Capacity, ExposureBound, Facts, Judge, Ruling, Verdict, compare, tail, watched,
+    Capacity, ExposureBound, Judge, RolloutDecision, RolloutInputs, Verdict, compare, tail, watched,
 };
 use rstest::rstest;
 
@@ -100,7 +100,7 @@
 /// A service of a hundred requests a second, as those who judge see it.
 struct Play {
     judge: Judge,
-    facts: Facts,
+    facts: RolloutInputs,
     duration: Duration,
 }
 
@@ -109,12 +109,13 @@
         let duration = Duration::from_secs(duration);
         let capacity =
             Capacity { has_old: true, has_new: true, old_slots: 30, new_slots: 30, running: 9 };
-        let facts = Facts { duration, capacity, has_quorum: true, ..Facts::default() };
+        let facts =
+            RolloutInputs { duration, capacity, has_quorum: true, ..RolloutInputs::default() };
         Self { judge: Judge::new(BOUND), facts, duration }
     }
 
     /// Plays a tenth of a second in which a part of the new version's answers fail.
-    fn step(&mut self, fails: f64) -> Ruling {
+    fn step(&mut self, fails: f64) -> RolloutDecision {
         let ruling = self.judge.rule(&self.facts);
         self.facts.phase = ruling.phase;
         let share = match ruling.phase {
@@ -205,7 +206,7 @@
 }
 
 /// Checks that a roll-out is given up shortly before its time is over.
-fn is_given_up(change: fn(&mut Facts)) {
+fn is_given_up(change: fn(&mut RolloutInputs)) {
     let mut play = Play::new(20);
     change(&mut play.facts);
     play.leave(RolloutPhase::Held, 0.0);
