--- a/crates/nutmeggrade-fakes/examples/decision_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/decision_cost.rs
@@ -11,7 +11,7 @@
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_fakes::fleet::preset;
-use nutmeggrade_policy::{Ask, End, Engine, Scheduler, Ticket, Verdict};
+use nutmeggrade_policy::{End, Engine, GenerationRequest, Scheduler, Ticket, Verdict};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
 #[global_allocator]
@@ -128,8 +128,8 @@
     (0..size).map(|i| (engine_id(i), 10)).collect()
 }
 
-fn ask(number: u64) -> Ask {
-    Ask {
+fn ask(number: u64) -> GenerationRequest {
+    GenerationRequest {
         ticket: Ticket(number),
         workspace: WorkspaceId::new(&format!("workspace-{}", number % 10)).expect("a valid id"),
         task: TaskId::new("permit-draft").expect("a valid id"),
--- a/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
+++ b/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
@@ -8,7 +8,7 @@
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_fakes::driver::Decider;
-use nutmeggrade_policy::{Ask, End, Engine, Ticket, Verdict};
+use nutmeggrade_policy::{End, Engine, GenerationRequest, Ticket, Verdict};
 
 /// Generations in a batch under the fixed limit, over all instances; the engines' memory divided by
 /// the mean memory of a long generation.
@@ -65,7 +65,7 @@
 pub struct Baseline {
     rule: Rule,
     places: BTreeMap<EndpointId, Place>,
-    queue: VecDeque<Ask>,
+    queue: VecDeque<GenerationRequest>,
     turn: usize,
     mean: f64,
 }
@@ -75,7 +75,7 @@
         Self { rule, places: BTreeMap::new(), queue: VecDeque::new(), turn: 0, mean: 0.0 }
     }
 
-    fn place(&mut self, ask: &Ask) -> Option<EndpointId> {
+    fn place(&mut self, ask: &GenerationRequest) -> Option<EndpointId> {
         let need = ask.prompt + ask.max_tokens;
         let mean = self.mean;
         let fits = |p: &Place| match self.rule {
@@ -142,7 +142,7 @@
         }
     }
 
-    fn ask(&mut self, ask: &Ask, _now: Moment) -> Verdict {
+    fn ask(&mut self, ask: &GenerationRequest, _now: Moment) -> Verdict {
         if self.queue.is_empty()
             && let Some(endpoint) = self.place(ask)
         {
--- a/crates/nutmeggrade-fakes/src/driver/arrival.rs
+++ b/crates/nutmeggrade-fakes/src/driver/arrival.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_policy::{Ask, Ticket};
+use nutmeggrade_policy::{GenerationRequest, Ticket};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -50,10 +50,10 @@
 }
 
 impl Arrival {
-    pub(super) fn ask(&self, ticket: Ticket, avoid: &BTreeSet<EndpointId>) -> Ask {
+    pub(super) fn ask(&self, ticket: Ticket, avoid: &BTreeSet<EndpointId>) -> GenerationRequest {
         let task = if self.huge { "draft-book" } else { "permit-draft" };
         let task = if self.long { task } else { "district-sort" };
-        Ask {
+        GenerationRequest {
             ticket,
             workspace: workspace(self.workspace),
             task: TaskId::new(task).expect("a valid id"),
--- a/crates/nutmeggrade-fakes/src/driver/decider.rs
+++ b/crates/nutmeggrade-fakes/src/driver/decider.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_policy::{Ask, End, Engine, Scheduler, Ticket, Verdict};
+use nutmeggrade_policy::{End, Engine, GenerationRequest, Scheduler, Ticket, Verdict};
 
 /// A policy of one instance: the scheduler, or a baseline that it is compared with.
 pub trait Decider {
@@ -15,7 +15,7 @@
     /// Takes what peers have in flight.
     fn set_peers(&mut self, in_flight: &BTreeMap<EndpointId, u32>, now: Moment);
     /// Decides about a new request.
-    fn ask(&mut self, ask: &Ask, now: Moment) -> Verdict;
+    fn ask(&mut self, ask: &GenerationRequest, now: Moment) -> Verdict;
     /// Decides about those that wait.
     fn release(&mut self, now: Moment) -> Vec<(Ticket, Verdict)>;
     /// Notes a token.
@@ -39,7 +39,7 @@
         Self::set_peers(self, in_flight, now);
     }
 
-    fn ask(&mut self, ask: &Ask, now: Moment) -> Verdict {
+    fn ask(&mut self, ask: &GenerationRequest, now: Moment) -> Verdict {
         Self::ask(self, ask, now)
     }
 
--- a/crates/nutmeggrade-fakes/src/rollout/instance.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/instance.rs
@@ -5,7 +5,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::{RolloutNotice, RolloutReport};
 use nutmeggrade_core::routing::EndpointInfo;
-use nutmeggrade_policy::rollout::{Judge, RolloutInputs, watched};
+use nutmeggrade_policy::rollout::{Judge, RolloutInputs, canary_endpoints};
 use nutmeggrade_state::registry::{Registered, Registry};
 use nutmeggrade_state::rollout::{EndpointLoad, Reported, RolloutTable, Standing, Surroundings};
 
@@ -90,7 +90,7 @@
         let canaries: Vec<&Registered> = usable.iter().filter(is_canary).copied().collect();
         let number = |e: &Registered| Endpoints::number(&e.info.id);
         if draw < share && !canaries.is_empty() {
-            let count = watched(canaries.len(), share);
+            let count = canary_endpoints(canaries.len(), share);
             return canaries.into_iter().take(count).filter_map(number).collect();
         }
         let serving = usable.into_iter().filter(|e| standing(e) == Standing::Serving);
--- a/crates/nutmeggrade-policy/src/decision_settings.rs
+++ b/crates/nutmeggrade-policy/src/decision_settings.rs
@@ -17,10 +17,10 @@
     /// Time in which the limit of a returning engine doubles.
     pub ramp: Duration,
     /// Prompt tokens that may be pending on an engine.
-    pub unread: u64,
+    pub prefill_limit: u64,
     /// Additional load, as a fraction of its memory, that an engine with the cached prompt prefix
     /// may have.
-    pub cached: f64,
+    pub affinity_margin: f64,
 }
 
 impl DecisionSettings {
@@ -33,13 +33,13 @@
         // come from waiting for room, which a larger reserve lengthens, so that `stall` has the
         // smaller factor.
         let reserve = 1.0 + 0.3 * relative(stall) + 0.7 * relative(preemptions);
-        let unread = if relative(gap) > 1.0 { 1_024 } else { 2_048 };
+        let prefill_limit = if relative(gap) > 1.0 { 1_024 } else { 2_048 };
         Self {
             reserve,
             gap: Duration::from_millis(50).div_f64(relative(gap).sqrt()),
             ramp: Duration::from_secs(1).mul_f64(relative(domains)),
-            unread,
-            cached: 0.1 * relative(gap),
+            prefill_limit,
+            affinity_margin: 0.1 * relative(gap),
         }
     }
 }
--- a/crates/nutmeggrade-policy/src/dispatch/health.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/health.rs
@@ -108,7 +108,7 @@
     }
 
     /// Returns the time of the last notice that the endpoint is gone, unless it has answered since.
-    pub const fn told_gone(&self) -> Option<Moment> {
+    pub const fn gone_notice_at(&self) -> Option<Moment> {
         self.gone_at
     }
 
--- a/crates/nutmeggrade-policy/src/dispatch/load_book.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/load_table.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records that the prompt of a request has been read.
-    pub fn has_read(&mut self, ticket: Ticket) {
+    pub fn record_prompt_read(&mut self, ticket: Ticket) {
         let Some(own) = self.own.get_mut(&ticket) else { return };
         let read = Placed { reading: own.placed.reading, ..Placed::default() };
         own.placed -= read;
--- a/crates/nutmeggrade-policy/src/engine_state.rs
+++ b/crates/nutmeggrade-policy/src/engine_state.rs
@@ -8,12 +8,12 @@
 use crate::cold_watch::ColdWatch;
 use crate::decision_settings::DecisionSettings;
 use crate::gap::GapLimit;
-use crate::lots::RoomLottery;
 use crate::memory::{Forecast, PeerUsage};
 use crate::prefill::PrefillLimit;
-use crate::share::UnreportedAdmissions;
+use crate::room_lottery::RoomLottery;
 use crate::slow_start::SlowStart;
-use crate::{Ask, Engine, Ticket};
+use crate::unreported::UnreportedAdmissions;
+use crate::{Engine, GenerationRequest, Ticket};
 
 /// Part of the memory that answers may probably fill; the engine's own blocks take the rest.
 const USABLE_MEMORY_SHARE: f64 = 0.97;
@@ -29,7 +29,7 @@
 /// Inputs of one placement decision beside the engine's state.
 #[derive(Debug)]
 pub(crate) struct PlacementContext<'a> {
-    pub request: &'a Ask,
+    pub request: &'a GenerationRequest,
     pub forecast: &'a Forecast,
     /// Forecast of the memory of peers' answers, per token held.
     pub per_token: &'a Forecast,
@@ -125,7 +125,7 @@
         let is_short = !context.request.long;
         let is_allowed =
             self.gap_limit.allows(running, is_short, self.own_requests as usize, context.now)
-                && self.prefill.allows(context.request.prompt, context.settings.unread);
+                && self.prefill.allows(context.request.prompt, context.settings.prefill_limit);
         if !is_allowed {
             return None;
         }
--- a/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
+++ b/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::prelude::*;
 
-/// Fraction of the allowance that is used; the rest covers requests that arrive in another window
+/// Fraction of the limits that is used; the rest covers requests that arrive in another window
 /// than they were counted in.
 const USABLE_SHARE: f64 = 0.8;
 
@@ -28,15 +28,15 @@
 /// than the allowance as long as none counts fewer instances than there are.
 #[derive(Debug, Clone)]
 pub struct ResendBudget {
-    allowance: ResendLimits,
+    limits: ResendLimits,
     requests: VecDeque<Moment>,
     resends: VecDeque<Moment>,
 }
 
 impl ResendBudget {
     /// Creates a budget of which nothing is used.
-    pub fn new(allowance: ResendLimits) -> Self {
-        Self { allowance, requests: VecDeque::new(), resends: VecDeque::new() }
+    pub fn new(limits: ResendLimits) -> Self {
+        Self { limits, requests: VecDeque::new(), resends: VecDeque::new() }
     }
 
     /// Records a request.
@@ -49,8 +49,8 @@
     /// of instances.
     pub fn take(&mut self, sharers: usize, now: Moment) -> bool {
         self.remove_expired(now);
-        let earned = self.allowance.ratio * self.requests.len() as f64;
-        let additional = self.allowance.extra / sharers.max(1) as f64;
+        let earned = self.limits.ratio * self.requests.len() as f64;
+        let additional = self.limits.extra / sharers.max(1) as f64;
         let left = (earned + additional) * USABLE_SHARE - self.resends.len() as f64;
         if left < 1.0 {
             return false;
@@ -60,7 +60,7 @@
     }
 
     fn remove_expired(&mut self, now: Moment) {
-        let window = self.allowance.window;
+        let window = self.limits.window;
         for times in [&mut self.requests, &mut self.resends] {
             while times.front().is_some_and(|t| now.since(*t) > window) {
                 times.pop_front();
--- a/crates/nutmeggrade-policy/src/ask.rs
+++ b/crates/nutmeggrade-policy/src/generation_request.rs
@@ -8,7 +8,7 @@
 
 /// A generation request that is to be placed on an engine.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct GenerationRequest {
     /// Identifies the request within this instance.
     pub ticket: Ticket,
     /// Workspace that sent it.
--- a/crates/nutmeggrade-policy/src/queue/fair_queue.rs
+++ b/crates/nutmeggrade-policy/src/queue/fair_queue.rs
@@ -3,7 +3,7 @@
 use nutmeggrade_core::prelude::*;
 
 use super::Lane;
-use crate::{Ask, Ticket};
+use crate::{GenerationRequest, Ticket};
 
 /// Separate lanes for short and long tasks, each fair across workspaces.
 ///
@@ -43,7 +43,7 @@
     }
 
     /// Removes a request whose client gave up.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<Ask> {
+    pub fn remove(&mut self, ticket: Ticket) -> Option<GenerationRequest> {
         self.short.remove(ticket).or_else(|| self.long.remove(ticket))
     }
 
--- a/crates/nutmeggrade-policy/src/queue/lane.rs
+++ b/crates/nutmeggrade-policy/src/queue/lane.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_core::prelude::*;
 
-use crate::{Ask, Ticket};
+use crate::{GenerationRequest, Ticket};
 
 /// A request that can be queued in a [`Lane`].
 pub trait Queued {
@@ -15,7 +15,7 @@
     fn workspace(&self) -> &WorkspaceId;
 }
 
-impl Queued for Ask {
+impl Queued for GenerationRequest {
     fn ticket(&self) -> Ticket {
         self.ticket
     }
@@ -44,7 +44,7 @@
 /// advances the virtual start of its workspace by its cost. A workspace that was idle starts at the
 /// current virtual time, without credit for its absence.
 #[derive(Debug)]
-pub struct Lane<R = Ask> {
+pub struct Lane<R = GenerationRequest> {
     queues: BTreeMap<WorkspaceId, WorkspaceQueue<R>>,
     order: BTreeSet<(u64, WorkspaceId)>,
     owners: BTreeMap<Ticket, WorkspaceId>,
--- a/crates/nutmeggrade-policy/src/rollout.rs
+++ b/crates/nutmeggrade-policy/src/rollout.rs
@@ -3,13 +3,13 @@
 mod binomial;
 mod evidence;
 mod exposure;
-mod facts;
+mod inputs;
 mod judge;
 mod verdict;
 
 pub use binomial::tail;
 pub use evidence::compare;
-pub use exposure::{ExposureBound, watched};
-pub use facts::{Capacity, RolloutInputs};
+pub use exposure::{ExposureBound, canary_endpoints};
+pub use inputs::{Capacity, RolloutInputs};
 pub use judge::{Judge, RolloutDecision};
 pub use verdict::{Regression, Verdict};
--- a/crates/nutmeggrade-policy/src/rollout/exposure.rs
+++ b/crates/nutmeggrade-policy/src/rollout/exposure.rs
@@ -19,7 +19,7 @@
 /// Returns how many endpoints of a new version get the requests selected for it. The number is
 /// small enough that each has the same load as when all requests go to the new version, since a
 /// version may be bad only under load.
-pub fn watched(endpoints: usize, share: f64) -> usize {
+pub fn canary_endpoints(endpoints: usize, share: f64) -> usize {
     let is_enough = |count: &usize| *count as f64 >= endpoints as f64 * share;
     (1..=endpoints).find(is_enough).unwrap_or(endpoints)
 }
--- a/crates/nutmeggrade-policy/src/router.rs
+++ b/crates/nutmeggrade-policy/src/router.rs
@@ -69,7 +69,11 @@
     }
 
     /// Returns the engines that a prefix maps to, in ring order.
-    pub fn affine(&self, model: &ModelId, prefix: u64) -> impl Iterator<Item = &EndpointId> {
+    pub fn prefix_engines(
+        &self,
+        model: &ModelId,
+        prefix: u64,
+    ) -> impl Iterator<Item = &EndpointId> {
         let group = self.groups.get(model).filter(|_| prefix != 0);
         let position = mix_bits(prefix);
         let mut last_index = u32::MAX;
--- a/crates/nutmeggrade-policy/src/scheduler.rs
+++ b/crates/nutmeggrade-policy/src/scheduler.rs
@@ -18,7 +18,7 @@
 use crate::router::Router;
 use crate::stream::{Stream, UPDATE_INTERVAL_TOKENS};
 use crate::wait::WaitEstimate;
-use crate::{Ask, End, Engine, RetryJitter, Ticket, Verdict};
+use crate::{End, Engine, GenerationRequest, RetryJitter, Ticket, Verdict};
 
 /// Mean gap between tokens before any has been measured.
 const INITIAL_TOKEN_GAP: Duration = Duration::from_millis(15);
@@ -189,8 +189,8 @@
         }
     }
 
-    fn forecast(&self, request: &Ask) -> Forecast {
-        let Ask { workspace, task, max_tokens, .. } = request;
+    fn forecast(&self, request: &GenerationRequest) -> Forecast {
+        let GenerationRequest { workspace, task, max_tokens, .. } = request;
         let survival = self.lengths.survival(workspace, task, 0, *max_tokens, &FORECAST_STEPS);
         Forecast::new(request.prompt, &survival)
     }
--- a/crates/nutmeggrade-policy/src/scheduler/placing.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/placing.rs
@@ -10,7 +10,7 @@
 use crate::priority::Priority;
 use crate::router::{AFFINE_CANDIDATES, CANDIDATES_PER_REQUEST};
 use crate::stream::Stream;
-use crate::{Ask, Verdict};
+use crate::{GenerationRequest, Verdict};
 
 /// Load that an engine with the cached prompt prefix may have, as a multiple of the mean load of
 /// the randomly drawn engines.
@@ -18,7 +18,7 @@
 
 impl Scheduler {
     /// Starts a request if an engine has room for it.
-    pub(super) fn place(&mut self, request: &Ask, now: Moment) -> Option<Verdict> {
+    pub(super) fn place(&mut self, request: &GenerationRequest, now: Moment) -> Option<Verdict> {
         let forecast = self.forecast(request);
         let endpoint = self.choose_engine(request, &forecast, now)?;
         let time_left = request.deadline.since(now);
@@ -54,15 +54,15 @@
     }
 
     /// Returns the expected duration of an answer from its start on an engine.
-    pub(super) fn expected_duration(&self, request: &Ask) -> Duration {
-        let Ask { workspace, task, max_tokens, .. } = request;
+    pub(super) fn expected_duration(&self, request: &GenerationRequest) -> Duration {
+        let GenerationRequest { workspace, task, max_tokens, .. } = request;
         let tokens = self.lengths.remaining(workspace, task, 0, *max_tokens);
         self.mean_gap.mul_f64(tokens)
     }
 
     fn choose_engine(
         &mut self,
-        request: &Ask,
+        request: &GenerationRequest,
         forecast: &Forecast,
         now: Moment,
     ) -> Option<EndpointId> {
@@ -92,11 +92,12 @@
         }
         let least_loaded = best.map(|(_, id)| id.clone());
         let load_bound = if scored > 0.0 {
-            AFFINITY_LOAD_FACTOR * score_sum / scored + self.settings.cached
+            AFFINITY_LOAD_FACTOR * score_sum / scored + self.settings.affinity_margin
         } else {
             1.0
         };
-        let mut affine = self.router.affine(&request.model, request.prefix).take(AFFINE_CANDIDATES);
+        let mut affine =
+            self.router.prefix_engines(&request.model, request.prefix).take(AFFINE_CANDIDATES);
         let cached = affine.find(|id| score(id).is_some_and(|s| s <= load_bound));
         cached.cloned().or(least_loaded)
     }
--- a/crates/nutmeggrade-policy/src/scheduler/waiting.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/waiting.rs
@@ -6,7 +6,7 @@
 
 use super::Scheduler;
 use crate::wait::WaitEstimate;
-use crate::{Ask, Ticket, Verdict};
+use crate::{GenerationRequest, Ticket, Verdict};
 
 /// Retry delay for a refused request while no wait estimate exists.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -24,7 +24,7 @@
 
 impl Scheduler {
     /// Decides about a new request, or one that failed elsewhere before its first token.
-    pub fn ask(&mut self, request: &Ask, now: Moment) -> Verdict {
+    pub fn ask(&mut self, request: &GenerationRequest, now: Moment) -> Verdict {
         if request.deadline <= now || self.is_unlikely_to_finish(request, now) {
             return self.refuse(Code::TooLate, DEFAULT_RETRY_AFTER);
         }
@@ -106,10 +106,11 @@
             self.last_sweep = now;
         }
         for long in [false, true] {
-            let is_late = |request: &Ask| {
+            let is_late = |request: &GenerationRequest| {
                 request.deadline <= now || (is_sweep && self.is_unlikely_to_finish(request, now))
             };
-            let has_no_engine = |request: &Ask| is_sweep && !self.has_usable_engine(request);
+            let has_no_engine =
+                |request: &GenerationRequest| is_sweep && !self.has_usable_engine(request);
             let lane = self.queue.lane(long);
             let late = lane.expired(is_late).into_iter().map(|t| (t, Code::TooLate));
             let unserved = lane.expired(has_no_engine).into_iter().map(|t| (t, Code::NoEndpoint));
@@ -123,7 +124,7 @@
     }
 
     /// Returns whether an answer is unlikely to complete in time even if it starts immediately.
-    fn is_unlikely_to_finish(&self, request: &Ask, now: Moment) -> bool {
+    fn is_unlikely_to_finish(&self, request: &GenerationRequest, now: Moment) -> bool {
         let seconds_left = request.deadline.since(now).as_secs_f64();
         let steps = seconds_left / self.mean_gap.as_secs_f64().max(1e-4);
         #[expect(
@@ -135,16 +136,16 @@
         if tokens >= request.max_tokens {
             return false;
         }
-        let Ask { workspace, task, max_tokens, .. } = request;
+        let GenerationRequest { workspace, task, max_tokens, .. } = request;
         let [survival] = self.lengths.survival(workspace, task, 0, *max_tokens, &[tokens]);
         1.0 - survival < MIN_COMPLETION_PROBABILITY
     }
 
-    fn has_usable_engine(&self, request: &Ask) -> bool {
+    fn has_usable_engine(&self, request: &GenerationRequest) -> bool {
         self.router.offers(&request.model, &request.avoid)
     }
 
-    fn estimate_wait(&self, request: &Ask) -> Option<Duration> {
+    fn estimate_wait(&self, request: &GenerationRequest) -> Option<Duration> {
         let ahead = self.queue.lane(request.long).ahead(&request.workspace);
         self.wait_estimates[usize::from(request.long)].wait(ahead + 1)
     }
--- a/crates/nutmeggrade-relay/src/probes.rs
+++ b/crates/nutmeggrade-relay/src/probes.rs
@@ -58,7 +58,7 @@
             if tables.registry.is_parting(&endpoint.id) {
                 return;
             }
-            tables.dispatcher.book.health(&endpoint.id).and_then(Health::told_gone)
+            tables.dispatcher.book.health(&endpoint.id).and_then(Health::gone_notice_at)
         };
         // A peer checks it too.
         if said > told || check(node, endpoint).await == Check::Answers {
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -176,7 +176,7 @@
             self.began = Some(now);
             let first = Outcome::First(now.since(self.sent));
             tables.note_outcome(&self.place.endpoint, &self.call.route.name, first, now);
-            tables.dispatcher.book.has_read(self.place.ticket);
+            tables.dispatcher.book.record_prompt_read(self.place.ticket);
             tables.release(now);
             self.node.placed.notify_one();
         }
@@ -253,7 +253,7 @@
         self.upstream = Some(upstream);
         self.place = place;
         self.moves += 1;
-        lock(&self.node.tables).dispatcher.book.has_read(self.place.ticket);
+        lock(&self.node.tables).dispatcher.book.record_prompt_read(self.place.ticket);
     }
 
     /// Looks for another way after the endpoint broke the stream off; says whether it goes on.
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -11,7 +11,7 @@
 use nutmeggrade_policy::dispatch::{Candidate, DispatchDecision, DispatchRequest, Dispatcher};
 use nutmeggrade_policy::fleet::{ColdShare, ResendBudget};
 use nutmeggrade_policy::pace::Pace;
-use nutmeggrade_policy::rollout::watched;
+use nutmeggrade_policy::rollout::canary_endpoints;
 use nutmeggrade_state::crash_log::CrashLog;
 use nutmeggrade_state::fleet_view::FleetView;
 use nutmeggrade_state::registry::{Registered, Registry};
@@ -209,7 +209,7 @@
             }
         }
         for (service, all) in canaries {
-            let count = watched(all.len(), self.rollouts.share(service, now));
+            let count = canary_endpoints(all.len(), self.rollouts.share(service, now));
             candidates.entry(service.clone()).or_default().extend(all.into_iter().take(count));
         }
         self.cold.retain(|id, _| cold.contains(id));
--- a/crates/nutmeggrade/src/explain.rs
+++ b/crates/nutmeggrade/src/explain.rs
@@ -3,7 +3,7 @@
 use nutmeggrade_core::audit::AuditEvent;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
-use nutmeggrade_policy::Ask;
+use nutmeggrade_policy::GenerationRequest;
 
 use crate::generation::Placement;
 use crate::node::Node;
@@ -19,7 +19,7 @@
     pub fn note_admission(
         &self,
         request: &RequestId,
-        ask: &Ask,
+        ask: &GenerationRequest,
         asked: Moment,
         verdict: &Result<Placement<P>, Failure>,
     ) {
--- a/crates/nutmeggrade/src/generation/admission.rs
+++ b/crates/nutmeggrade/src/generation/admission.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
-use nutmeggrade_policy::{Ask, End, Ticket, Verdict};
+use nutmeggrade_policy::{End, GenerationRequest, Ticket, Verdict};
 use nutmeggrade_state::cold_load::Slot;
 use tokio::sync::oneshot;
 
@@ -63,7 +63,10 @@
 }
 
 /// Asks the scheduler and waits for as long as it says.
-pub async fn admit<P: Platform>(node: &Arc<Node<P>>, ask: &Ask) -> Result<Placement<P>, Failure> {
+pub async fn admit<P: Platform>(
+    node: &Arc<Node<P>>,
+    ask: &GenerationRequest,
+) -> Result<Placement<P>, Failure> {
     let ticket = ask.ticket;
     let (verdict, waiter) = {
         let mut scheduler = lock(&node.tables.scheduler);
--- a/crates/nutmeggrade/src/generation/start.rs
+++ b/crates/nutmeggrade/src/generation/start.rs
@@ -6,7 +6,7 @@
 use nutmeggrade_core::event_id::EventId;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
-use nutmeggrade_policy::Ask;
+use nutmeggrade_policy::GenerationRequest;
 use tokio::time::sleep;
 
 use super::attempt::{Broken, attempt};
@@ -115,8 +115,13 @@
     node.note(&caller.request, "attempt_failed", &detail);
 }
 
-fn ask<P: Platform>(node: &Node<P>, caller: &Caller, completion: &Completion, long: bool) -> Ask {
-    Ask {
+fn ask<P: Platform>(
+    node: &Node<P>,
+    caller: &Caller,
+    completion: &Completion,
+    long: bool,
+) -> GenerationRequest {
+    GenerationRequest {
         ticket: node.ticket(),
         workspace: caller.workspace.clone(),
         task: caller.task.clone(),
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_policy::{Ask, Engine, Scheduler, Ticket};
+use nutmeggrade_policy::{Engine, GenerationRequest, Scheduler, Ticket};
 
 mod cold;
 mod dispatch;
@@ -76,8 +76,8 @@
     scheduler
 }
 
-fn ask(ticket: u64, long: bool) -> Ask {
-    Ask {
+fn ask(ticket: u64, long: bool) -> GenerationRequest {
+    GenerationRequest {
         ticket: Ticket(ticket),
         workspace: workspace(0),
         task: task(if long { "permit-draft" } else { "district-sort" }),
--- a/tests/suite/policy/cold.rs
+++ b/tests/suite/policy/cold.rs
@@ -5,9 +5,9 @@
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::cold_watch::ColdWatch;
-use nutmeggrade_policy::lots::RoomLottery;
-use nutmeggrade_policy::share::UnreportedAdmissions;
+use nutmeggrade_policy::room_lottery::RoomLottery;
 use nutmeggrade_policy::slow_start::SlowStart;
+use nutmeggrade_policy::unreported::UnreportedAdmissions;
 use nutmeggrade_policy::{End, Engine, Ticket, Verdict};
 
 use super::{ask, endpoint, engine, scheduler, warm};
--- a/tests/suite/policy/fairness.rs
+++ b/tests/suite/policy/fairness.rs
@@ -6,12 +6,12 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::queue::{FairQueue, Lane};
 use nutmeggrade_policy::wait::WaitEstimate;
-use nutmeggrade_policy::{Ask, Ticket, Verdict};
+use nutmeggrade_policy::{GenerationRequest, Ticket, Verdict};
 
 use super::{MEMORY, ask, endpoint, scheduler, warm, workspace};
 
-fn of(owner: usize, ticket: u64) -> Ask {
-    Ask { workspace: workspace(owner), ..ask(ticket, true) }
+fn of(owner: usize, ticket: u64) -> GenerationRequest {
+    GenerationRequest { workspace: workspace(owner), ..ask(ticket, true) }
 }
 
 // Two workspaces fill the queue. A third with two requests must not wait behind all of theirs.
@@ -69,7 +69,7 @@
 // Long answers wait for memory. A short one passes where there is room for it.
 #[test]
 fn short_passes_waiting_long() {
-    let small = Ask { prompt: 20, ..ask(2, false) };
+    let small = GenerationRequest { prompt: 20, ..ask(2, false) };
     let passes = |used: u64| {
         let mut scheduler = scheduler(1);
         scheduler.report(&endpoint(0), &warm(used), Moment::ZERO);
@@ -96,7 +96,8 @@
     }
     let mut back = Vec::new();
     for ticket in 2..22 {
-        let near = Ask { deadline: Moment::from_millis(now + 30_000), ..ask(ticket, true) };
+        let near =
+            GenerationRequest { deadline: Moment::from_millis(now + 30_000), ..ask(ticket, true) };
         let Verdict::Refuse { code, retry_after } = scheduler.ask(&near, Moment::from_millis(now))
         else {
             panic!("request {ticket} waits in vain");
--- a/tests/suite/policy/load_book.rs
+++ b/tests/suite/policy/load_book.rs
@@ -16,7 +16,7 @@
     let mut book = LoadTable::new();
     book.place(Ticket(1), &engine, placed());
     assert!(!book.take_changes().is_urgent);
-    book.has_read(Ticket(1));
+    book.record_prompt_read(Ticket(1));
     assert!(!book.take_changes().is_urgent);
     for tokens in [3_000, 0] {
         book.set_moving(Ticket(1), tokens);
--- a/tests/suite/policy/memory.rs
+++ b/tests/suite/policy/memory.rs
@@ -118,7 +118,9 @@
     let smooth = DecisionSettings::new(&weights(10.0, 1.0));
     assert!(careful.reserve > even.reserve && careful.reserve <= 3.0);
     assert!(smooth.gap < even.gap && smooth.gap >= Duration::from_millis(30));
-    assert!(smooth.unread < even.unread && smooth.cached > even.cached);
+    assert!(
+        smooth.prefill_limit < even.prefill_limit && smooth.affinity_margin > even.affinity_margin
+    );
     let nothing = Weights { stall: 0.0, domains: 0.0, gap: 0.0, preemptions: 0.0 };
     assert!(DecisionSettings::new(&nothing).reserve >= 1.0);
 }
--- a/tests/suite/policy/properties.rs
+++ b/tests/suite/policy/properties.rs
@@ -5,7 +5,7 @@
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::queue::Lane;
-use nutmeggrade_policy::{Ask, End, Scheduler, Ticket, Verdict};
+use nutmeggrade_policy::{End, GenerationRequest, Scheduler, Ticket, Verdict};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -79,7 +79,7 @@
             let now = Moment::from_millis(self.now);
             match step {
                 Step::Ask { owner, long, deadline } => {
-                    let ask = Ask {
+                    let ask = GenerationRequest {
                         workspace: workspace(*owner),
                         deadline: Moment::from_millis(self.now + deadline),
                         ..ask(number, *long)
@@ -151,7 +151,10 @@
             scheduler.report(&endpoint(number), &warm(0), later);
         }
         let again = Moment::from_millis(world.now + 120_000);
-        let last = Ask { deadline: Moment::from_millis(world.now + 400_000), ..ask(9_999, false) };
+        let last = GenerationRequest {
+            deadline: Moment::from_millis(world.now + 400_000),
+            ..ask(9_999, false)
+        };
         let verdict = scheduler.ask(&last, again);
         let went = matches!(verdict, Verdict::Go { .. });
         prop_assert!(went, "{:?}", verdict);
@@ -184,7 +187,7 @@
         let mut lane = Lane::new();
         let mut cost = BTreeMap::new();
         for (ticket, (owner, amount)) in (0..).zip(&costs) {
-            lane.push(&Ask { workspace: workspace(*owner), ..ask(ticket, true) });
+            lane.push(&GenerationRequest { workspace: workspace(*owner), ..ask(ticket, true) });
             cost.insert(Ticket(ticket), f64::from(*amount));
         }
         let most = f64::from(costs.iter().map(|(_, c)| *c).max().unwrap_or(0));
--- a/tests/suite/policy/rollouts.rs
+++ b/tests/suite/policy/rollouts.rs
@@ -4,7 +4,8 @@
 
 use nutmeggrade_core::rollout::{Outcome, RolloutPhase, RolloutTally};
 use nutmeggrade_policy::rollout::{
-    Capacity, ExposureBound, Judge, RolloutDecision, RolloutInputs, Verdict, compare, tail, watched,
+    Capacity, ExposureBound, Judge, RolloutDecision, RolloutInputs, Verdict, canary_endpoints,
+    compare, tail,
 };
 use rstest::rstest;
 
@@ -91,10 +92,10 @@
 
 #[rstest]
 fn watched_endpoints_get_their_usual_load() {
-    assert_eq!(watched(44, 0.05), 3);
-    assert_eq!(watched(3, 0.05), 1);
-    assert_eq!(watched(3, 1.0), 3);
-    assert_eq!(watched(0, 0.5), 0);
+    assert_eq!(canary_endpoints(44, 0.05), 3);
+    assert_eq!(canary_endpoints(3, 0.05), 1);
+    assert_eq!(canary_endpoints(3, 1.0), 3);
+    assert_eq!(canary_endpoints(0, 0.5), 0);
 }
 
 /// A service of a hundred requests a second, as those who judge see it.
--- a/tests/suite/policy/routing.rs
+++ b/tests/suite/policy/routing.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::router::Router;
-use nutmeggrade_policy::{Ask, Ticket, Verdict};
+use nutmeggrade_policy::{GenerationRequest, Ticket, Verdict};
 
 use super::{ask, endpoint, engine, model, scheduler, warm};
 
@@ -46,7 +46,7 @@
     let mut scheduler = scheduler(12);
     let mut places = BTreeSet::new();
     for ticket in 0..6 {
-        let same = Ask { prefix: 77, ..ask(ticket, false) };
+        let same = GenerationRequest { prefix: 77, ..ask(ticket, false) };
         let now = Moment::from_millis(ticket * 3_000);
         places.extend(place(&scheduler.ask(&same, now)));
         scheduler.token(Ticket(ticket), now);
@@ -54,7 +54,7 @@
     assert!(places.len() <= 2, "{places:?}");
     let mut crowd = BTreeSet::new();
     for ticket in 100..160 {
-        let same = Ask { prefix: 77, ..ask(ticket, true) };
+        let same = GenerationRequest { prefix: 77, ..ask(ticket, true) };
         crowd.extend(place(&scheduler.ask(&same, Moment::from_millis(60_000))));
         scheduler.token(Ticket(ticket), Moment::from_millis(60_000));
     }
@@ -67,7 +67,7 @@
     let all: Vec<_> = (0..12).map(engine).collect();
     let mut router = Router::new(1);
     router.set_engines(&all);
-    let first = |router: &Router, prefix| router.affine(&model(), prefix).next().cloned();
+    let first = |router: &Router, prefix| router.prefix_engines(&model(), prefix).next().cloned();
     let before: Vec<_> = (1..400).map(|p| first(&router, p)).collect();
     router.set_engines(&all[1..]);
     let after: Vec<_> = (1..400).map(|p| first(&router, p)).collect();
@@ -96,6 +96,6 @@
 fn nowhere_left_is_told_at_once() {
     let mut scheduler = scheduler(2);
     let avoid = BTreeSet::from([endpoint(0), endpoint(1)]);
-    let verdict = scheduler.ask(&Ask { avoid, ..ask(1, false) }, Moment::ZERO);
+    let verdict = scheduler.ask(&GenerationRequest { avoid, ..ask(1, false) }, Moment::ZERO);
     assert!(matches!(verdict, Verdict::Refuse { code: Code::NoEndpoint, .. }), "{verdict:?}");
 }
