--- a/crates/nutmeggrade-policy/src/dispatch/dispatch_request.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatch_request.rs
@@ -1,4 +1,4 @@
-//! Resource requirements of a request.
+//! Requests that the dispatcher places.
 
 use std::collections::BTreeSet;
 
--- a/crates/nutmeggrade-policy/src/dispatch/load_table.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/load_table.rs
@@ -34,7 +34,7 @@
 pub struct LoadChanges {
     /// Total load of the instance at each of these endpoints.
     pub placed: BTreeMap<EndpointId, Placed>,
-    /// Whether a copy of a generation began or ended, which coordinates turns between instances.
+    /// Whether a copy of a generation began or ended; instances use this to take turns at copying.
     pub is_urgent: bool,
 }
 
--- a/crates/nutmeggrade-policy/src/dispatch/room.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/room.rs
@@ -21,8 +21,8 @@
 /// Upper bound of the penalty for recent failures; failing endpoints above it are compared by load
 /// alone.
 const MAX_FAILURE_PENALTY: f64 = 0.9;
-/// Failure rate above that of the best endpoint from which on it counts; random variation makes up
-/// about as much.
+/// Excess over the failure rate of the best endpoint from which on it counts; random variation
+/// alone reaches about this value.
 const MIN_EXCESS_RATE: f64 = 0.1;
 /// Score penalty per unit of excess failure rate, where 1 is a full endpoint. An endpoint that
 /// fails everything is used only if no other has room.
--- a/crates/nutmeggrade-policy/src/engine.rs
+++ b/crates/nutmeggrade-policy/src/engine.rs
@@ -1,10 +1,10 @@
-//! Static description of an engine.
+//! Description of an engine for the scheduler.
 
 use std::collections::BTreeSet;
 
 use nutmeggrade_core::prelude::*;
 
-/// Static description of an engine, as the registry and the configuration give it.
+/// Description of an engine that may get work, as given to the scheduler.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Engine {
     /// Endpoint ID.
--- a/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
+++ b/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
@@ -25,7 +25,7 @@
 /// Without a limit, a service that fails under load gets every request again and with it twice the
 /// load, so that a short fault becomes a long one. Each instance may resend a fraction of its own
 /// requests and its share of the additional resends. The shares of all instances add up to less
-/// than the allowance as long as none counts fewer instances than there are.
+/// than the limits as long as none counts fewer instances than there are.
 #[derive(Debug, Clone)]
 pub struct ResendBudget {
     limits: ResendLimits,
--- a/crates/nutmeggrade-policy/src/scheduler/waiting.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/waiting.rs
@@ -112,9 +112,9 @@
             let has_no_engine =
                 |request: &GenerationRequest| is_sweep && !self.has_usable_engine(request);
             let lane = self.queue.lane(long);
-            let late = lane.expired(is_late).into_iter().map(|t| (t, Code::TooLate));
+            let expired = lane.expired(is_late).into_iter().map(|t| (t, Code::TooLate));
             let unserved = lane.expired(has_no_engine).into_iter().map(|t| (t, Code::NoEndpoint));
-            for (ticket, code) in late.chain(unserved).collect::<Vec<_>>() {
+            for (ticket, code) in expired.chain(unserved).collect::<Vec<_>>() {
                 if self.queue.remove(ticket).is_some() {
                     let verdict = self.refuse(code, DEFAULT_RETRY_AFTER);
                     ended.push((ticket, verdict));
