--- a/crates/nutmeggrade-policy/src/cold_watch.rs
+++ b/crates/nutmeggrade-policy/src/cold_watch.rs
@@ -39,7 +39,7 @@
     }
 
     /// Records a gap. Several streams show the same step at the same time, which counts once.
-    pub fn gap(&mut self, gap: Duration, now: Moment) {
+    pub fn record_gap(&mut self, gap: Duration, now: Moment) {
         if now == self.last_step {
             return;
         }
--- a/crates/nutmeggrade-policy/src/engine_state.rs
+++ b/crates/nutmeggrade-policy/src/engine_state.rs
@@ -104,7 +104,12 @@
         if self.suspected_at.is_some_and(|at| now.since(at) > report.age) {
             self.suspected_at = None;
         }
-        self.peer_usage.report(report, self.forecast.mean[0], self.own_requests as usize, now);
+        self.peer_usage.record_report(
+            report,
+            self.forecast.mean[0],
+            self.own_requests as usize,
+            now,
+        );
         self.report = Some(report.clone());
     }
 
@@ -144,25 +149,25 @@
     pub fn record_start(&mut self, context: &PlacementContext<'_>) {
         self.own_requests += 1;
         self.forecast += context.forecast;
-        self.prefill.sent(context.request.ticket, context.request.prompt);
+        self.prefill.record_sent(context.request.ticket, context.request.prompt);
         self.unreported_tokens.add(context.forecast.peak(0.0), context.now);
         self.unreported_requests.add(1.0, context.now);
     }
 
     /// Records a stream's first token.
     pub fn record_first_token(&mut self, ticket: Ticket) {
-        self.prefill.read(ticket);
+        self.prefill.record_read(ticket);
     }
 
     /// Records the gap before a stream's next token.
     pub fn record_gap(&mut self, gap: Duration, target: Duration, now: Moment) {
         let running = self.running(now);
-        self.cold_watch.gap(gap, now);
+        self.cold_watch.record_gap(gap, now);
         if self.cold_watch.is_suspect(now) {
             self.suspected_at = Some(now);
         }
         if !self.is_cold(now) {
-            self.gap_limit.gap(gap, target, running, now);
+            self.gap_limit.record_gap(gap, target, running, now);
         }
     }
 
@@ -174,7 +179,7 @@
 
     /// Records the end of a stream.
     pub fn record_end(&mut self, ticket: Ticket, forecast: &Forecast) {
-        self.prefill.read(ticket);
+        self.prefill.record_read(ticket);
         self.own_requests = self.own_requests.saturating_sub(1);
         self.forecast -= forecast;
         if self.own_requests == 0 {
@@ -219,13 +224,14 @@
         reason = "a small positive count; the cast saturates"
     )]
     fn running(&self, now: Moment) -> u32 {
-        let unreported = self.unreported_requests.now(Duration::ZERO, now) * self.peer_instances();
+        let unreported =
+            self.unreported_requests.estimate(Duration::ZERO, now) * self.peer_instances();
         self.own_requests + self.peer_requests + unreported as u32
     }
 
     fn is_empty(&self, context: &PlacementContext<'_>) -> bool {
         let held_by_peers = self.peer_usage.held(self.peer_requests, context.mean_held);
-        let unreported = self.unreported_tokens.now(self.report_age(), context.now);
+        let unreported = self.unreported_tokens.estimate(self.report_age(), context.now);
         self.own_requests == 0 && held_by_peers + unreported < EMPTY_THRESHOLD * context.mean_held
     }
 
@@ -233,7 +239,7 @@
     fn load(&self, context: &PlacementContext<'_>) -> f64 {
         let held_by_peers = self.peer_usage.held(self.peer_requests, context.mean_held);
         let unreported =
-            self.unreported_tokens.now(self.report_age(), context.now) * self.peer_instances();
+            self.unreported_tokens.estimate(self.report_age(), context.now) * self.peer_instances();
         let sum = self.forecast.with_scaled(context.per_token, held_by_peers);
         let mut sum = sum.with_scaled(context.forecast, 1.0);
         let error = (PEER_MEMORY_ERROR * held_by_peers).powi(2);
--- a/crates/nutmeggrade-policy/src/memory/peer_usage.rs
+++ b/crates/nutmeggrade-policy/src/memory/peer_usage.rs
@@ -35,7 +35,7 @@
 
 impl PeerUsage {
     /// Records a report, with this instance's current usage.
-    pub fn report(&mut self, report: &LoadReport, held: f64, count: usize, now: Moment) {
+    pub fn record_report(&mut self, report: &LoadReport, held: f64, count: usize, now: Moment) {
         self.history.push_back(Usage { at: now, held, count: count as f64 });
         if self.history.len() > MAX_SAMPLES {
             self.history.pop_front();
--- a/crates/nutmeggrade-policy/src/prefill.rs
+++ b/crates/nutmeggrade-policy/src/prefill.rs
@@ -28,13 +28,13 @@
     }
 
     /// Records a prompt that was sent.
-    pub fn sent(&mut self, ticket: Ticket, prompt: u64) {
+    pub fn record_sent(&mut self, ticket: Ticket, prompt: u64) {
         self.pending.insert(ticket, prompt);
         self.pending_tokens += prompt;
     }
 
     /// Records that a prompt was read or given up.
-    pub fn read(&mut self, ticket: Ticket) {
+    pub fn record_read(&mut self, ticket: Ticket) {
         if let Some(prompt) = self.pending.remove(&ticket) {
             self.pending_tokens -= prompt;
         }
--- a/crates/nutmeggrade-policy/src/unreported.rs
+++ b/crates/nutmeggrade-policy/src/unreported.rs
@@ -29,12 +29,12 @@
 
     /// Records the admission of `amount`.
     pub fn add(&mut self, amount: f64, now: Moment) {
-        self.sum = self.now(Duration::ZERO, now) + amount;
+        self.sum = self.estimate(Duration::ZERO, now) + amount;
         self.at = now;
     }
 
     /// Returns the estimated unreported admissions of one peer, with reports of this age.
-    pub fn now(&self, age: Duration, now: Moment) -> f64 {
+    pub fn estimate(&self, age: Duration, now: Moment) -> f64 {
         let time_constant = REPORT_DELAY.max(age).as_secs_f64();
         self.sum * (-now.since(self.at).as_secs_f64() / time_constant).exp()
     }
--- a/tests/suite/policy/cold.rs
+++ b/tests/suite/policy/cold.rs
@@ -22,7 +22,7 @@
     let mut now = 0;
     let mut step = |gap: u64, watch: &mut ColdWatch| {
         now += gap;
-        watch.gap(Duration::from_millis(gap), Moment::from_millis(now));
+        watch.record_gap(Duration::from_millis(gap), Moment::from_millis(now));
         watch.is_suspect(Moment::from_millis(now))
     };
     for number in 0..400 {
@@ -95,7 +95,7 @@
 fn unseen_admissions_fade() {
     let mut unseen = UnreportedAdmissions::new();
     unseen.add(100.0, Moment::from_millis(1_000));
-    let at = |ms, age| unseen.now(age, Moment::from_millis(ms));
+    let at = |ms, age| unseen.estimate(age, Moment::from_millis(ms));
     assert!((at(1_000, Duration::ZERO) - 100.0).abs() < 1e-9);
     assert!(at(4_000, Duration::ZERO) < 2.0);
     assert!(at(4_000, SECOND * 3) > 30.0, "old reports show it later");
--- a/tests/suite/policy/gaps.rs
+++ b/tests/suite/policy/gaps.rs
@@ -15,7 +15,7 @@
     let mut now = from;
     for _ in 0..steps {
         now += gap;
-        limit.gap(Duration::from_millis(gap), TARGET, 20, Moment::from_millis(now));
+        limit.record_gap(Duration::from_millis(gap), TARGET, 20, Moment::from_millis(now));
     }
     now
 }
@@ -54,11 +54,11 @@
 fn prompts_are_read_one_at_a_time() {
     let mut pace = PrefillLimit::new();
     assert!(pace.allows(9_000, 1_024), "a long one goes alone");
-    pace.sent(Ticket(1), 900);
+    pace.record_sent(Ticket(1), 900);
     assert!(pace.allows(100, 1_024));
     assert!(!pace.allows(500, 1_024));
-    pace.read(Ticket(1));
-    pace.read(Ticket(1));
+    pace.record_read(Ticket(1));
+    pace.record_read(Ticket(1));
     assert!(pace.allows(500, 1_024));
 }
 
--- a/tests/suite/policy/memory.rs
+++ b/tests/suite/policy/memory.rs
@@ -37,8 +37,8 @@
     let mut others = PeerUsage::default();
     let report =
         |used, running, age| LoadReport { running, age: Duration::from_millis(age), ..warm(used) };
-    others.report(&report(0, 0, 0), 10_000.0, 5, Moment::from_millis(1_000));
-    others.report(&report(15_000, 10, 1_000), 18_000.0, 9, Moment::from_millis(2_000));
+    others.record_report(&report(0, 0, 0), 10_000.0, 5, Moment::from_millis(1_000));
+    others.record_report(&report(15_000, 10, 1_000), 18_000.0, 9, Moment::from_millis(2_000));
     let held = others.held(5, 1_000.0);
     assert!((held - 5_000.0).abs() < 1.0, "own 10,000 of a second ago come off: {held}");
     let grown = others.held(10, 1_000.0);
