--- a/crates/nutmeggrade-policy/src/dispatch.rs
+++ b/crates/nutmeggrade-policy/src/dispatch.rs
@@ -1,19 +1,19 @@
-//! Where requests that clients send through routes go, which wait and which are turned away.
+//! Dispatch of routed requests: which endpoint they go to, which wait and which are refused.
 
 mod candidate;
+mod dispatch_request;
 mod dispatcher;
 mod failure_rate;
 mod health;
-mod line_key;
-mod load_book;
-mod need;
+mod lane_key;
+mod load_table;
 mod room;
 
 pub use candidate::Candidate;
-pub use dispatcher::{Dispatcher, Offer};
+pub use dispatch_request::DispatchRequest;
+pub use dispatcher::{DispatchDecision, Dispatcher};
 pub use failure_rate::FailureRate;
 pub use health::Health;
-pub use load_book::{Changes, LoadBook};
-pub use need::Need;
+pub use load_table::{LoadChanges, LoadTable};
 pub use nutmeggrade_core::routing::Placed;
-pub use room::{failing_penalty, fits, score};
+pub use room::{failure_rate_penalty, fits, score};
--- /dev/null
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatch_request.rs
@@ -0,0 +1,43 @@
+//! Requests that the dispatcher places.
+
+use std::collections::BTreeSet;
+
+use nutmeggrade_core::prelude::*;
+
+use crate::Ticket;
+use crate::queue::Queued;
+
+/// A request that is to be sent to an endpoint.
+#[derive(Debug, Clone)]
+pub struct DispatchRequest {
+    /// Identifies the request within this instance.
+    pub ticket: Ticket,
+    /// Workspace that sent it.
+    pub workspace: WorkspaceId,
+    /// Service that it goes to.
+    pub service: ServiceId,
+    /// Priority; 0 is the most urgent.
+    pub priority: u8,
+    /// Length of the prompt in tokens; 0 without one.
+    pub prompt: u64,
+    /// Expected final memory use in tokens; 0 without a prompt.
+    pub memory: u64,
+    /// Endpoints that failed this request.
+    pub avoid: BTreeSet<EndpointId>,
+    /// Latest start that still meets the response time acceptable to users.
+    pub start_deadline: Moment,
+    /// Failure domain that its memory is copied from, if it continues on another endpoint.
+    pub from: Option<DomainId>,
+    /// Whether the request is selected for a new version, provided that this has room.
+    pub is_canary: bool,
+}
+
+impl Queued for DispatchRequest {
+    fn ticket(&self) -> Ticket {
+        self.ticket
+    }
+
+    fn workspace(&self) -> &WorkspaceId {
+        &self.workspace
+    }
+}
--- a/crates/nutmeggrade-policy/src/fleet.rs
+++ b/crates/nutmeggrade-policy/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Limits that hold for all instances together, decided by each one alone.
+//! Fleet-wide limits that each instance enforces for itself.
 
 mod cold_share;
 mod resend_budget;
 
 pub use cold_share::ColdShare;
-pub use resend_budget::{Allowance, ResendBudget};
+pub use resend_budget::{ResendBudget, ResendLimits};
--- a/crates/nutmeggrade-policy/src/rollout.rs
+++ b/crates/nutmeggrade-policy/src/rollout.rs
@@ -1,15 +1,15 @@
-//! How far a roll-out may go, by what its new version has shown.
+//! Decisions about the progress of a rollout, based on the outcomes of its new version.
 
 mod binomial;
 mod evidence;
 mod exposure;
-mod facts;
+mod inputs;
 mod judge;
 mod verdict;
 
 pub use binomial::tail;
 pub use evidence::compare;
-pub use exposure::{ExposureBound, watched};
-pub use facts::{Capacity, Facts};
-pub use judge::{Judge, Ruling};
-pub use verdict::{Complaint, Verdict};
+pub use exposure::{ExposureBound, canary_endpoints};
+pub use inputs::{Capacity, RolloutInputs};
+pub use judge::{Judge, RolloutDecision};
+pub use verdict::{Regression, Verdict};
--- a/crates/nutmeggrade-policy/src/rollout/verdict.rs
+++ b/crates/nutmeggrade-policy/src/rollout/verdict.rs
@@ -1,10 +1,10 @@
-//! What evidence says of a version.
+//! Result of the comparison of two versions.
 
 use std::fmt;
 
-/// What is wrong with a version.
+/// Way in which a new version is worse.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Complaint {
+pub enum Regression {
     /// It fails more often than the old one.
     Fails,
     /// It answers or begins its streams later.
@@ -13,7 +13,7 @@
     StreamsSlowly,
 }
 
-impl fmt::Display for Complaint {
+impl fmt::Display for Regression {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Fails => "fails",
@@ -23,21 +23,21 @@
     }
 }
 
-/// What evidence says of a version.
+/// Result of the comparison of two versions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// Too little is known.
+    /// There is too little evidence.
     Unclear,
-    /// It is as good as the old one, as far as so many answers can show.
+    /// It shows no difference from the old one at the current number of answers.
     Good,
     /// It may be worse.
     Suspect,
     /// It is worse.
     Bad {
-        /// The route that shows it; `*` for all together.
+        /// The route that shows it; `*` for all routes together.
         route: String,
-        /// What is wrong.
-        complaint: Complaint,
+        /// Way in which it is worse.
+        complaint: Regression,
     },
 }
 
--- a/crates/nutmeggrade-relay/src/probes.rs
+++ b/crates/nutmeggrade-relay/src/probes.rs
@@ -38,7 +38,7 @@
     let is_told = {
         let tables = lock(&node.tables);
         let now = node.now();
-        tables.dispatcher.book.health(&endpoint.id).is_some_and(|h| h.is_told_gone(now))
+        tables.dispatcher.book.health(&endpoint.id).is_some_and(|h| h.has_recent_gone_notice(now))
     };
     if is_told || !lock(&node.probed).insert(endpoint.id.clone()) {
         return;
@@ -58,7 +58,7 @@
             if tables.registry.should_move_work(&endpoint.id) {
                 return;
             }
-            tables.dispatcher.book.health(&endpoint.id).and_then(Health::told_gone)
+            tables.dispatcher.book.health(&endpoint.id).and_then(Health::gone_notice_at)
         };
         // A peer checks it too.
         if said > told || check(node, endpoint).await == Check::Answers {
--- a/crates/nutmeggrade-relay/src/relay/admission.rs
+++ b/crates/nutmeggrade-relay/src/relay/admission.rs
@@ -133,7 +133,7 @@
 }
 
 fn retry_later(node: &Node, code: Code, detail: &str) -> Failure {
-    let delay = lock(&node.tables).dispatcher.return_time();
+    let delay = lock(&node.tables).dispatcher.draw_retry_delay();
     Failure::new(code, detail).with_retry_after(delay)
 }
 
--- a/crates/nutmeggrade-relay/src/relay/client_request.rs
+++ b/crates/nutmeggrade-relay/src/relay/client_request.rs
@@ -9,7 +9,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::{EventPosition, Prompt, Route};
 use nutmeggrade_policy::Ticket;
-use nutmeggrade_policy::dispatch::Need;
+use nutmeggrade_policy::dispatch::DispatchRequest;
 
 /// Lowest priority that engines accept; requests of lower priority are sent with this one.
 const LOWEST_ENGINE_PRIORITY: u8 = 9;
@@ -54,9 +54,9 @@
 impl ClientRequest {
     /// Returns what the request needs from an endpoint. A request without a key counts towards the
     /// workspace `anonymous`.
-    pub fn need(&self, ticket: Ticket, anonymous: &WorkspaceId) -> Need {
+    pub fn need(&self, ticket: Ticket, anonymous: &WorkspaceId) -> DispatchRequest {
         let prompt = self.prompt.as_ref();
-        Need {
+        DispatchRequest {
             ticket,
             workspace: self.workspace.as_ref().unwrap_or(anonymous).clone(),
             service: self.service.clone(),
@@ -64,7 +64,7 @@
             prompt: prompt.map_or(0, |p| p.tokens),
             memory: prompt.map_or(0, |p| p.tokens + p.expected()),
             avoid: std::collections::BTreeSet::new(),
-            fresh_until: self.arrived_at.after(self.route.target.mul_f64(FRESH_SHARE)),
+            start_deadline: self.arrived_at.after(self.route.target.mul_f64(FRESH_SHARE)),
             from: None,
             is_canary: false,
         }
--- a/crates/nutmeggrade-relay/src/relay/handler.rs
+++ b/crates/nutmeggrade-relay/src/relay/handler.rs
@@ -9,7 +9,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::Outcome;
 use nutmeggrade_core::routing::{EndpointInfo, RouteKind};
-use nutmeggrade_policy::dispatch::{Health, Need};
+use nutmeggrade_policy::dispatch::{DispatchRequest, Health};
 use nutmeggrade_state::attempt::Attempt;
 
 use super::client_request::ClientRequest;
@@ -60,7 +60,7 @@
     pub request: ClientRequest,
     /// Tracks the sends and whether the request may have run.
     pub attempt: Attempt,
-    need: Need,
+    need: DispatchRequest,
     unsent_attempts: u32,
     failed_response: Option<(Parts, Bytes)>,
     pending: PendingRequest,
--- a/crates/nutmeggrade-relay/src/relay/migration.rs
+++ b/crates/nutmeggrade-relay/src/relay/migration.rs
@@ -10,7 +10,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
 use nutmeggrade_policy::Ticket;
-use nutmeggrade_policy::dispatch::Need;
+use nutmeggrade_policy::dispatch::DispatchRequest;
 use nutmeggrade_wire::engine::{self, Copied, MoveEnd};
 use rand::RngExt;
 use tokio::time::sleep;
@@ -114,7 +114,7 @@
     node: Arc<Node>,
     request_id: RequestId,
     source: EndpointInfo,
-    need: Need,
+    need: DispatchRequest,
     source_ticket: Ticket,
     memory_tokens: u64,
     is_stopping: Arc<AtomicBool>,
@@ -217,7 +217,7 @@
             let mut tables = lock(&self.node.tables);
             // An endpoint without a registry entry may be gone, so it is no target.
             self.need.avoid.extend(tables.registry.missing().cloned());
-            let id = tables.dispatcher.choose_move(&self.need, self.node.now())?;
+            let id = tables.dispatcher.choose_move_target(&self.need, self.node.now())?;
             tables.dispatcher.place(&self.need, &id);
             id
         };
--- a/crates/nutmeggrade-relay/src/relay/reservation.rs
+++ b/crates/nutmeggrade-relay/src/relay/reservation.rs
@@ -6,7 +6,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
 use nutmeggrade_policy::Ticket;
-use nutmeggrade_policy::dispatch::Need;
+use nutmeggrade_policy::dispatch::DispatchRequest;
 
 use super::client_request::ClientRequest;
 use crate::node::Node;
@@ -41,7 +41,7 @@
 /// Removes a waiting request from the queue on drop, as when its client disconnects.
 struct QueueGuard<'a> {
     node: &'a Arc<Node>,
-    need: &'a Need,
+    need: &'a DispatchRequest,
     is_done: bool,
 }
 
@@ -61,7 +61,7 @@
 pub async fn reserve(
     node: &Arc<Node>,
     request: &ClientRequest,
-    need: &Need,
+    need: &DispatchRequest,
 ) -> Result<Reservation, Failure> {
     let started_at = node.now();
     let max_wait = request
@@ -90,7 +90,7 @@
     let reservation = claim(node, need.ticket, &id);
     log_placement(node, request, need, &id, reservation.as_ref(), waited);
     reservation.ok_or_else(|| {
-        let delay = lock(&node.tables).dispatcher.return_time();
+        let delay = lock(&node.tables).dispatcher.draw_retry_delay();
         Failure::new(Code::NoRoom, "the chosen endpoint is gone").with_retry_after(delay)
     })
 }
@@ -101,7 +101,7 @@
 fn log_placement(
     node: &Node,
     request: &ClientRequest,
-    need: &Need,
+    need: &DispatchRequest,
     endpoint: &EndpointId,
     reservation: Option<&Reservation>,
     waited: Duration,
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -182,7 +182,7 @@
             self.first_event = Some(now);
             let first = Outcome::First(now.since(self.sent_at));
             tables.note_outcome(&self.reservation.endpoint, &self.request.route.name, first, now);
-            tables.dispatcher.book.has_read(self.reservation.ticket);
+            tables.dispatcher.book.record_prompt_read(self.reservation.ticket);
             tables.release(now);
             self.node.placed.notify_one();
         }
@@ -264,7 +264,7 @@
         self.upstream = Some(upstream);
         self.reservation = reservation;
         self.moves += 1;
-        lock(&self.node.tables).dispatcher.book.has_read(self.reservation.ticket);
+        lock(&self.node.tables).dispatcher.book.record_prompt_read(self.reservation.ticket);
     }
 
     /// Runs the request again after its endpoint broke the stream off, if its route allows that;
--- a/tests/suite/policy/cold.rs
+++ b/tests/suite/policy/cold.rs
@@ -5,9 +5,9 @@
 use nutmeggrade_core::engine::LoadReport;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::cold_watch::ColdWatch;
-use nutmeggrade_policy::lots::Lots;
-use nutmeggrade_policy::share::Unseen;
+use nutmeggrade_policy::room_lottery::RoomLottery;
 use nutmeggrade_policy::slow_start::SlowStart;
+use nutmeggrade_policy::unreported::UnreportedAdmissions;
 use nutmeggrade_policy::{End, Engine, Ticket, Verdict};
 
 use super::{ask, endpoint, engine, scheduler, warm};
@@ -22,7 +22,7 @@
     let mut now = 0;
     let mut step = |gap: u64, watch: &mut ColdWatch| {
         now += gap;
-        watch.gap(Duration::from_millis(gap), Moment::from_millis(now));
+        watch.record_gap(Duration::from_millis(gap), Moment::from_millis(now));
         watch.is_suspect(Moment::from_millis(now))
     };
     for number in 0..400 {
@@ -82,7 +82,7 @@
     let windows = 400;
     let mut wins = 0;
     for node in 0..7 {
-        let lots = Lots::new(node, &endpoint(3));
+        let lots = RoomLottery::new(node, &endpoint(3));
         let won = |w: &u64| lots.win(1.0, 1.0, 7, Moment::from_millis(w * 250));
         wins += (0..windows).filter(won).count();
         assert!(lots.win(7.0, 1.0, 7, Moment::ZERO), "room for all needs no lot");
@@ -93,9 +93,9 @@
 // What an instance let in stands for what its peers let in until reports show it.
 #[test]
 fn unseen_admissions_fade() {
-    let mut unseen = Unseen::new();
+    let mut unseen = UnreportedAdmissions::new();
     unseen.add(100.0, Moment::from_millis(1_000));
-    let at = |ms, age| unseen.now(age, Moment::from_millis(ms));
+    let at = |ms, age| unseen.estimate(age, Moment::from_millis(ms));
     assert!((at(1_000, Duration::ZERO) - 100.0).abs() < 1e-9);
     assert!(at(4_000, Duration::ZERO) < 2.0);
     assert!(at(4_000, SECOND * 3) > 30.0, "old reports show it later");
