--- a/crates/nutmeggrade-relay/src/admin.rs
+++ b/crates/nutmeggrade-relay/src/admin.rs
@@ -1,4 +1,4 @@
-//! Readiness, the directory of instances, what peers ask for, and metrics.
+//! Serves readiness, the directory of instances, peers' requests and metrics.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,23 +20,23 @@
 use tokio::time::sleep;
 use viz::{Body, Request, Responder, Response, Result as VizResult, Router, Tree};
 
-use crate::fleet_sync::KNOWN_PATH;
+use crate::fleet_sync::OBJECTS_PATH;
 use crate::node::Node;
 use crate::settings::Settings;
 use crate::tables::lock;
-use crate::watch::known;
-
-/// Most time for a request's head and on an idle connection.
-const HEAD_WAIT: Duration = Duration::from_secs(10);
-/// Longest that clients may keep the directory's answer. Short enough that those who ask again leave
-/// an instance that stops well within its grace.
-const KEEP: Duration = Duration::from_secs(2);
-/// Pause after a failed accept, as when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+use crate::watch::objects_for_peer;
+
+/// Timeout of a request's head, also on an idle connection.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest time for which clients may cache the directory's answer: short enough that clients who
+/// refresh it leave a stopping instance well within its grace period.
+const MAX_ENTRY_AGE: Duration = Duration::from_secs(2);
+/// Delay after a failed accept, as when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const METRICS_PATH: &str = "/metrics";
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// The sockets of everything that is not for clients' requests.
+/// Listeners of all HTTP services other than clients' requests.
 #[derive(Debug)]
 pub struct Admin {
     ready: TcpListener,
@@ -46,7 +46,7 @@
 }
 
 impl Admin {
-    /// Opens the sockets.
+    /// Opens the listeners.
     pub async fn bind(settings: &Settings) -> anyhow::Result<Self> {
         Ok(Self {
             ready: bind(settings.ready_address).await?,
@@ -56,31 +56,31 @@
         })
     }
 
-    /// Returns where readiness is asked for.
+    /// Returns the address of the readiness check.
     pub fn ready(&self) -> anyhow::Result<SocketAddr> {
         self.ready.local_addr().context("readiness address")
     }
 
-    /// Returns where clients ask for instances.
+    /// Returns the address of the directory.
     pub fn directory(&self) -> anyhow::Result<SocketAddr> {
         self.directory.local_addr().context("directory address")
     }
 
-    /// Returns where peers ask.
+    /// Returns the address for peers' requests.
     pub fn control(&self) -> anyhow::Result<SocketAddr> {
         self.control.local_addr().context("control address")
     }
 
-    /// Returns where metrics are served.
+    /// Returns the address of the metrics.
     pub fn metrics(&self) -> anyhow::Result<SocketAddr> {
         self.metrics.local_addr().context("metrics address")
     }
 
-    /// Serves on all of them.
+    /// Starts to serve on all listeners.
     pub fn start(self, node: &Arc<Node>) -> Vec<JoinHandle<()>> {
         vec![
             tokio::spawn(serve(self.ready, route(node, names::READY_PATH, readiness))),
-            tokio::spawn(serve(self.directory, route(node, names::DIRECTORY_PATH, entries))),
+            tokio::spawn(serve(self.directory, route(node, names::DIRECTORY_PATH, list_entries))),
             tokio::spawn(serve(self.control, control(node))),
             tokio::spawn(serve(self.metrics, route(node, METRICS_PATH, metrics))),
         ]
@@ -92,14 +92,14 @@
 }
 
 fn control(node: &Arc<Node>) -> Router {
-    with(route(node, KNOWN_PATH, knowledge), node, ROLLOUTS_PATH, rollouts)
+    add_route(route(node, OBJECTS_PATH, objects), node, ROLLOUTS_PATH, rollouts)
 }
 
 fn route(node: &Arc<Node>, path: &str, answer: fn(&Node, &str) -> Response) -> Router {
-    with(Router::new(), node, path, answer)
+    add_route(Router::new(), node, path, answer)
 }
 
-fn with(
+fn add_route(
     router: Router,
     node: &Arc<Node>,
     path: &str,
@@ -117,33 +117,34 @@
     respond(status, Vec::new())
 }
 
-fn entries(node: &Node, query: &str) -> Response {
+fn list_entries(node: &Node, query: &str) -> Response {
     let near = directory::read_domain(query);
     let is_leaving = !node.is_ready();
     let mut addresses = lock(&node.tables).fleet.entries(near.as_ref(), is_leaving, node.now());
     if addresses.is_empty() {
-        // Nobody else is known, and a refusal helps a client more than no address.
+        // No instance is known to serve; this one's own address helps a client more than an empty
+        // list.
         addresses.push(node.seat.client);
     }
-    let keep = KEEP.min(node.settings().entry_keep);
+    let keep = MAX_ENTRY_AGE.min(node.settings().entry_keep);
     respond(StatusCode::OK, directory::write(&addresses, keep))
 }
 
-fn knowledge(node: &Node, query: &str) -> Response {
+fn objects(node: &Node, query: &str) -> Response {
     let name = query.strip_prefix("kind=").unwrap_or_default();
     let Some(kind) = Kind::ALL.into_iter().find(|kind| kind.name() == name) else {
         return respond(StatusCode::NOT_FOUND, Vec::new());
     };
-    respond_json(&known(node, kind), "knowledge_unsendable")
+    respond_json(&objects_for_peer(node, kind), "knowledge_unsendable")
 }
 
 fn rollouts(node: &Node, _: &str) -> Response {
     let views = lock(&node.tables).rollouts.views(node.now());
-    let all: Vec<RolloutStatus> = views.iter().map(status).collect();
+    let all: Vec<RolloutStatus> = views.iter().map(rollout_status).collect();
     respond_json(&all, "rollouts_unsendable")
 }
 
-fn status(view: &RolloutView) -> RolloutStatus {
+fn rollout_status(view: &RolloutView) -> RolloutStatus {
     let all = view.tally.all_routes();
     let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
     RolloutStatus {
@@ -178,7 +179,7 @@
     }
 }
 
-/// Sends a value as JSON; `event` is logged if it can't be written.
+/// Returns a value as JSON; if it can't be encoded, `event` is logged.
 fn respond_json<T: Serialize>(value: &T, event: &str) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => respond(StatusCode::OK, body),
@@ -201,17 +202,17 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(connection(stream, Arc::clone(&tree)));
+                tokio::spawn(serve_connection(stream, Arc::clone(&tree)));
             }
             Err(error) => {
                 tracing::warn!(event = "accept_failed", %error);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, tree: Arc<Tree>) {
+async fn serve_connection(stream: TcpStream, tree: Arc<Tree>) {
     let responder = Arc::new(Responder::new(tree, stream.peer_addr().ok()));
     let service = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
         let responder = Arc::clone(&responder);
@@ -219,9 +220,9 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_WAIT)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // A broken connection ends its own request only.
+    // A broken connection affects its own request only.
     if let Err(error) = connection.await {
         tracing::debug!(event = "admin_connection_broke", %error);
     }
--- a/crates/nutmeggrade-relay/src/answer_body.rs
+++ b/crates/nutmeggrade-relay/src/answer_body.rs
@@ -8,8 +8,8 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// Says that an answer broke off; the client's connection is then closed in the middle of it, so
-/// that it can't look complete.
+/// Error of an answer that broke off. It closes the client's connection in the middle of the
+/// answer, so that the answer can't look complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BrokenOff;
 
@@ -21,30 +21,30 @@
 
 impl std::error::Error for BrokenOff {}
 
-/// A piece of an answer.
+/// Part of an answer that is sent in pieces.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Piece {
-    /// Bytes of it.
+    /// Content.
     Bytes(Bytes),
-    /// The answer is whole.
+    /// Marks the answer as complete.
     End,
 }
 
 /// The body of an answer to a client.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it is here.
+    /// A complete body.
     Whole(Option<Bytes>),
-    /// It comes in pieces, the last of which is [`Piece::End`].
+    /// A body in pieces, the last of which is [`Piece::End`].
     ///
-    /// Whoever passes an answer on may have to stop in the middle, and find no room for a word on it
-    /// among the pieces that wait for a slow client. If the end of the channel were the end of the
-    /// answer, the client would take a truncated answer for the whole one.
+    /// The sender may have to stop in the middle, and can't report this while the channel is full
+    /// because of a slow client. If a closed channel meant the end of the answer, the client would
+    /// take a truncated answer for a complete one.
     Pieces(mpsc::Receiver<Piece>),
 }
 
 impl AnswerBody {
-    /// Makes a body of bytes that are all here.
+    /// Creates a complete body.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self::Whole((!bytes.is_empty()).then_some(bytes))
--- a/crates/nutmeggrade-relay/src/clock.rs
+++ b/crates/nutmeggrade-relay/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's monotonic clock.
+//! Monotonic clock of the process.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,8 @@
 
 /// The only source of [`Moment`]s in a process.
 ///
-/// It goes on while the process is stopped by a signal, so a frozen instance sees the gap when it
-/// wakes; wall time is never used for a decision.
+/// It keeps running while the process is stopped by a signal, so a frozen instance sees the gap
+/// when it resumes. Wall time is never used for a decision.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -29,7 +29,7 @@
         tokio::time::sleep_until((self.start + moment.since_start()).into()).await;
     }
 
-    /// Returns how long it is until a moment; zero if it has passed.
+    /// Returns the time left until a moment; zero if it has passed.
     pub fn left(&self, moment: Moment) -> Duration {
         moment.since(self.now())
     }
--- a/crates/nutmeggrade-relay/src/dial.rs
+++ b/crates/nutmeggrade-relay/src/dial.rs
@@ -10,29 +10,30 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Waits before each further try to connect while the earlier ones go on. A connection stands after
-/// a few milliseconds; where a packet of its opening is lost, the kernel repeats it only after a
-/// second, which is longer than a plain call may take in all.
-const TRIES: [Duration; 3] =
+/// Delays of the connection attempts, which run concurrently. Connecting takes a few milliseconds;
+/// if a packet of the handshake is lost, the kernel retransmits it only after a second, which is
+/// longer than a plain call may take in total.
+const ATTEMPT_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(60), Duration::from_millis(250)];
-/// Longest time to connect; an endpoint that does not accept for so long is not there.
-const LONGEST: Duration = Duration::from_secs(1);
-/// Silence after which the kernel asks whether the other side is still there, and the time between
-/// its questions. A connection that has gone silent for good shows no other way while an answer is
-/// awaited.
-const PROBE: Duration = Duration::from_secs(1);
-/// Questions without a reply after which the connection counts as broken.
-const PROBES: u32 = 3;
-/// Longest time that sent bytes stay without the other side's word that they arrived.
-const UNSEEN: Duration = Duration::from_secs(3);
+/// Timeout of all attempts together; an endpoint that doesn't accept within it counts as
+/// unreachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Idle time after which the kernel sends a keepalive probe, and the interval between probes. While
+/// an answer is awaited, nothing else detects a connection that has gone silent for good.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered keepalive probes after which the connection counts as broken.
+const KEEPALIVE_RETRIES: u32 = 3;
+/// Longest time for which sent bytes may stay unacknowledged.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Connects to an endpoint; the first of a few tries that stands is taken.
+/// Connects to an endpoint with several attempts, of which the first to complete is used.
 ///
 /// # Errors
 ///
-/// Fails if every try was refused, or none stood in time. Nothing has been sent then.
+/// Fails if the first attempt to complete was refused, or none completed in time. Nothing has been
+/// sent then.
 pub async fn dial(address: SocketAddr) -> io::Result<TcpStream> {
-    let mut tries: FuturesUnordered<_> = TRIES
+    let mut attempts: FuturesUnordered<_> = ATTEMPT_DELAYS
         .iter()
         .map(|wait| async move {
             sleep(*wait).await;
@@ -40,15 +41,15 @@
         })
         .collect();
     let first = async {
-        // A refusal is an answer; only silence is worth another try.
-        tries.next().await.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
+        // A refusal is final; only silence is worth another attempt.
+        attempts.next().await.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
     };
-    let stream = timeout(LONGEST, first).await??;
+    let stream = timeout(CONNECT_TIMEOUT, first).await??;
     guard(&stream)?;
     Ok(stream)
 }
 
-/// Makes a silent connection end in an error.
+/// Sets socket options that make a silent connection fail.
 ///
 /// # Errors
 ///
@@ -56,7 +57,10 @@
 pub fn guard(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let probing = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE).with_retries(PROBES);
+    let probing = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&probing)?;
-    socket.set_tcp_user_timeout(Some(UNSEEN))
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
 }
--- a/crates/nutmeggrade-relay/src/engine_call.rs
+++ b/crates/nutmeggrade-relay/src/engine_call.rs
@@ -1,4 +1,4 @@
-//! Calls to engines and other endpoints beside requests.
+//! Calls to engines and other endpoints besides clients' requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,37 +7,37 @@
 use http::{Method, StatusCode};
 use nutmeggrade_wire::engine::{self, EngineReport};
 
-use crate::short_call::{Bounds, short_call};
+use crate::short_call::{CallLimits, short_call};
 
-/// Longest wait for a connection to an endpoint, and for an engine's report; both take milliseconds.
-pub const CONNECT: Duration = Duration::from_millis(300);
-/// Longest answer to a call.
-const MAX_ANSWER: usize = 64 << 10;
+/// Timeout of a connection to an endpoint, and of an engine's report; both take milliseconds.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Largest answer that is accepted.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Asks an engine for its report.
+/// Fetches an engine's report.
 ///
 /// # Errors
 ///
-/// Fails if the engine does not answer in time or with something else.
+/// Fails if the engine does not answer in time or the answer is not a report.
 pub async fn report(address: SocketAddr) -> anyhow::Result<EngineReport> {
     let (status, body) =
-        ask(address, Method::GET, engine::REPORT_PATH, Vec::new(), CONNECT).await?;
+        ask(address, Method::GET, engine::REPORT_PATH, Vec::new(), CONNECT_TIMEOUT).await?;
     anyhow::ensure!(status == StatusCode::OK, "{status}");
     engine::read_report(&body)
 }
 
-/// Sends a call and reads the whole answer.
+/// Sends a request and reads the whole answer.
 ///
 /// # Errors
 ///
-/// Fails if no whole answer comes within `patience`.
+/// Fails if the answer is not complete within `timeout`.
 pub async fn ask(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: Vec<u8>,
-    patience: Duration,
+    timeout: Duration,
 ) -> anyhow::Result<(StatusCode, Bytes)> {
-    let bounds = Bounds { connect: CONNECT, patience, answer: MAX_ANSWER };
-    short_call(address, method, path, body, bounds).await
+    let limits = CallLimits { connect: CONNECT_TIMEOUT, timeout, max_answer: MAX_ANSWER_BYTES };
+    short_call(address, method, path, body, limits).await
 }
--- a/crates/nutmeggrade-relay/src/engine_watch.rs
+++ b/crates/nutmeggrade-relay/src/engine_watch.rs
@@ -1,4 +1,4 @@
-//! Asks engines themselves whether they leave, while the store can't say it.
+//! Polls engines for their departure while the store is unavailable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,55 +15,56 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Time between two questions to an engine. It leaves two seconds after it knows, and copying what
-/// runs there takes more than one.
-const PERIOD: Duration = Duration::from_millis(350);
+/// Interval between two polls of an engine. An engine leaves two seconds after its notice, and
+/// copying its generations takes more than one.
+const POLL_INTERVAL: Duration = Duration::from_millis(350);
 
-/// Asks for as long as the process runs.
+/// Polls for as long as the process runs.
 ///
-/// Engines are reclaimed while the store is away too. Nobody hears of it then, and all that they run
-/// is lost, as one sees by streams that break off without a departure in the logs. An engine's own
-/// report says that it leaves; one instance asks each engine and tells the others. Whoever is the first
-/// to find an answer of the store overdue asks all of them at once: until the others have heard of it,
-/// engines that left in the same moment would be gone.
+/// Engines are reclaimed during store outages too. Without polling, no instance learns of it and
+/// all generations there are lost, which shows as streams that break off without a departure in the
+/// logs. An engine's own report includes its departure; one instance polls each engine and informs
+/// the others. The first instance whose answer of the store is overdue polls all engines at once:
+/// engines that leave at that moment would be gone before the other instances have learnt of the
+/// outage.
 pub async fn run(node: Arc<Node>) {
     loop {
         tokio::select! {
-            () = sleep(PERIOD) => {}
-            () = node.follow.doubt.notified() => {}
+            () = sleep(POLL_INTERVAL) => {}
+            () = node.follow.answer_overdue.notified() => {}
         }
-        if !is_store_away(&node) {
+        if !is_store_unavailable(&node) {
             continue;
         }
-        let engines = engines_to_ask(&node);
-        let asked = engines.iter().map(|engine| leaves(&node, engine));
-        let leaving: Vec<EndpointId> = join_all(asked).await.into_iter().flatten().collect();
+        let engines = engines_to_poll(&node);
+        let polls = engines.iter().map(|engine| poll(&node, engine));
+        let leaving: Vec<EndpointId> = join_all(polls).await.into_iter().flatten().collect();
         if !leaving.is_empty() {
             node.announce_leaving(&leaving);
         }
     }
 }
 
-/// Says whether the store is away for this instance, or was just now found to be by a peer. Most
-/// instances ask the store seldom; waiting until each has found out for itself takes longer than an
-/// engine's notice.
-fn is_store_away(node: &Node) -> bool {
-    !node.follow.track(Kind::Endpoints).is_answered()
+/// Returns whether the store is unavailable for this instance or, by a recent report, for a peer.
+/// Most instances call the store rarely, and waiting until each detects the outage itself takes
+/// longer than an engine's notice.
+fn is_store_unavailable(node: &Node) -> bool {
+    !node.follow.state(Kind::Endpoints).is_available()
         || lock(&node.tables).fleet.is_store_away(node.now())
 }
 
-/// Lists the engines that this instance asks.
-fn engines_to_ask(node: &Node) -> Vec<EndpointInfo> {
+/// Lists the engines that this instance polls.
+fn engines_to_poll(node: &Node) -> Vec<EndpointInfo> {
     let map = node.map();
     let now = node.now();
     let tables = lock(&node.tables);
     let is_engine = |e: &EndpointInfo| map.service(&e.service).is_some_and(|s| s.engine.is_some());
     let all = tables.registry.all().map(|e| &e.info).filter(|e| !e.leaving && is_engine(e));
-    let asks_all = node.follow.track(Kind::Endpoints).is_overdue();
-    all.filter(|e| asks_all || tables.fleet.is_first_for(&e.id, now)).cloned().collect()
+    let polls_all = node.follow.state(Kind::Endpoints).is_overdue();
+    all.filter(|e| polls_all || tables.fleet.is_first_for(&e.id, now)).cloned().collect()
 }
 
-async fn leaves(node: &Node, engine: &EndpointInfo) -> Option<EndpointId> {
+async fn poll(node: &Node, engine: &EndpointInfo) -> Option<EndpointId> {
     match engine_call::report(engine.address).await {
         Ok(report) if report.is_leaving => Some(engine.id.clone()),
         Ok(_) => None,
--- a/crates/nutmeggrade-relay/src/fleet_sync.rs
+++ b/crates/nutmeggrade-relay/src/fleet_sync.rs
@@ -1,4 +1,4 @@
-//! What instances hand on to each other of what they read from the platform.
+//! Exchange of objects read from the platform's store between instances.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,74 +15,79 @@
 use serde::{Deserialize, Serialize};
 
 use crate::node::Node;
-use crate::short_call::{Bounds, short_call};
+use crate::short_call::{CallLimits, short_call};
 use crate::tables::lock;
-use crate::watch::apply_known;
+use crate::watch::apply_peer_objects;
 
-/// Where an instance hands on what it has read.
-pub const KNOWN_PATH: &str = "/known";
-/// Longest wait for a peer's answer; peers answer in milliseconds.
-const PATIENCE: Duration = Duration::from_millis(800);
-/// Largest answer that is read: a configuration of a megabyte and some thousand endpoints.
-const MAX_ANSWER: usize = 4 << 20;
+/// Path at which an instance serves the objects that it has read.
+pub const OBJECTS_PATH: &str = "/known";
+/// Timeout of a request to a peer; peers answer in milliseconds.
+const PEER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Largest answer that is accepted: a configuration of a megabyte and some thousand endpoints.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// All objects of one kind, as an instance has read them.
+/// All objects of one kind.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Known {
+pub enum KindObjects {
     /// The routing configuration as the platform wrote it; empty if none came.
     Config(String),
     /// The endpoints.
     Endpoints {
         /// All that are registered.
         all: Vec<EndpointInfo>,
-        /// Whether others may only have lapsed with the store.
+        /// Whether missing endpoints may only have expired during an outage.
         lapses: bool,
     },
-    /// Failure domains that are out.
-    Out(BTreeSet<DomainId>),
-    /// Orders to move services to another version.
+    /// Failure domains that are evacuated.
+    #[serde(rename = "Out")]
+    Evacuated(BTreeSet<DomainId>),
+    /// Roll-outs of services to another version.
     Rollouts(Vec<StoredRollout>),
 }
 
-/// What an instance has read of one kind of object.
+/// All objects of one kind at a revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct KnownAt {
-    /// The revision of the last news.
+pub struct KindSnapshot {
+    /// Revision of the latest changes.
     pub revision: u64,
     /// The objects.
-    pub known: Known,
+    #[serde(rename = "known")]
+    pub objects: KindObjects,
 }
 
-/// Asks a peer that has read further, if there is one; says whether this instance has caught up.
+/// Fetches a kind from a peer that has read a higher revision, if there is one; returns whether
+/// this instance has caught up.
 ///
-/// The store may turn away some instances and serve the others. Those would go on with routes, keys
-/// and endpoints that are gone, and one would notice requests that are refused or run by the
-/// instances that are turned away only.
+/// The store may refuse some instances and serve others. Without this, the refused ones would keep
+/// using removed routes, keys and endpoints, which shows as requests wrongly refused or served by
+/// those instances alone.
 pub async fn catch_up(node: &Node, kind: Kind, reach: Reach) -> bool {
-    let Some((peer, is_near)) = source(node, kind, reach) else { return false };
-    let read = ask(peer, kind).await.and_then(|known| apply_known(node, kind, &known));
+    let Some((peer, is_local)) = source(node, kind, reach) else { return false };
+    let read =
+        fetch(peer, kind).await.and_then(|snapshot| apply_peer_objects(node, kind, &snapshot));
     if let Err(error) = read {
         tracing::warn!(event = "catch_up_failed", kind = kind.name(), %peer,
             error = format!("{error:#}"));
         return false;
     }
     tracing::info!(event = "caught_up", kind = kind.name(), %peer);
-    if !is_near {
-        node.announce.notify_one();
+    if !is_local {
+        node.heartbeat_due.notify_one();
     }
-    !node.follow.track(kind).is_behind()
+    !node.follow.state(kind).is_behind()
 }
 
-/// Returns a live peer that has read a kind further, and whether it is in the same failure domain.
+/// Returns a live peer that has read a higher revision, and whether it is in the same failure
+/// domain.
 fn source(node: &Node, kind: Kind, reach: Reach) -> Option<(SocketAddr, bool)> {
-    let read = node.follow.track(kind).read();
+    let read = node.follow.state(kind).read();
     let is_ahead = |revisions: &Revisions| revision(revisions, kind) > read;
-    let lot = usize::from(rand::random::<u16>());
+    let random = usize::from(rand::random::<u16>());
     let (now, fleet) = (node.now(), &lock(&node.tables).fleet);
-    fleet.source(is_ahead, reach, lot, now)
+    fleet.source(is_ahead, reach, random, now)
 }
 
-/// Returns how far a kind is read.
+/// Returns the revision of one kind.
 pub const fn revision(revisions: &Revisions, kind: Kind) -> u64 {
     match kind {
         Kind::Config => revisions.config,
@@ -92,10 +97,11 @@
     }
 }
 
-async fn ask(peer: SocketAddr, kind: Kind) -> anyhow::Result<KnownAt> {
-    let bounds = Bounds { connect: PATIENCE, patience: PATIENCE, answer: MAX_ANSWER };
-    let path = format!("{KNOWN_PATH}?kind={}", kind.name());
-    let (status, body) = short_call(peer, Method::GET, &path, Vec::new(), bounds).await?;
+async fn fetch(peer: SocketAddr, kind: Kind) -> anyhow::Result<KindSnapshot> {
+    let limits =
+        CallLimits { connect: PEER_TIMEOUT, timeout: PEER_TIMEOUT, max_answer: MAX_ANSWER_BYTES };
+    let path = format!("{OBJECTS_PATH}?kind={}", kind.name());
+    let (status, body) = short_call(peer, Method::GET, &path, Vec::new(), limits).await?;
     anyhow::ensure!(status == StatusCode::OK, "{status}");
-    serde_json::from_slice(&body).context("decode what a peer knows")
+    serde_json::from_slice(&body).context("decode a peer's objects")
 }
--- a/crates/nutmeggrade-relay/src/instance.rs
+++ b/crates/nutmeggrade-relay/src/instance.rs
@@ -1,4 +1,4 @@
-//! An instance from its first socket to its last answer.
+//! Starts and stops an instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,27 +16,29 @@
 use crate::settings::Settings;
 use crate::{engine_watch, front, rollouts, ticker, watch};
 
-/// Part of the grace after which no new connection is taken: what comes then could not end in time.
-const CLOSING: f64 = 0.8;
-/// Part of the grace after which the process ends; it would be killed a moment later.
-const END: f64 = 0.95;
-/// Heartbeats sent in a row to say that this instance leaves; one may be lost.
-const FAREWELLS: u32 = 3;
-/// Time between them.
-const FAREWELL_PAUSE: Duration = Duration::from_millis(40);
-
-/// Where an instance listens; ports that were 0 in its settings are those that were chosen.
+/// Fraction of the grace period after which no new connections are accepted: later ones could not
+/// finish in time.
+const CLOSING_FRACTION: f64 = 0.8;
+/// Fraction of the grace period after which the process ends, just before it would be killed.
+const END_FRACTION: f64 = 0.95;
+/// Heartbeats that announce the stop; datagrams may be lost.
+const STOP_HEARTBEATS: u32 = 3;
+/// Interval between these heartbeats.
+const STOP_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(40);
+
+/// Addresses on which an instance listens. Port 0 in the settings is replaced by the port that was
+/// chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// Clients.
+    /// Client requests.
     pub client: SocketAddr,
-    /// Readiness.
+    /// Readiness checks.
     pub ready: SocketAddr,
-    /// The directory of instances.
+    /// Directory of instances.
     pub directory: SocketAddr,
-    /// Peers that ask.
+    /// Peers' requests over HTTP.
     pub control: SocketAddr,
-    /// Peers' heartbeats.
+    /// Peers' heartbeats over UDP.
     pub beacon: SocketAddr,
     /// Metrics.
     pub metrics: SocketAddr,
@@ -86,12 +88,12 @@
             metrics = %addresses.metrics, incarnation);
         let mut tasks = watch::start(&node);
         tasks.extend(admin.start(&node));
-        tasks.push(tokio::spawn(send(Arc::clone(&node), Arc::clone(&peers))));
+        tasks.push(tokio::spawn(send_heartbeats(Arc::clone(&node), Arc::clone(&peers))));
         tasks.push(tokio::spawn(receive(Arc::clone(&node), Arc::clone(&peers))));
-        tasks.push(tokio::spawn(hand_on(Arc::clone(&node), Arc::clone(&peers))));
-        tasks.push(tokio::spawn(tell_placed(Arc::clone(&node), Arc::clone(&peers))));
-        tasks.push(tokio::spawn(tell_failures(Arc::clone(&node), Arc::clone(&peers))));
-        tasks.push(tokio::spawn(forward_placed(Arc::clone(&node), Arc::clone(&peers))));
+        tasks.push(tokio::spawn(send_outbox(Arc::clone(&node), Arc::clone(&peers))));
+        tasks.push(tokio::spawn(send_placements(Arc::clone(&node), Arc::clone(&peers))));
+        tasks.push(tokio::spawn(send_failures(Arc::clone(&node), Arc::clone(&peers))));
+        tasks.push(tokio::spawn(forward_placements(Arc::clone(&node), Arc::clone(&peers))));
         tasks.extend(rollouts::start(&node, &peers));
         tasks.push(tokio::spawn(ticker::run(Arc::clone(&node))));
         tasks.push(tokio::spawn(engine_watch::run(Arc::clone(&node))));
@@ -99,7 +101,7 @@
         Ok(Self { node, peers, front, tasks, addresses })
     }
 
-    /// Returns where the instance listens.
+    /// Returns the addresses on which the instance listens.
     pub const fn addresses(&self) -> Addresses {
         self.addresses
     }
@@ -109,22 +111,29 @@
         Arc::clone(&self.node)
     }
 
-    /// Leaves the directory, serves who still comes, and ends when all have their answers.
+    /// Leaves the directory, keeps serving for the grace period, and returns when all requests are
+    /// answered.
     ///
-    /// Clients keep an address for seconds, and a connection that is closed under a request loses it.
+    /// Clients cache an address for seconds, and a request is lost if its connection is closed
+    /// under it.
     pub async fn stop(mut self) {
         let grace = self.node.settings().grace;
         tracing::info!(event = "leaving", grace_ms = grace.as_millis());
-        self.node.leave(self.node.now().after(grace.mul_f64(END)));
-        for _ in 0..FAREWELLS {
-            self.peers.send_one(&self.node).await;
-            sleep(FAREWELL_PAUSE).await;
+        self.node.leave(self.node.now().after(grace.mul_f64(END_FRACTION)));
+        for _ in 0..STOP_HEARTBEATS {
+            self.peers.send_heartbeat(&self.node).await;
+            sleep(STOP_HEARTBEAT_INTERVAL).await;
         }
-        sleep(grace.mul_f64(CLOSING).saturating_sub(FAREWELL_PAUSE * FAREWELLS)).await;
+        sleep(
+            grace
+                .mul_f64(CLOSING_FRACTION)
+                .saturating_sub(STOP_HEARTBEAT_INTERVAL * STOP_HEARTBEATS),
+        )
+        .await;
         tracing::info!(event = "closing");
         self.node.set_phase(Phase::Closing);
-        // What has not ended by then is cut by the end of the process.
-        if timeout(grace.mul_f64(END - CLOSING), &mut self.front).await.is_err() {
+        // Requests still open after this are cut off when the process ends.
+        if timeout(grace.mul_f64(END_FRACTION - CLOSING_FRACTION), &mut self.front).await.is_err() {
             let open = self.node.metrics.connections.get();
             tracing::warn!(event = "cut_at_end", connections = open);
         }
@@ -141,26 +150,26 @@
     }
 }
 
-async fn send(node: Arc<Node>, peers: Arc<Peers>) {
-    peers.send(&node).await;
+async fn send_heartbeats(node: Arc<Node>, peers: Arc<Peers>) {
+    peers.send_heartbeats(&node).await;
 }
 
 async fn receive(node: Arc<Node>, peers: Arc<Peers>) {
     peers.receive(&node).await;
 }
 
-async fn hand_on(node: Arc<Node>, peers: Arc<Peers>) {
-    peers.hand_on(&node).await;
+async fn send_outbox(node: Arc<Node>, peers: Arc<Peers>) {
+    peers.send_outbox(&node).await;
 }
 
-async fn tell_placed(node: Arc<Node>, peers: Arc<Peers>) {
-    peers.tell_placed(&node).await;
+async fn send_placements(node: Arc<Node>, peers: Arc<Peers>) {
+    peers.send_placements(&node).await;
 }
 
-async fn forward_placed(node: Arc<Node>, peers: Arc<Peers>) {
-    peers.forward_placed(&node).await;
+async fn forward_placements(node: Arc<Node>, peers: Arc<Peers>) {
+    peers.forward_placements(&node).await;
 }
 
-async fn tell_failures(node: Arc<Node>, peers: Arc<Peers>) {
-    peers.tell_failures(&node).await;
+async fn send_failures(node: Arc<Node>, peers: Arc<Peers>) {
+    peers.send_failures(&node).await;
 }
--- a/crates/nutmeggrade-relay/src/lib.rs
+++ b/crates/nutmeggrade-relay/src/lib.rs
@@ -1,9 +1,10 @@
-//! An instance that serves routes: it takes clients' requests, places each at an endpoint, and passes
-//! the answer back byte for byte.
+//! Request-serving instance: accepts clients' requests, places each at an endpoint, and returns the
+//! answer byte for byte.
 //!
-//! [`run`] starts everything. `relay/` follows one request, `watch/` keeps what is known of the
-//! platform up to date, `peers` exchanges heartbeats, `front/` holds the clients' connections.
-//! Decisions are in `nutmeggrade-policy` and `nutmeggrade-state`; names on the wire in `platform/`.
+//! [`run`] starts everything. `relay/` handles one request, `watch/` keeps the view of the
+//! platform's store up to date, `peers` exchanges heartbeats, `front/` holds the clients'
+//! connections. Decisions are in `nutmeggrade-policy` and `nutmeggrade-state`; wire formats are in
+//! `platform/`.
 
 mod admin;
 mod answer_body;
--- a/crates/nutmeggrade-relay/src/logs.rs
+++ b/crates/nutmeggrade-relay/src/logs.rs
@@ -1,22 +1,21 @@
-//! Log lines on their way to standard output.
+//! Buffers log lines and writes them to standard output.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Most bytes of lines that wait. At a hundred bytes a line this is some thousands of lines, more
-/// than a busy second makes, and little beside an instance's memory.
-const MOST: usize = 512 << 10;
-/// Time between two writes. Lines are written together, since each write costs a system call.
-const PERIOD: Duration = Duration::from_millis(200);
+/// Capacity of the buffer. At a hundred bytes a line it holds some thousands of lines, more than a
+/// busy second produces, and is small beside an instance's memory.
+const MAX_BUFFER_BYTES: usize = 512 << 10;
+/// Interval between two writes. Lines are written in batches, since each write costs a system call.
+const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Log lines that wait to be written.
 ///
-/// Whoever reads standard output may stop reading. A process that writes its lines there itself then
-/// stands still in the middle of a request, and one notices that all instances of a machine whose
-/// log collector hangs stop serving. Here a thread of its own writes; when the buffer is full, lines
-/// are dropped and counted.
+/// The reader of standard output may stop reading. A process that writes its lines directly then
+/// blocks in the middle of a request: all instances of a machine whose log collector hangs stop
+/// serving. So a separate thread writes, and lines are dropped and counted when the buffer is full.
 #[derive(Debug, Clone, Default)]
 pub struct LogBuffer {
     lines: Arc<Mutex<Vec<u8>>>,
@@ -24,12 +23,12 @@
 }
 
 impl LogBuffer {
-    /// Makes an empty buffer.
+    /// Creates an empty buffer.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns how many lines were dropped.
+    /// Returns the number of dropped lines.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -46,7 +45,7 @@
 impl Write for LogBuffer {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let mut lines = self.lines();
-        if lines.len() + buf.len() > MOST {
+        if lines.len() + buf.len() > MAX_BUFFER_BYTES {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         } else {
             lines.extend_from_slice(buf);
@@ -59,7 +58,7 @@
     }
 }
 
-/// Writes waiting lines to `out` from a thread of its own until `out` fails.
+/// Starts a thread that writes buffered lines to `out` until `out` fails.
 ///
 /// # Errors
 ///
@@ -68,9 +67,9 @@
     let buffer = buffer.clone();
     let write = move || {
         loop {
-            std::thread::sleep(PERIOD);
+            std::thread::sleep(WRITE_INTERVAL);
             let lines = buffer.take();
-            // Nobody reads any more; there is nowhere left to say so.
+            // The reader is gone, so the failure can't be logged either.
             if !lines.is_empty() && out.write_all(&lines).and_then(|()| out.flush()).is_err() {
                 return;
             }
@@ -80,11 +79,11 @@
 }
 
 impl LogBuffer {
-    /// Writes what waits at once, before the process ends.
+    /// Writes all buffered lines at once, before the process ends.
     ///
     /// # Errors
     ///
-    /// Fails as `out` does.
+    /// Fails if `out` does.
     pub fn drain<W: Write>(&self, mut out: W) -> io::Result<()> {
         out.write_all(&self.take())?;
         out.flush()
--- a/crates/nutmeggrade-relay/src/metrics.rs
+++ b/crates/nutmeggrade-relay/src/metrics.rs
@@ -8,36 +8,36 @@
     TextEncoder,
 };
 
-/// Bounds of the time histograms, in seconds: from a fast call to the longest answers.
-const TIMES: [f64; 12] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
+/// Bucket bounds of the time histograms, in seconds: from a fast call to the longest answers.
+const TIME_BUCKETS: [f64; 12] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
 
-/// Everything that the metrics address shows.
+/// Metrics served at the metrics address.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     /// Requests by outcome and code.
     pub requests: IntCounterVec,
-    /// Requests that wait for room.
+    /// Requests that wait for a free slot.
     pub waiting: IntGauge,
-    /// Time that requests waited for room.
+    /// Time that requests waited for a free slot.
     pub waits: Histogram,
     /// Time to the head of an answer, or to a stream's first event.
     pub first: Histogram,
-    /// Requests handed to endpoints, by how the send ended.
+    /// Requests sent to endpoints, by outcome of the send.
     pub sends: IntCounterVec,
-    /// Second sends that the budget did not allow.
+    /// Resends that the budget did not allow.
     pub over_budget: IntCounter,
-    /// Endpoints of which peers said that nobody listens there.
+    /// Reports of peers that an endpoint's address refuses connections.
     pub told_gone: IntCounter,
-    /// Generations taken along from an endpoint that leaves, by how it ended.
+    /// Generations moved away from leaving endpoints, by outcome.
     pub moves: IntCounterVec,
     /// Open connections of clients.
     pub connections: IntGauge,
-    /// Version of the routing configuration.
+    /// Version of the routing configuration in force.
     pub config: IntGauge,
     /// Endpoints that may get new work.
     pub endpoints: IntGauge,
-    /// Peers heard lately.
+    /// Peers whose heartbeats arrived recently.
     pub peers: IntGauge,
     /// Calls to the platform's store by kind and outcome.
     pub store_calls: IntCounterVec,
@@ -47,15 +47,15 @@
     pub peer_bytes: IntCounterVec,
     /// Bytes of the store's answers by kind.
     pub store_bytes: IntCounterVec,
-    /// How far each service's roll-out is, as the number of its phase.
+    /// Phase of each service's roll-out, as a number.
     pub rollout_phase: IntGaugeVec,
     /// Log lines dropped.
     pub dropped_lines: IntGauge,
-    broken: IntGaugeVec,
+    invariants_broken: IntGaugeVec,
 }
 
 impl Metrics {
-    /// Registers everything.
+    /// Registers all metrics.
     pub fn new() -> anyhow::Result<Self> {
         let registry = Registry::new_custom(Some("nutmeggrade_relay".to_owned()), None)?;
         let counters = |name, help, labels: &[&str]| {
@@ -63,15 +63,15 @@
         };
         let counter = |name: &str, help: &str| add(&registry, IntCounter::new(name, help));
         let gauge = |name: &str, help: &str| add(&registry, IntGauge::new(name, help));
-        let times = |name: &str, help: &str| {
-            let options = HistogramOpts::new(name, help).buckets(TIMES.to_vec());
+        let histogram = |name: &str, help: &str| {
+            let options = HistogramOpts::new(name, help).buckets(TIME_BUCKETS.to_vec());
             add(&registry, Histogram::with_opts(options))
         };
         Ok(Self {
             requests: counters("requests_total", "requests by outcome", &["outcome", "code"])?,
             waiting: gauge("waiting", "requests that wait for room")?,
-            waits: times("wait_seconds", "time that requests waited for room")?,
-            first: times("first_seconds", "time to an answer's head or first event")?,
+            waits: histogram("wait_seconds", "time that requests waited for room")?,
+            first: histogram("first_seconds", "time to an answer's head or first event")?,
             sends: counters("sends_total", "requests handed to endpoints", &["end"])?,
             over_budget: counter("over_budget_total", "second sends that were not allowed")?,
             told_gone: counter("told_gone_total", "endpoints that peers found gone")?,
@@ -100,7 +100,7 @@
                 ),
             )?,
             dropped_lines: gauge("log_lines_dropped", "log lines dropped")?,
-            broken: add(
+            invariants_broken: add(
                 &registry,
                 IntGaugeVec::new(Opts::new("invariants_broken", "must stay absent"), &["name"]),
             )?,
@@ -108,21 +108,21 @@
         })
     }
 
-    /// Writes everything in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> anyhow::Result<String> {
         for (name, count) in invariant::broken() {
             let count = i64::try_from(count).unwrap_or(i64::MAX);
-            self.broken.with_label_values(&[name]).set(count);
+            self.invariants_broken.with_label_values(&[name]).set(count);
         }
         TextEncoder::new().encode_to_string(&self.registry.gather()).context("encode metrics")
     }
 }
 
-fn add<C>(registry: &Registry, made: prometheus::Result<C>) -> anyhow::Result<C>
+fn add<C>(registry: &Registry, metric: prometheus::Result<C>) -> anyhow::Result<C>
 where
     C: Collector + Clone + 'static,
 {
-    let made = made.context("make a metric")?;
-    registry.register(Box::new(made.clone())).context("register a metric")?;
-    Ok(made)
+    let metric = metric.context("make a metric")?;
+    registry.register(Box::new(metric.clone())).context("register a metric")?;
+    Ok(metric)
 }
--- a/crates/nutmeggrade-relay/src/node.rs
+++ b/crates/nutmeggrade-relay/src/node.rs
@@ -1,4 +1,4 @@
-//! One instance: its settings, tables, clients and counters.
+//! State of one instance: its settings, tables, clients and counters.
 
 mod endpoints;
 mod rollouts;
@@ -23,54 +23,55 @@
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 use crate::tables::{Tables, lock};
-use crate::watch::Follow;
+use crate::watch::ReadState;
 
-/// Longest wait for an answer of the store that it does not hold back. It answers in milliseconds;
-/// a slow one still does within this time.
-const STORE_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Timeout of a call to the store, beyond the time for which the store holds a watch. The store
+/// answers in milliseconds, and within this time when it is slow.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Changes of endpoints that wait to be handed on; the socket takes each in microseconds.
-const MOST_NEWS: usize = 16;
+/// Capacity of the outbox; the socket takes each message in microseconds.
+const OUTBOX_CAPACITY: usize = 16;
 
-/// How far a planned stop has come.
+/// Phases of a graceful stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Serving.
+    /// Serves all requests.
     Serving,
-    /// Named to no client any more; those that come are still served.
+    /// Left out of the directory; connections that arrive are still served.
     Leaving,
-    /// Takes no new connection.
+    /// Accepts no new connections.
     Closing,
 }
 
-/// One instance, shared by all its tasks.
+/// State of one instance, shared by all its tasks.
 #[derive(Debug)]
 pub struct Node {
     /// The monotonic clock.
     pub clock: Clock,
     /// Counters.
     pub metrics: Metrics,
-    /// What it knows and has decided.
+    /// State on which decisions depend.
     pub tables: Mutex<Tables>,
     /// Client of the platform's store.
     pub store: Store,
-    /// How each kind of object is followed.
-    pub follow: Follow,
-    /// Log lines on their way out.
+    /// Read state of each kind of object.
+    pub follow: ReadState,
+    /// Buffered log lines.
     pub logs: LogBuffer,
-    /// Where this instance is reached.
+    /// Failure domain and addresses of this instance.
     pub seat: Seat,
-    /// Distinguishes two lives of an instance with the same name.
+    /// Distinguishes successive runs of an instance with the same name.
     pub incarnation: u64,
-    /// Wakes whoever tells the peers what is placed.
+    /// Wakes the task that sends changed placements to the peers.
     pub placed: Notify,
-    /// Wakes whoever tells the peers of endpoints that fail.
-    pub counted: Notify,
-    /// Sends a heartbeat at once, because this instance has read what its neighbours wait for.
-    pub announce: Notify,
-    /// Endpoints that are being checked; never locked together with the tables.
+    /// Wakes the task that reports failing endpoints to the peers.
+    pub failures_counted: Notify,
+    /// Triggers an immediate heartbeat, because this instance has read changes that its neighbours
+    /// wait for.
+    pub heartbeat_due: Notify,
+    /// Endpoints that are being probed; never locked together with the tables.
     pub probed: Mutex<BTreeSet<EndpointId>>,
-    /// Whoever needs no key shares one place among the workspaces.
+    /// Workspace shared by all requests that need no key.
     pub anybody: WorkspaceId,
     settings: RwLock<Arc<Settings>>,
     map: RwLock<Arc<RouteMap>>,
@@ -79,12 +80,12 @@
     departures: watch::Sender<u64>,
     tickets: AtomicU64,
     ends_at: OnceLock<Moment>,
-    news: mpsc::Sender<FleetMessage>,
-    outgoing: Mutex<Option<mpsc::Receiver<FleetMessage>>>,
+    outbox: mpsc::Sender<FleetMessage>,
+    outbox_receiver: Mutex<Option<mpsc::Receiver<FleetMessage>>>,
 }
 
 impl Node {
-    /// Makes an instance that knows nothing yet.
+    /// Creates the state of an instance that has read nothing.
     pub fn new(
         settings: &Settings,
         seat: &Seat,
@@ -93,19 +94,19 @@
     ) -> anyhow::Result<Self> {
         let dispatcher = Dispatcher::new(&settings.domain, rand::random());
         let fleet = FleetView::new(&settings.instance, seat, &settings.seeds);
-        let (news, outgoing) = mpsc::channel(MOST_NEWS);
+        let (outbox, outbox_receiver) = mpsc::channel(OUTBOX_CAPACITY);
         Ok(Self {
             clock: Clock::new(),
             metrics: Metrics::new()?,
             tables: Mutex::new(Tables::new(dispatcher, fleet)),
-            store: Store::new(settings.platform, STORE_PATIENCE),
-            follow: Follow::new(),
+            store: Store::new(settings.platform, STORE_TIMEOUT),
+            follow: ReadState::new(),
             logs: logs.clone(),
             seat: seat.clone(),
             incarnation,
             placed: Notify::new(),
-            counted: Notify::new(),
-            announce: Notify::new(),
+            failures_counted: Notify::new(),
+            heartbeat_due: Notify::new(),
             probed: Mutex::default(),
             anybody: WorkspaceId::new("-")?,
             settings: RwLock::new(Arc::new(settings.clone())),
@@ -115,12 +116,12 @@
             departures: watch::Sender::new(0),
             tickets: AtomicU64::new(1),
             ends_at: OnceLock::new(),
-            news,
-            outgoing: Mutex::new(Some(outgoing)),
+            outbox,
+            outbox_receiver: Mutex::new(Some(outbox_receiver)),
         })
     }
 
-    /// Returns the time on this instance's clock.
+    /// Returns the current time.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
@@ -130,12 +131,12 @@
         Arc::clone(&self.settings.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Puts other settings in force. Addresses stay as they were at the start.
+    /// Replaces the settings in force. Addresses stay as they were at the start.
     pub fn set_settings(&self, settings: Settings) {
         *self.settings.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(settings);
     }
 
-    /// Returns the routing configuration in force; version 0 before the first one came.
+    /// Returns the routing configuration in force, which has version 0 until the first one is read.
     pub fn map(&self) -> Arc<RouteMap> {
         Arc::clone(&self.map.read().unwrap_or_else(PoisonError::into_inner))
     }
@@ -145,9 +146,10 @@
         self.raw_map.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts a routing configuration in force unless a newer one is; says whether it did.
+    /// Applies a routing configuration unless its version is older or the same; returns whether it
+    /// did.
     ///
-    /// Answers may overtake each other, and an instance must never go back to an older version.
+    /// Answers may arrive out of order, and an instance must never go back to an older version.
     pub fn set_map(&self, map: RouteMap, raw: Bytes) -> bool {
         let mut current = self.map.write().unwrap_or_else(PoisonError::into_inner);
         if map.version <= current.version {
@@ -167,48 +169,49 @@
         true
     }
 
-    /// Says whether requests can be served: a configuration came and endpoints are known.
+    /// Returns whether requests can be served: a configuration and the endpoints were read, and no
+    /// stop has begun.
     pub fn is_ready(&self) -> bool {
         self.map().version > 0 && self.follow.has_endpoints() && self.phase() == Phase::Serving
     }
 
-    /// Returns how far a planned stop has come.
+    /// Returns the current phase of a graceful stop.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Begins a planned stop; the process ends at that moment, whatever is still open.
+    /// Begins a graceful stop; the process ends at `ends_at` even if requests are still open.
     pub fn leave(&self, ends_at: Moment) {
         self.ends_at.get_or_init(|| ends_at);
         self.set_phase(Phase::Leaving);
     }
 
-    /// Returns how long this instance stays, if it leaves.
+    /// Returns the time until the process ends, if it is stopping.
     pub fn stays(&self) -> Option<Duration> {
         self.ends_at.get().map(|end| self.clock.left(*end))
     }
 
-    /// Enters the next phase of a planned stop.
+    /// Enters a phase of a graceful stop.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Follows the phases of a planned stop.
+    /// Subscribes to the phases of a graceful stop.
     pub fn phases(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Follows departures: the number changes whenever an endpoint leaves or is missing.
+    /// Subscribes to departures: the number changes whenever an endpoint leaves or is missing.
     pub fn departures(&self) -> watch::Receiver<u64> {
         self.departures.subscribe()
     }
 
-    /// Makes a new ticket.
+    /// Creates a unique ticket.
     pub fn ticket(&self) -> Ticket {
         Ticket(self.tickets.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Takes a further send to a service out of the fleet's budget, if one is left.
+    /// Takes one resend to a service from the fleet's budget; returns whether the budget allows it.
     pub fn take_resend(&self, service: &ServiceId) -> bool {
         let settings = self.settings();
         let taken = lock(&self.tables).take_resend(service, &settings, self.now());
@@ -218,12 +221,12 @@
         taken
     }
 
-    /// Takes the receiving end of what is handed on; there is one.
-    pub fn outgoing_news(&self) -> Option<mpsc::Receiver<FleetMessage>> {
-        lock(&self.outgoing).take()
+    /// Takes the receiver of the outbox; the first call gets it.
+    pub fn take_outbox(&self) -> Option<mpsc::Receiver<FleetMessage>> {
+        lock(&self.outbox_receiver).take()
     }
 
-    /// Works out anew which endpoints may get work, and gives their room to those who wait.
+    /// Recomputes which endpoints may get work, and assigns free slots to waiting requests.
     pub fn refresh(&self) {
         let map = self.map();
         let settings = self.settings();
@@ -235,8 +238,8 @@
         self.metrics.endpoints.set(i64::try_from(usable).unwrap_or(i64::MAX));
     }
 
-    /// Returns what this instance has read of the platform's store.
+    /// Returns the revisions that this instance has read from the store.
     pub fn revisions(&self) -> Revisions {
-        self.follow.news()
+        self.follow.change_revisions()
     }
 }
--- a/crates/nutmeggrade-relay/src/node/endpoints.rs
+++ b/crates/nutmeggrade-relay/src/node/endpoints.rs
@@ -1,4 +1,4 @@
-//! What an instance learns and tells of endpoints.
+//! Applies changes of endpoints and reports them to the peers.
 
 use std::collections::BTreeSet;
 
@@ -12,20 +12,20 @@
 use super::Node;
 use crate::tables::lock;
 
-/// Changes that fit into one datagram of some kilobytes, at two hundred bytes each.
-const MOST_CHANGES: usize = 32;
-/// Names of endpoints that fit into one datagram. A listing after the store lost its history may find
-/// some hundreds gone; in one datagram their names are larger than what is read.
-const MOST_NAMES: usize = 128;
+/// Changes per datagram of some kilobytes, at two hundred bytes each.
+const MAX_CHANGES_PER_DATAGRAM: usize = 32;
+/// Endpoint names per datagram. A listing after the store lost its history may find some hundreds
+/// gone, whose names exceed the largest datagram that is read.
+const MAX_NAMES_PER_DATAGRAM: usize = 128;
 
 impl Node {
-    /// Returns an endpoint that is registered.
+    /// Returns the entry of a registered endpoint.
     pub fn endpoint(&self, id: &EndpointId) -> Option<EndpointInfo> {
         lock(&self.tables).registry.get(id).map(|e| e.info.clone())
     }
 
-    /// Changes the registry, and tells everybody here whom it concerns; returns the endpoints that
-    /// left.
+    /// Changes the registry, logs the changes and refreshes what depends on them; returns the
+    /// endpoints that left.
     pub fn change_registry(
         &self,
         change: impl FnOnce(&mut Registry, Moment) -> Vec<Change>,
@@ -50,7 +50,7 @@
             }
         }
         if !changes.is_empty() {
-            self.look_for_orders(&changes);
+            self.recheck_rollouts(&changes);
             self.refresh();
         }
         if !changes.iter().all(|change| matches!(change, Change::Joined(_))) {
@@ -59,79 +59,81 @@
         changes.into_iter().filter_map(Change::left).collect()
     }
 
-    /// Has the orders of roll-outs read at once when an endpoint of a new version joins. A watch that has gone
-    /// silent would tell of its order after the version got its full part.
-    fn look_for_orders(&self, changes: &[Change]) {
+    /// Makes the roll-out follower query the store when the first endpoint of a new version joins.
+    /// A watch that has gone silent would deliver the roll-out only after the version got its full
+    /// share of requests.
+    fn recheck_rollouts(&self, changes: &[Change]) {
         if !self.follows_rollouts() {
             return;
         }
-        let is_new = {
+        let is_new_version = {
             let registry = &lock(&self.tables).registry;
             changes.iter().filter_map(Change::joined).any(|info| registry.is_first_of_version(info))
         };
-        if is_new {
-            self.follow.track(Kind::Rollouts).recheck.notify_one();
+        if is_new_version {
+            self.follow.state(Kind::Rollouts).recheck.notify_one();
         }
     }
 
-    /// Takes over which failure domains are out.
-    pub fn set_out(&self, out: &BTreeSet<DomainId>) {
+    /// Sets the failure domains that are evacuated.
+    pub fn set_evacuated(&self, evacuated: &BTreeSet<DomainId>) {
         let changed = {
             let mut tables = lock(&self.tables);
-            let changed = tables.registry.out() != out;
-            tables.registry.set_out(out);
+            let changed = tables.registry.out() != evacuated;
+            tables.registry.set_out(evacuated);
             changed
         };
         if changed {
-            let names: Vec<&str> = out.iter().map(DomainId::as_str).collect();
+            let names: Vec<&str> = evacuated.iter().map(DomainId::as_str).collect();
             tracing::info!(event = "domains_out", domains = names.join(","));
             self.refresh();
         }
     }
 
-    /// Hands changes of endpoints on to the peers, if this instance reads for all and the changes fit
-    /// into a datagram. Peers that don't get them notice by the next heartbeat.
-    pub fn hand_on(&self, news: FleetNews) {
+    /// Forwards endpoint changes to the peers if this instance is a reader and the changes fit into
+    /// a datagram. Peers that miss them notice by the next heartbeat.
+    pub fn forward_changes(&self, news: FleetNews) {
         let is_reader = lock(&self.tables).fleet.is_reader(self.now());
-        if is_reader && news.changes.len() <= MOST_CHANGES {
+        if is_reader && news.changes.len() <= MAX_CHANGES_PER_DATAGRAM {
             self.tell(FleetMessage::News(news));
         }
     }
 
-    /// Tells all peers that endpoints leave.
-    pub fn tell_leaving(&self, endpoints: &[EndpointId]) {
-        for part in endpoints.chunks(MOST_NAMES) {
-            self.tell(FleetMessage::Leaving(part.to_vec()));
+    /// Sends the names of leaving endpoints to all peers.
+    pub fn broadcast_leaving(&self, endpoints: &[EndpointId]) {
+        for batch in endpoints.chunks(MAX_NAMES_PER_DATAGRAM) {
+            self.tell(FleetMessage::Leaving(batch.to_vec()));
         }
     }
 
-    /// Sends a message to all peers.
+    /// Queues a message to all peers.
     pub fn tell(&self, message: FleetMessage) {
-        if self.news.try_send(message).is_err() {
+        if self.outbox.try_send(message).is_err() {
             tracing::warn!(event = "news_not_handed_on");
         }
     }
 
-    /// Takes the word of endpoints that they leave, which comes before the store's.
+    /// Marks endpoints as leaving that announced it themselves, which precedes the store's change.
     pub fn note_leaving(&self, endpoints: &[EndpointId]) {
         self.change_registry(|registry, _| {
             endpoints.iter().filter_map(|id| registry.leave(id)).collect()
         });
     }
 
-    /// Notes that endpoints leave that told or showed it here, and tells the peers.
+    /// Marks endpoints as leaving, and sends this to the peers.
     pub fn announce_leaving(&self, endpoints: &[EndpointId]) {
         self.note_leaving(endpoints);
-        self.tell_leaving(endpoints);
+        self.broadcast_leaving(endpoints);
     }
 
-    /// Notes that nobody listens at an endpoint's address any more, and tells the peers.
+    /// Records that an endpoint's address refuses connections, and sends this to the peers.
     ///
-    /// An endpoint that died keeps its entry until that lapses, and for as long as the store is away.
-    /// All that it had is lost, so to every instance it looks like the emptiest: each sends requests
-    /// and copies of generations there. One notices copies that fail one after another (`event=copied`)
-    /// while engines with room are left alone. Whoever is told leaves it alone for a moment, and is told
-    /// again for as long as nobody listens there.
+    /// The entry of an endpoint that died stays until it expires, and for as long as the store is
+    /// unavailable. As it has lost all its work, every instance sees it as the emptiest endpoint
+    /// and sends requests and copies of generations there. This shows as consecutive failed copies
+    /// (`event=copied`) while engines with room are idle. An instance that receives the message
+    /// avoids the endpoint for a moment; the message is repeated for as long as connections are
+    /// refused.
     pub fn announce_gone(&self, endpoint: &EndpointId) {
         let now = self.now();
         let mut tables = lock(&self.tables);
@@ -145,8 +147,8 @@
         self.tell(FleetMessage::Gone(vec![endpoint.clone()]));
     }
 
-    /// Takes a peer's word that nobody listens at an endpoint's address any more.
-    pub fn note_gone(&self, endpoints: &[EndpointId]) {
+    /// Records endpoints whose addresses refuse connections according to a peer.
+    pub fn note_unreachable(&self, endpoints: &[EndpointId]) {
         let now = self.now();
         self.metrics.told_gone.inc_by(endpoints.len() as u64);
         let mut tables = lock(&self.tables);
@@ -157,22 +159,22 @@
         }
     }
 
-    /// Takes what a peer counted of endpoints that failed its requests.
-    pub fn note_outcomes(&self, outcomes: &FleetOutcomes) {
+    /// Adds a peer's counts of successes and failures to the endpoints' health.
+    pub fn add_peer_outcomes(&self, outcomes: &FleetOutcomes) {
         let now = self.now();
-        let is_near = outcomes.domain == self.seat.domain;
+        let is_local = outcomes.domain == self.seat.domain;
         let mut tables = lock(&self.tables);
         for (endpoint, counted) in &outcomes.answers {
             if tables.registry.get(endpoint).is_some() {
-                tables.dispatcher.book.health_mut(endpoint).add_counted(*counted, is_near, now);
+                tables.dispatcher.book.health_mut(endpoint).add_counted(*counted, is_local, now);
             }
         }
     }
 
-    /// Notes what an answer, or its absence, says of an endpoint.
-    pub fn note_health(&self, endpoint: &EndpointId, note: impl FnOnce(&mut Health, Moment)) {
+    /// Updates an endpoint's health after an answer or a failure.
+    pub fn note_health(&self, endpoint: &EndpointId, update: impl FnOnce(&mut Health, Moment)) {
         let now = self.now();
-        note(lock(&self.tables).dispatcher.book.health_mut(endpoint), now);
-        self.counted.notify_one();
+        update(lock(&self.tables).dispatcher.book.health_mut(endpoint), now);
+        self.failures_counted.notify_one();
     }
 }
--- a/crates/nutmeggrade-relay/src/node/rollouts.rs
+++ b/crates/nutmeggrade-relay/src/node/rollouts.rs
@@ -1,4 +1,4 @@
-//! What an instance learns and tells of roll-outs.
+//! Applies changes of roll-outs and reports them to the peers.
 
 use nutmeggrade_core::peer::FleetMessage;
 use nutmeggrade_core::prelude::*;
@@ -9,12 +9,12 @@
 use crate::tables::lock;
 
 impl Node {
-    /// Says whether roll-outs are followed.
+    /// Returns whether this instance follows roll-outs.
     pub fn follows_rollouts(&self) -> bool {
         self.settings().exposure.is_some()
     }
 
-    /// Changes what is known of roll-outs, and tells all peers at once of the phases that change.
+    /// Changes the roll-out table, and sends changed phases to all peers at once.
     pub fn change_rollouts(
         &self,
         change: impl FnOnce(&mut RolloutTable, Moment) -> Vec<RolloutNotice>,
@@ -24,11 +24,11 @@
         for notice in &changed {
             self.tell(FleetMessage::Rollout(notice.clone()));
         }
-        self.enter_phases(&changed);
+        self.apply_phases(&changed);
     }
 
-    /// Takes what a peer tells of roll-outs.
-    pub fn hear_rollouts(&self, notices: Vec<RolloutNotice>) {
+    /// Applies roll-out notices of a peer.
+    pub fn apply_rollout_notices(&self, notices: Vec<RolloutNotice>) {
         if notices.is_empty() || !self.follows_rollouts() {
             return;
         }
@@ -37,11 +37,12 @@
             let rollouts = &mut lock(&self.tables).rollouts;
             notices.into_iter().filter(|notice| rollouts.hear(notice, now)).collect()
         };
-        self.enter_phases(&changed);
+        self.apply_phases(&changed);
     }
 
-    /// Has new requests, and streams that run at endpoints of a retired version, follow the phases.
-    fn enter_phases(&self, changed: &[RolloutNotice]) {
+    /// Logs changed phases, and reroutes new requests and the streams at endpoints of a retired
+    /// version.
+    fn apply_phases(&self, changed: &[RolloutNotice]) {
         for RolloutNotice { order, phase, age, .. } in changed {
             let gauge = self.metrics.rollout_phase.with_label_values(&[order.service.as_str()]);
             gauge.set(i64::from(u8::from(*phase)));
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -1,7 +1,7 @@
-//! Heartbeats between instances.
+//! Messages between instances.
 //!
-//! Single datagrams: a lost one is made good by the next, nothing waits for a slow peer, and there
-//! is no connection that can go silent.
+//! Each is a single UDP datagram: a lost one is made up for by the next heartbeat, a slow peer
+//! blocks nothing, and there are no connections that can go silent.
 
 mod inbox;
 
@@ -22,35 +22,35 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-use self::inbox::{count_in, take_message};
+use self::inbox::{apply_message, count_received};
 use crate::node::{Node, Phase};
 use crate::tables::lock;
 
-/// Least time between two messages of what is placed; changes in between are gathered. It is a tenth
-/// of the time that an engine needs to read a prompt, so that few choices are made without knowing of
-/// each other.
-const GATHER: Duration = Duration::from_millis(15);
-/// Least time between two messages of endpoints that fail.
-const GATHER_FAILURES: Duration = Duration::from_millis(100);
-/// Pause for each datagram in which this instance forwards what others have placed; changes that come
-/// meanwhile are forwarded together. It bounds the datagrams a second, on which an instance of a large
-/// fleet would spend most of its processor time.
-const FORWARD_PAUSE: Duration = Duration::from_millis(1);
-/// Largest datagram that is read; heartbeats stay far below.
-const MAX_DATAGRAM: usize = 8 << 10;
-/// Key of the checksum. The platform gives instances no secret, so it guards against damage and
-/// foreign traffic only.
-const CHECK: &str = "nutmeggrade fleet heartbeat 1";
+/// Minimum interval between two messages about placements; changes in between are batched. It is a
+/// tenth of the time that an engine needs to read a prompt, so that few placements are made without
+/// knowing of each other.
+const PLACEMENTS_INTERVAL: Duration = Duration::from_millis(15);
+/// Minimum interval between two messages about failing endpoints.
+const FAILURES_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause per datagram that forwards other instances' placements; changes that arrive meanwhile are
+/// batched. It limits the datagrams per second, which would otherwise take most of an instance's
+/// processor time in a large fleet.
+const FORWARD_PAUSE_PER_DATAGRAM: Duration = Duration::from_millis(1);
+/// Largest datagram that is received; heartbeats stay far below.
+const MAX_DATAGRAM_BYTES: usize = 8 << 10;
+/// Key of the checksum. The platform gives instances no secret, so the checksum only detects damage
+/// and foreign traffic.
+const CHECKSUM_KEY: &str = "nutmeggrade fleet heartbeat 1";
 
-/// Sends and receives heartbeats.
+/// Sends and receives messages between instances.
 #[derive(Debug)]
 pub struct Peers {
     socket: UdpSocket,
     key: [u8; 32],
     sequence: AtomicU64,
-    /// What waits to be forwarded; never locked together with the node's tables.
+    /// Placements to forward; never locked together with the node's tables.
     queue: Mutex<ForwardQueue>,
-    forwards: Notify,
+    forwards_queued: Notify,
 }
 
 impl Peers {
@@ -58,38 +58,38 @@
     pub async fn bind(address: SocketAddr) -> anyhow::Result<Self> {
         let socket = UdpSocket::bind(address).await;
         let socket = socket.with_context(|| format!("bind heartbeats on {address}"))?;
-        let key = Secret::new(CHECK).key("heartbeats");
+        let key = Secret::new(CHECKSUM_KEY).key("heartbeats");
         Ok(Self {
             socket,
             key,
             sequence: AtomicU64::new(1),
             queue: Mutex::new(ForwardQueue::new()),
-            forwards: Notify::new(),
+            forwards_queued: Notify::new(),
         })
     }
 
-    /// Returns where heartbeats come in.
+    /// Returns the address of the socket.
     pub fn address(&self) -> anyhow::Result<SocketAddr> {
         self.socket.local_addr().context("heartbeat address")
     }
 
     /// Sends heartbeats for as long as the process runs.
-    pub async fn send(&self, node: &Arc<Node>) {
+    pub async fn send_heartbeats(&self, node: &Arc<Node>) {
         loop {
-            self.send_one(node).await;
+            self.send_heartbeat(node).await;
             let wait = PERIOD.mul_f64(rand::rng().random_range(0.85..1.15));
             tokio::select! {
                 () = sleep(wait) => {}
-                () = node.announce.notified() => self.announce(node).await,
+                () = node.heartbeat_due.notified() => self.send_to_neighbours(node).await,
             }
         }
     }
 
-    /// Tells all neighbours at once what this instance has read, so that they ask it.
-    async fn announce(&self, node: &Arc<Node>) {
+    /// Sends a heartbeat to all neighbours, so that they fetch what this instance has read.
+    async fn send_to_neighbours(&self, node: &Arc<Node>) {
         let neighbours = {
             let fleet = &lock(&node.tables).fleet;
-            // The next heartbeat of such an instance goes to everybody anyway.
+            // Such an instance sends its next heartbeat to all peers anyway.
             if fleet.stands_by(node.now()) {
                 return;
             }
@@ -99,11 +99,11 @@
     }
 
     /// Sends one heartbeat.
-    pub async fn send_one(&self, node: &Arc<Node>) {
+    pub async fn send_heartbeat(&self, node: &Arc<Node>) {
         let message = FleetMessage::Beacon(self.beacon(node));
         let stands_by = lock(&node.tables).fleet.stands_by(node.now());
-        // Whoever reads the store for all has to be heard by all, and its silence noticed soon: those
-        // who don't hear it take its place.
+        // All peers have to hear the readers and notice their silence soon: a peer that doesn't
+        // hear a reader takes its place.
         if stands_by {
             self.send_to_all(node, message).await;
         } else {
@@ -112,16 +112,16 @@
         }
     }
 
-    /// Hands on changes of endpoints that this instance has read for all.
-    pub async fn hand_on(&self, node: &Arc<Node>) {
-        let Some(mut news) = node.outgoing_news() else { return };
-        while let Some(message) = news.recv().await {
+    /// Sends the messages of the outbox to all peers.
+    pub async fn send_outbox(&self, node: &Arc<Node>) {
+        let Some(mut outbox) = node.take_outbox() else { return };
+        while let Some(message) = outbox.recv().await {
             self.send_to_all(node, message).await;
         }
     }
 
-    /// Tells the peers what this instance has placed, soon after each change.
-    pub async fn tell_placed(&self, node: &Arc<Node>) {
+    /// Sends this instance's changed placements to the peers, soon after each change.
+    pub async fn send_placements(&self, node: &Arc<Node>) {
         loop {
             node.placed.notified().await;
             let changes = lock(&node.tables).dispatcher.book.take_changes();
@@ -136,14 +136,14 @@
                 FleetMessage::Placed(vec![placed])
             };
             self.send_through(node, message, Forwarders::Common).await;
-            sleep(GATHER).await;
+            sleep(PLACEMENTS_INTERVAL).await;
         }
     }
 
-    /// Tells the peers of endpoints that failed requests here, soon after each failure.
-    pub async fn tell_failures(&self, node: &Arc<Node>) {
+    /// Reports endpoints that failed requests to the peers, soon after each failure.
+    pub async fn send_failures(&self, node: &Arc<Node>) {
         loop {
-            node.counted.notified().await;
+            node.failures_counted.notified().await;
             let answers = lock(&node.tables).dispatcher.book.take_failures();
             if answers.is_empty() {
                 continue;
@@ -151,14 +151,14 @@
             let domain = node.seat.domain.clone();
             let message = FleetMessage::Outcomes(FleetOutcomes { domain, answers });
             self.send_to_all(node, message).await;
-            sleep(GATHER_FAILURES).await;
+            sleep(FAILURES_INTERVAL).await;
         }
     }
 
-    /// Forwards to neighbours what other instances have placed.
-    pub async fn forward_placed(&self, node: &Arc<Node>) {
+    /// Forwards other instances' placements to neighbours.
+    pub async fn forward_placements(&self, node: &Arc<Node>) {
         loop {
-            self.forwards.notified().await;
+            self.forwards_queued.notified().await;
             let messages = lock(&self.queue).take();
             let mut sent = 0;
             for (share, placed) in messages {
@@ -166,20 +166,20 @@
                 self.send_to(node, &FleetMessage::Placed(placed), &neighbours).await;
                 sent += u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
             }
-            sleep(FORWARD_PAUSE.saturating_mul(sent)).await;
+            sleep(FORWARD_PAUSE_PER_DATAGRAM.saturating_mul(sent)).await;
         }
     }
 
-    /// Tells a newcomer whom this instance knows.
-    async fn welcome(&self, node: &Node, message: &FleetMessage) {
+    /// Sends the addresses of known instances to a peer that introduces itself.
+    async fn send_contacts(&self, node: &Node, message: &FleetMessage) {
         let FleetMessage::Beacon(beacon) = message else { return };
-        let welcome = lock(&node.tables).fleet.welcome(beacon);
-        if let Some((newcomer, others)) = welcome {
+        let contacts = lock(&node.tables).fleet.welcome(beacon);
+        if let Some((newcomer, others)) = contacts {
             self.send_to(node, &FleetMessage::Met(others), &[newcomer]).await;
         }
     }
 
-    /// Sends a message to every peer: to some by itself, to the others by one of them.
+    /// Sends a message to every peer: to some directly, to the others through a forwarding peer.
     async fn send_to_all(&self, node: &Node, message: FleetMessage) {
         self.send_through(node, message, Forwarders::LastHeard).await;
     }
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Sends a message to some peers.
+    /// Sends a message to the given addresses.
     pub async fn send_to(&self, node: &Node, message: &FleetMessage, targets: &[SocketAddr]) {
         let frame = match seal(message, &self.key) {
             Ok(frame) => frame,
@@ -206,19 +206,19 @@
         let sent = (frame.len() * targets.len()) as u64;
         node.metrics.peer_bytes.with_label_values(&[message.name(), "out"]).inc_by(sent);
         for target in targets {
-            // A peer that is gone or cut off shows by its own silence.
+            // An unreachable peer is detected by its missing heartbeats.
             if let Err(error) = self.socket.send_to(&frame, target).await {
                 tracing::debug!(event = "heartbeat_unsent", %target, %error);
             }
         }
     }
 
-    /// Queues a message that is forwarded together with others; says whether it did.
+    /// Queues a message to be forwarded in a batch; returns whether it was queued.
     fn queue_forward(&self, share: Share, message: &FleetMessage) -> bool {
         match message {
             FleetMessage::Placed(placed) => {
                 if lock(&self.queue).add(share, placed) {
-                    self.forwards.notify_one();
+                    self.forwards_queued.notify_one();
                 }
                 true
             }
@@ -242,35 +242,35 @@
             sequence,
             intro,
             leaving: node.phase() > Phase::Serving,
-            reads: node.follow.is_answered(),
+            reads: node.follow.is_available(),
             revisions: node.revisions(),
             placed: tables.dispatcher.book.own().clone(),
             rollouts: tables.rollouts.notices(now),
         }
     }
 
-    /// Takes heartbeats for as long as the process runs.
+    /// Receives messages for as long as the process runs.
     pub async fn receive(&self, node: &Arc<Node>) {
-        let mut buffer = vec![0; MAX_DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((length, _)) => match open(&buffer[..length], &self.key) {
                     Ok(FleetMessage::HandOn(message, share)) => {
-                        count_in(node, &message, length);
+                        count_received(node, &message, length);
                         if !self.queue_forward(share, &message) {
                             let neighbours = lock(&node.tables).fleet.part_of_neighbours(share);
                             self.send_to(node, &message, &neighbours).await;
                         }
-                        take_message(node, *message);
+                        apply_message(node, *message);
                     }
                     Ok(message) => {
-                        count_in(node, &message, length);
-                        self.welcome(node, &message).await;
-                        take_message(node, message);
+                        count_received(node, &message, length);
+                        self.send_contacts(node, &message).await;
+                        apply_message(node, message);
                     }
                     Err(reason) => tracing::debug!(event = "heartbeat_dropped", %reason),
                 },
-                // An earlier datagram to a closed port is told this way.
+                // The kernel reports an ICMP error of an earlier datagram to a closed port here.
                 Err(error) => tracing::debug!(event = "heartbeat_unread", %error),
             }
         }
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -1,4 +1,4 @@
-//! Takes over what peers told.
+//! Applies messages received from peers.
 
 use nutmeggrade_core::peer::{FleetBeacon, FleetMessage, FleetNews, FleetPlaced};
 use nutmeggrade_wire::kinds::Kind;
@@ -6,42 +6,42 @@
 use crate::fleet_sync::revision;
 use crate::node::Node;
 use crate::tables::lock;
-use crate::watch::endpoint_changes;
+use crate::watch::apply_endpoint_changes;
 
-/// Counts the bytes of a message that came.
-pub fn count_in(node: &Node, message: &FleetMessage, length: usize) {
+/// Counts the bytes of a received message.
+pub fn count_received(node: &Node, message: &FleetMessage, length: usize) {
     node.metrics.peer_bytes.with_label_values(&[message.name(), "in"]).inc_by(length as u64);
 }
 
-/// Takes over what a peer told.
-pub fn take_message(node: &Node, message: FleetMessage) {
+/// Applies a message of a peer.
+pub fn apply_message(node: &Node, message: FleetMessage) {
     match message {
-        FleetMessage::Beacon(beacon) => take(node, beacon),
-        FleetMessage::News(news) => take_news(node, &news),
+        FleetMessage::Beacon(beacon) => apply_heartbeat(node, beacon),
+        FleetMessage::News(news) => apply_endpoint_news(node, &news),
         FleetMessage::Leaving(endpoints) => node.note_leaving(&endpoints),
-        FleetMessage::Gone(endpoints) => node.note_gone(&endpoints),
+        FleetMessage::Gone(endpoints) => node.note_unreachable(&endpoints),
         FleetMessage::Met(others) => lock(&node.tables).fleet.meet_all(&others, node.now()),
         FleetMessage::Crashed(crashed) => lock(&node.tables).crashes.note(&crashed, node.now()),
-        FleetMessage::Outcomes(outcomes) => node.note_outcomes(&outcomes),
-        FleetMessage::Rollout(notice) => node.hear_rollouts(vec![notice]),
+        FleetMessage::Outcomes(outcomes) => node.add_peer_outcomes(&outcomes),
+        FleetMessage::Rollout(notice) => node.apply_rollout_notices(vec![notice]),
         FleetMessage::RolloutReport(report) => lock(&node.tables).rollouts.take_report(&report),
-        FleetMessage::Placed(placed) => take_placed(node, &placed),
-        FleetMessage::Moving(placed) => take_placed(node, &[placed]),
-        // Handed on once is enough; who sends it twice wants it to go round for ever.
+        FleetMessage::Placed(placed) => apply_placements(node, &placed),
+        FleetMessage::Moving(placed) => apply_placements(node, &[placed]),
+        // A message is forwarded only once; a nested one would otherwise circulate without end.
         FleetMessage::HandOn(..) => tracing::debug!(event = "handed_on_twice"),
     }
 }
 
-fn take_placed(node: &Node, all: &[FleetPlaced]) {
+fn apply_placements(node: &Node, all: &[FleetPlaced]) {
     let own = &node.settings().instance;
     let mut tables = lock(&node.tables);
-    // What this instance told goes round its whole failure domain.
+    // This instance's own placements come back when they are forwarded through its failure domain.
     for FleetPlaced { instance, placed } in all.iter().filter(|p| p.instance != *own) {
         tables.dispatcher.book.change_peer(instance, placed);
     }
 }
 
-fn take(node: &Node, beacon: FleetBeacon) {
+fn apply_heartbeat(node: &Node, beacon: FleetBeacon) {
     let now = node.now();
     {
         let mut tables = lock(&node.tables);
@@ -56,24 +56,25 @@
         }
     }
     for kind in Kind::ALL {
-        node.follow.track(kind).hint(revision(&beacon.revisions, kind));
+        node.follow.state(kind).note_peer_revision(revision(&beacon.revisions, kind));
     }
-    node.hear_rollouts(beacon.rollouts);
+    node.apply_rollout_notices(beacon.rollouts);
 }
 
-/// Takes changes of endpoints that a peer has read.
+/// Applies endpoint changes that a peer has read.
 ///
-/// Whoever has not read up to their beginning would miss what was before, so it asks the store.
-fn take_news(node: &Node, news: &FleetNews) {
-    let track = node.follow.track(Kind::Endpoints);
-    let read = track.read();
+/// If this instance has not read up to the revision that they start from, changes in between are
+/// missing, and the follower is woken instead.
+fn apply_endpoint_news(node: &Node, news: &FleetNews) {
+    let state = node.follow.state(Kind::Endpoints);
+    let read = state.read();
     if read >= news.revision {
         return;
     }
-    if read < news.since || !track.is_known() {
-        track.hint(news.revision);
+    if read < news.since || !state.is_loaded() {
+        state.note_peer_revision(news.revision);
         return;
     }
-    endpoint_changes(node, &news.changes, news.lapses);
-    track.note(news.revision, news.revision);
+    apply_endpoint_changes(node, &news.changes, news.lapses);
+    state.note(news.revision, news.revision);
 }
--- a/crates/nutmeggrade-relay/src/probes.rs
+++ b/crates/nutmeggrade-relay/src/probes.rs
@@ -1,4 +1,4 @@
-//! Asks endpoints that broke a connection whether they answer at all.
+//! Probes endpoints after a connection to them broke.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,32 +15,34 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Time between two checks, half of the pause that a word of a gone endpoint brings.
-const PERIOD: Duration = Duration::from_millis(250);
-/// Checks after which the registry knows more.
-const MOST: u32 = 40;
+/// Interval between two probes, half of the pause that a report of an unreachable endpoint causes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of probes; by then the registry has newer information on the endpoint.
+const MAX_PROBES: u32 = 40;
 
-/// What an endpoint does with a check.
+/// Result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Check {
-    /// It answers, or takes its time.
+enum ProbeResult {
+    /// The endpoint answers, or the probe timed out, which proves no failure.
     Answers,
-    /// It refuses the connection, or takes it and closes it without an answer.
-    Breaks,
+    /// The endpoint refuses the connection, or accepts and closes it without an answer.
+    Fails,
 }
 
-/// Checks an endpoint that broke a connection, again and again for as long as it breaks all, and tells the peers.
+/// Probes an endpoint after a broken connection, repeatedly for as long as probes fail, and reports
+/// each failure to the peers.
 ///
-/// A link that failed once says nothing of the endpoint, and one that is down for seconds breaks the first
-/// request of every instance, which for a generation is the whole answer. Whoever is first to lose a request
-/// there finds out which it is, and the others need not.
+/// A single failed connection doesn't show that the endpoint is down, and a link that is down for
+/// seconds breaks the first request of every instance, which for a generation means the whole
+/// answer. The first instance to lose a request there finds out which it is, so that the others
+/// lose none.
 pub fn start(node: &Arc<Node>, endpoint: &EndpointInfo) {
-    let is_told = {
+    let is_reported = {
         let tables = lock(&node.tables);
         let now = node.now();
         tables.dispatcher.book.health(&endpoint.id).is_some_and(|h| h.is_told_gone(now))
     };
-    if is_told || !lock(&node.probed).insert(endpoint.id.clone()) {
+    if is_reported || !lock(&node.probed).insert(endpoint.id.clone()) {
         return;
     }
     let (node, endpoint) = (Arc::clone(node), endpoint.clone());
@@ -51,42 +53,47 @@
 }
 
 async fn run(node: &Node, endpoint: &EndpointInfo) {
-    let mut told = None;
-    for _ in 0..MOST {
-        let said = {
+    let mut last_reported = None;
+    for _ in 0..MAX_PROBES {
+        let reported = {
             let tables = lock(&node.tables);
             if tables.registry.is_parting(&endpoint.id) {
                 return;
             }
             tables.dispatcher.book.health(&endpoint.id).and_then(Health::told_gone)
         };
-        // A peer checks it too.
-        if said > told || check(node, endpoint).await == Check::Answers {
+        // A peer probes it too.
+        if reported > last_reported || probe(node, endpoint).await == ProbeResult::Answers {
             return;
         }
         node.announce_gone(&endpoint.id);
-        told = Some(node.now());
-        let pause = PERIOD.mul_f64(rand::rng().random_range(0.9..1.1));
+        last_reported = Some(node.now());
+        let pause = PROBE_INTERVAL.mul_f64(rand::rng().random_range(0.9..1.1));
         sleep(pause).await;
     }
 }
 
-async fn check(node: &Node, endpoint: &EndpointInfo) -> Check {
+async fn probe(node: &Node, endpoint: &EndpointInfo) -> ProbeResult {
     let map = node.map();
-    let Some(spec) = map.service(&endpoint.service) else { return Check::Answers };
+    let Some(spec) = map.service(&endpoint.service) else { return ProbeResult::Answers };
     let path = if spec.engine.is_some() { engine::REPORT_PATH } else { spec.health.as_str() };
     if path.is_empty() {
-        return Check::Answers;
+        return ProbeResult::Answers;
     }
-    // An answer that is late says nothing: a check may wait for a slot.
-    let answer =
-        engine_call::ask(endpoint.address, Method::GET, path, Vec::new(), engine_call::CONNECT);
-    let Err(error) = answer.await else { return Check::Answers };
+    // A late answer proves nothing: a probe may wait for a slot.
+    let answer = engine_call::ask(
+        endpoint.address,
+        Method::GET,
+        path,
+        Vec::new(),
+        engine_call::CONNECT_TIMEOUT,
+    );
+    let Err(error) = answer.await else { return ProbeResult::Answers };
     match error.downcast_ref::<CallError>() {
         Some(error) if error.is_refused() || !error.not_sent() => {
             tracing::info!(event = "check_broke", endpoint = %endpoint.id, %error);
-            Check::Breaks
+            ProbeResult::Fails
         }
-        _ => Check::Answers,
+        _ => ProbeResult::Answers,
     }
 }
--- a/crates/nutmeggrade-relay/src/reload.rs
+++ b/crates/nutmeggrade-relay/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the process runs.
+//! Reloads settings while the process runs.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -10,16 +10,16 @@
 use crate::node::Node;
 use crate::settings::Settings;
 
-/// Time between looks at the settings file, which may change without a signal.
-const PERIOD: Duration = Duration::from_secs(2);
+/// Interval between checks of the settings file, which may change without a signal.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Takes over changed settings for as long as the process runs.
+/// Applies changed settings for as long as the process runs.
 pub async fn run(node: Arc<Node>, args: Vec<String>, path: Option<PathBuf>, mut hangup: Signal) {
     let mut last = node.settings().lines();
     loop {
         let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = sleep(PERIOD), if path.is_some() => false,
+            () = sleep(FILE_CHECK_INTERVAL), if path.is_some() => false,
         };
         match Settings::load(&args, path.as_ref()) {
             Ok(settings) => {
--- a/crates/nutmeggrade-relay/src/rollouts.rs
+++ b/crates/nutmeggrade-relay/src/rollouts.rs
@@ -1,4 +1,5 @@
-//! Judges roll-outs, reports what was counted, and writes their state to the store.
+//! Decides how far roll-outs go, reports outcomes to the deciding instances, and writes the state
+//! of roll-outs to the store.
 
 mod judging;
 mod reporting;
@@ -15,25 +16,25 @@
 use crate::node::Node;
 use crate::peers::Peers;
 
-/// Time between two looks at the roll-outs.
-const PERIOD: Duration = Duration::from_millis(100);
+/// Interval between two checks of the roll-outs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Starts everything, where roll-outs are followed.
+/// Starts the tasks if roll-outs are followed.
 pub fn start(node: &Arc<Node>, peers: &Arc<Peers>) -> Vec<JoinHandle<()>> {
     if !node.follows_rollouts() {
         return Vec::new();
     }
     vec![
-        tokio::spawn(watch(Arc::clone(node), Arc::clone(peers))),
+        tokio::spawn(check_rollouts(Arc::clone(node), Arc::clone(peers))),
         tokio::spawn(writing::run(Arc::clone(node))),
     ]
 }
 
-async fn watch(node: Arc<Node>, peers: Arc<Peers>) {
+async fn check_rollouts(node: Arc<Node>, peers: Arc<Peers>) {
     let (mut judges, mut reporter) = (Judges::new(), Reporter::new());
     loop {
-        sleep(PERIOD).await;
-        judges.look(&node);
-        reporter.look(&node, &peers).await;
+        sleep(CHECK_INTERVAL).await;
+        judges.decide_all(&node);
+        reporter.send_due(&node, &peers).await;
     }
 }
--- a/crates/nutmeggrade-relay/src/rollouts/judging.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/judging.rs
@@ -1,4 +1,4 @@
-//! Decides how far roll-outs go, on the instance whose turn it is.
+//! Decides how far roll-outs go, on the one instance that is responsible.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 use crate::node::{Node, Phase};
 use crate::tables::{Tables, lock};
 
-/// The judges of the roll-outs that this instance decides.
+/// Judges of the roll-outs that this instance decides.
 ///
-/// The first instance in the order in which they read for all decides. For a moment two may take themselves for
-/// it; as phases only advance and the store takes a state only at the revision that its writer has read, both
-/// lead to one end.
+/// The first instance in the order of readers decides. For a moment two instances may both act as
+/// the first; as phases only advance, and the store accepts a state only at the revision that its
+/// writer has read, both arrive at the same result.
 #[derive(Debug, Default)]
 pub struct Judges(BTreeMap<(ServiceId, RolloutId), Judge>);
 
 impl Judges {
-    /// Makes judges of nothing.
+    /// Creates an empty set of judges.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Decides how far each roll-out goes, if it is this instance's turn.
-    pub fn look(&mut self, node: &Node) {
+    /// Decides the phase of each open roll-out if this instance is responsible.
+    pub fn decide_all(&mut self, node: &Node) {
         let Some(bound) = node.settings().exposure else { return };
         let (now, map) = (node.now(), node.map());
         let is_serving = node.phase() == Phase::Serving;
@@ -57,7 +57,7 @@
         map: &RouteMap,
         now: Moment,
     ) -> Option<RolloutNotice> {
-        let seen = tables.surroundings(map, (service, &id.version), now);
+        let surroundings = tables.surroundings(map, (service, &id.version), now);
         let view = tables.rollouts.view(service, now)?;
         let members: Vec<InstanceId> = tables.fleet.members(now).cloned().collect();
         let facts = Facts {
@@ -65,22 +65,22 @@
             duration: view.duration,
             phase: view.phase,
             tally: view.tally,
-            capacity: seen.capacity,
-            movable: seen.movable,
+            capacity: surroundings.capacity,
+            movable: surroundings.movable,
             has_quorum: tables.fleet.has_quorum(now),
-            is_clear: tables.rollouts.is_clear(service, seen.own_running, members.iter()),
+            is_clear: tables.rollouts.is_clear(service, surroundings.own_running, members.iter()),
         };
         let judge =
             self.0.entry((service.clone(), id.clone())).or_insert_with(|| Judge::new(bound));
         let ruling = judge.rule(&facts);
         if ruling.phase != view.phase {
-            log(service, id, &facts, &ruling);
+            log_decision(service, id, &facts, &ruling);
         }
         tables.rollouts.rule(service, &ruling, now)
     }
 }
 
-fn log(service: &ServiceId, id: &RolloutId, facts: &Facts, ruling: &Ruling) {
+fn log_decision(service: &ServiceId, id: &RolloutId, facts: &Facts, ruling: &Ruling) {
     let answers = facts.tally.all_routes();
     let (route, complaint) = match &ruling.verdict {
         Verdict::Bad { route, complaint } => (route.as_str(), complaint.to_string()),
--- a/crates/nutmeggrade-relay/src/rollouts/reporting.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/reporting.rs
@@ -1,4 +1,4 @@
-//! Reports what this instance counted of roll-outs to those who judge them.
+//! Reports what this instance counted of roll-outs to the instances that judge them.
 
 use std::collections::BTreeMap;
 
@@ -11,28 +11,28 @@
 use crate::peers::Peers;
 use crate::tables::lock;
 
-/// Reports what this instance counted of roll-outs to those who judge them.
+/// Reports what this instance counted of roll-outs to the instances that judge them.
 #[derive(Debug, Default)]
 pub struct Reporter(BTreeMap<ServiceId, Reported>);
 
 impl Reporter {
-    /// Makes a reporter that has told nothing.
+    /// Creates a reporter that has sent nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Sends the reports that are due.
-    pub async fn look(&mut self, node: &Node, peers: &Peers) {
+    pub async fn send_due(&mut self, node: &Node, peers: &Peers) {
         let now = node.now();
         let reports = reports(node, now);
         self.0.retain(|service, _| reports.iter().any(|r| r.service == *service));
         let judges = lock(&node.tables).fleet.judges(now);
         for report in reports {
-            let fresh = Reported::new(&report, now);
-            if self.0.get(&report.service).is_some_and(|last| !last.is_old(&fresh)) {
+            let current = Reported::new(&report, now);
+            if self.0.get(&report.service).is_some_and(|last| !last.is_old(&current)) {
                 continue;
             }
-            self.0.insert(report.service.clone(), fresh);
+            self.0.insert(report.service.clone(), current);
             peers.send_to(node, &FleetMessage::RolloutReport(report), &judges).await;
         }
     }
--- a/crates/nutmeggrade-relay/src/rollouts/writing.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/writing.rs
@@ -1,4 +1,4 @@
-//! Writes the state of roll-outs to the store, on the instance whose turn it is.
+//! Writes the state of roll-outs to the store, on the one instance that is responsible.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,36 +9,37 @@
 use nutmeggrade_wire::store::StatusWrite;
 use tokio::time::sleep;
 
-use super::PERIOD;
+use super::CHECK_INTERVAL;
 use crate::node::Node;
 use crate::tables::lock;
 use crate::watch::StoreCalls;
 
-/// Pause after a write that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(400);
+/// Delay after a failed write.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Writes states for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
     loop {
-        sleep(PERIOD).await;
-        for change in due(&node) {
+        sleep(CHECK_INTERVAL).await;
+        for change in pending(&node) {
             write(&node, &change).await;
         }
     }
 }
 
-/// Lists the states that this instance is to write.
-fn due(node: &Node) -> Vec<StateChange> {
+/// Lists the states that this instance has to write.
+fn pending(node: &Node) -> Vec<StateChange> {
     let tables = lock(&node.tables);
-    let is_away = node.follow.track(Kind::Rollouts).is_away();
-    if is_away || !tables.fleet.is_first_reader(node.now()) {
+    let is_unavailable = node.follow.state(Kind::Rollouts).is_unavailable();
+    if is_unavailable || !tables.fleet.is_first_reader(node.now()) {
         return Vec::new();
     }
     tables.rollouts.unwritten()
 }
 
-/// Writes one state, and takes the object as the store holds it then. The condition on its revision keeps a
-/// write whose answer was lost, or which is done seconds later, from undoing another one.
+/// Writes one state, and applies the object that the store then holds. The condition on its
+/// revision keeps a write whose answer was lost, or which takes effect seconds later, from undoing
+/// another one.
 async fn write(node: &Node, change: &StateChange) {
     let StateChange { service, version, revision, state } = change;
     let status = rollout::write(version, *state);
@@ -51,7 +52,7 @@
         Err(error) => {
             tracing::warn!(event = "rollout_unwritten", %service, %version,
                 state = state.as_str(), %error);
-            sleep(FAILED_PAUSE).await;
+            sleep(RETRY_DELAY).await;
             return;
         }
     };
--- a/crates/nutmeggrade-relay/src/server.rs
+++ b/crates/nutmeggrade-relay/src/server.rs
@@ -1,4 +1,4 @@
-//! The process around an instance: its signals, its settings, its end.
+//! Process of an instance: signals, settings and shutdown.
 
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -11,11 +11,11 @@
 use crate::reload;
 use crate::settings::Settings;
 
-/// The signals that an instance handles.
+/// Signals that an instance handles.
 ///
-/// A signal that comes before its handler is set ends the process: a settings file that changes just
-/// after a start would look like a crash. So they are caught before anything else is done, and seen to
-/// once the instance stands.
+/// A signal that arrives before its handler is installed ends the process: a settings file that
+/// changes just after a start would look like a crash. So the handlers are installed before
+/// anything else, and the signals are processed once the instance runs.
 #[derive(Debug)]
 pub struct Signals {
     term: Signal,
@@ -24,11 +24,11 @@
 }
 
 impl Signals {
-    /// Catches them from now on. Has to be called inside a runtime.
+    /// Installs the handlers. Must be called inside a runtime.
     ///
     /// # Errors
     ///
-    /// Fails if a handler can't be set.
+    /// Fails if a handler can't be installed.
     pub fn catch() -> anyhow::Result<Self> {
         Ok(Self {
             term: signal(SignalKind::terminate()).context("handle SIGTERM")?,
@@ -62,8 +62,8 @@
     Ok(())
 }
 
-/// Returns a number that is higher in every later life of an instance, as far as the machine's time
-/// of day goes forward; a life that starts within a step back is heard once the one before it is
+/// Returns a number that is higher in every later run of an instance, provided that the wall clock
+/// doesn't step back. After such a step, peers accept the new run once the earlier one counts as
 /// silent.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/nutmeggrade-relay/src/settings.rs
+++ b/crates/nutmeggrade-relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an instance that serves routes.
+//! Settings of an instance that serves requests.
 
 mod file;
 
@@ -14,8 +14,8 @@
 
 use file::SettingsFile;
 
-const S: &str = "s";
-const ONE: &str = "1";
+const SECONDS: &str = "s";
+const UNITLESS: &str = "1";
 
 const SPECS: &[Spec] = &[
     Spec::new("instance", Kind::Name, "name of this instance"),
@@ -37,33 +37,49 @@
         "memory that the process may use",
     )
     .with_default("256"),
-    Spec::new("grace", decimal(S, 1, 3_600), "time from SIGTERM until the process is killed")
+    Spec::new("grace", decimal(SECONDS, 1, 3_600), "time from SIGTERM until the process is killed")
         .with_default("8"),
-    Spec::new("entry-keep", decimal(S, 1, 600), "longest that clients keep an instance's address")
-        .with_default("5"),
-    Spec::new("resend-ratio", decimal(ONE, 0, 100), "second sends allowed for each request")
+    Spec::new(
+        "entry-keep",
+        decimal(SECONDS, 1, 600),
+        "longest that clients keep an instance's address",
+    )
+    .with_default("5"),
+    Spec::new("resend-ratio", decimal(UNITLESS, 0, 100), "second sends allowed for each request")
         .with_default("0.1"),
-    Spec::new("resend-window", decimal(S, 1, 3_600), "time over which second sends are counted")
-        .with_default("10"),
-    Spec::new("resend-extra", decimal(ONE, 0, 1_000_000), "further second sends in each window")
-        .with_default("10"),
+    Spec::new(
+        "resend-window",
+        decimal(SECONDS, 1, 3_600),
+        "time over which second sends are counted",
+    )
+    .with_default("10"),
+    Spec::new(
+        "resend-extra",
+        decimal(UNITLESS, 0, 1_000_000),
+        "further second sends in each window",
+    )
+    .with_default("10"),
     Spec::new(
         "cold-overrun",
-        decimal(ONE, 0, 100),
+        decimal(UNITLESS, 0, 100),
         "how far a cold endpoint's rate may be exceeded",
     )
     .with_default("1"),
-    Spec::new("cold-tolerance", decimal(ONE, 0, 1_000), "requests beyond a cold endpoint's rate")
-        .with_default("0"),
+    Spec::new(
+        "cold-tolerance",
+        decimal(UNITLESS, 0, 1_000),
+        "requests beyond a cold endpoint's rate",
+    )
+    .with_default("0"),
     Spec::new(
         "exposure-share",
-        decimal(ONE, 0, 1),
+        decimal(UNITLESS, 0, 1),
         "part of a service's requests that a bad version may get; 0 follows no roll-outs",
     )
     .with_default("0"),
     Spec::new(
         "exposure-tolerance",
-        decimal(ONE, 0, 1_000_000),
+        decimal(UNITLESS, 0, 1_000_000),
         "requests that a bad version may get beyond that part",
     )
     .with_default("0"),
@@ -72,35 +88,35 @@
 ];
 
 const fn whole(min: u64, max: u64) -> Kind {
-    Kind::Number { unit: ONE, min, max }
+    Kind::Number { unit: UNITLESS, min, max }
 }
 
 const fn decimal(unit: &'static str, min: u64, max: u64) -> Kind {
     Kind::Decimal { unit, min, max }
 }
 
-/// The settings of an instance that serves routes, checked as a whole.
+/// Validated settings of an instance that serves requests.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Name of this instance.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub domain: DomainId,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub platform: SocketAddr,
-    /// Where clients connect.
+    /// Address for client requests.
     pub client_address: SocketAddr,
-    /// Where the platform asks for readiness.
+    /// Address of the readiness check.
     pub ready_address: SocketAddr,
-    /// Where clients ask for instances.
+    /// Address of the directory of instances.
     pub directory_address: SocketAddr,
-    /// Where peers ask for what they can't read from the platform.
+    /// Address for peers' requests for what they can't read from the platform.
     pub control_address: SocketAddr,
-    /// Where heartbeats come in.
+    /// Address for peers' heartbeats, by UDP.
     pub beacon_address: SocketAddr,
-    /// Where metrics are served.
+    /// Address of the metrics.
     pub metrics_address: SocketAddr,
-    /// Where the heartbeats of a few other instances may come in.
+    /// Heartbeat addresses of some other instances, to join the fleet through.
     pub seeds: Vec<SocketAddr>,
     /// File descriptors that the process may use.
     pub descriptors: usize,
@@ -108,15 +124,15 @@
     pub memory: usize,
     /// Time from SIGTERM until the process is killed.
     pub grace: Duration,
-    /// Longest that clients keep an instance's address.
+    /// Longest time for which clients cache an instance's address.
     pub entry_keep: Duration,
-    /// Second sends that all instances together may make.
+    /// Budget for resends of all instances together.
     pub resends: Allowance,
-    /// How far a cold endpoint's rate may be exceeded.
+    /// Factor by which a cold endpoint's rate is multiplied to get its limit.
     pub cold_overrun: f64,
-    /// Requests that a cold endpoint may get beyond that.
+    /// Requests per second added to that limit.
     pub cold_tolerance: f64,
-    /// How many requests a version may get that turns out bad; none where roll-outs are not followed.
+    /// Limit of requests to a version that turns out bad; `None` where roll-outs are not followed.
     pub exposure: Option<ExposureBound>,
     /// Log filter.
     pub log: String,
@@ -124,13 +140,13 @@
 }
 
 impl Settings {
-    /// Reads flags, the settings file and environment variables; lists every mistake at once.
+    /// Reads flags, the settings file and environment variables, and reports all mistakes together.
     ///
-    /// A flag goes before the file, the file before a variable.
+    /// A flag takes precedence over the file, and the file over a variable.
     ///
     /// # Errors
     ///
-    /// Fails with each mistake, its code, and the line of the file if it is there.
+    /// Fails with each mistake, its code, and the line if it comes from the file.
     pub fn load(args: &[String], path: Option<&PathBuf>) -> Result<Self, Vec<Mistake>> {
         let file = match path {
             Some(path) => SettingsFile::load(path, SPECS)?,
@@ -158,7 +174,7 @@
     fn new(values: Values) -> anyhow::Result<Self> {
         let address = |flag| values.address(flag).with_context(|| format!("--{flag}"));
         let beacon_address = address("beacon-address")?;
-        // Ports are the same on all instances of a deployment; only the addresses are named.
+        // Ports are the same on all instances of a deployment, so seeds only name the IP addresses.
         let beacon_of = |seed: SocketAddr| SocketAddr::new(seed.ip(), beacon_address.port());
         Ok(Self {
             instance: InstanceId::new(values.text("instance")).context("--instance")?,
--- a/crates/nutmeggrade-relay/src/settings/file.rs
+++ b/crates/nutmeggrade-relay/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The settings file: a variable and its value a line.
+//! The settings file: one `VARIABLE=value` per line.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
     value: String,
 }
 
-/// A settings file: `VARIABLE=value` a line, `#` begins a comment line.
+/// Parsed settings file: one `VARIABLE=value` per line, comment lines start with `#`.
 #[derive(Debug, Clone, Default)]
 pub struct SettingsFile {
     path: PathBuf,
@@ -20,8 +20,8 @@
 }
 
 impl SettingsFile {
-    /// Reads a file and refuses variables that are not those of a setting: a mistyped one would
-    /// leave its setting at the default without a word.
+    /// Reads a file and rejects variables that belong to no setting: a mistyped one would otherwise
+    /// silently leave its setting at the default.
     pub fn load(path: &Path, specs: &[Spec]) -> Result<Self, Vec<Mistake>> {
         let text = std::fs::read_to_string(path).map_err(|e| {
             let detail = format!("{}: {e}", path.display());
@@ -35,14 +35,14 @@
                 continue;
             }
             let number = index + 1;
-            if let Err(mistake) = file.take(line, number, specs) {
+            if let Err(mistake) = file.parse_line(line, number, specs) {
                 mistakes.push(mistake);
             }
         }
         if mistakes.is_empty() { Ok(file) } else { Err(mistakes) }
     }
 
-    fn take(&mut self, line: &str, number: usize, specs: &[Spec]) -> Result<(), Mistake> {
+    fn parse_line(&mut self, line: &str, number: usize, specs: &[Spec]) -> Result<(), Mistake> {
         let place = format!("{}:{number}", self.path.display());
         let Some((name, value)) = line.split_once('=') else {
             let detail = format!("{place}: no = in {line:?}");
@@ -63,7 +63,7 @@
         self.lines.get(name).map(|l| l.value.clone()).filter(|v| !v.is_empty())
     }
 
-    /// Adds the line of the file to a mistake in a value that came from it.
+    /// Adds the file and line number to a mistake in a value from the file.
     pub fn locate(&self, mut mistake: Mistake, specs: &[Spec]) -> Mistake {
         let variables = specs.iter().map(Spec::variable);
         let line = variables
--- a/crates/nutmeggrade-relay/src/short_call.rs
+++ b/crates/nutmeggrade-relay/src/short_call.rs
@@ -1,4 +1,4 @@
-//! One short call to an engine or a peer.
+//! Short calls to engines and peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,28 +10,28 @@
 use nutmeggrade_platform::{body_bytes, call};
 use tokio::time::timeout;
 
-/// How long a call may take, and how much it may bring.
+/// Limits of a call.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
-    /// Most time to connect.
+pub struct CallLimits {
+    /// Timeout of connecting.
     pub connect: Duration,
-    /// Most time for all of it.
-    pub patience: Duration,
+    /// Timeout of the whole call.
+    pub timeout: Duration,
     /// Largest answer, in bytes.
-    pub answer: usize,
+    pub max_answer: usize,
 }
 
-/// Sends a call on a connection of its own and reads the whole answer.
+/// Sends a request on a new connection and reads the whole answer.
 ///
 /// # Errors
 ///
-/// Fails if no whole answer comes within the bounds.
+/// Fails if the answer is not complete within the limits.
 pub async fn short_call(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: Vec<u8>,
-    bounds: Bounds,
+    limits: CallLimits,
 ) -> anyhow::Result<(StatusCode, Bytes)> {
     let request = Request::builder()
         .method(method)
@@ -41,9 +41,9 @@
         .body(Full::new(Bytes::from(body)))
         .context("build request")?;
     let exchange = async {
-        let response = call(address, request, bounds.connect).await?;
+        let response = call(address, request, limits.connect).await?;
         let status = response.status();
-        Ok((status, body_bytes(response.into_body(), bounds.answer).await?))
+        Ok((status, body_bytes(response.into_body(), limits.max_answer).await?))
     };
-    timeout(bounds.patience, exchange).await.context("no answer in time")?
+    timeout(limits.timeout, exchange).await.context("no answer in time")?
 }
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -1,4 +1,4 @@
-//! What an instance knows and has decided, behind one lock.
+//! State on which decisions depend, behind one lock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -20,37 +20,38 @@
 
 use crate::settings::Settings;
 
-/// Locks a table; a panic of another holder left it whole, since no table changes in two steps.
+/// Locks a mutex, also after a panic of another holder: no table is changed in two steps, so the
+/// state is consistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What a decision may depend on.
+/// State on which decisions depend.
 ///
-/// One lock for all: choosing an endpoint looks at the registry, the load book, the budgets and the
-/// cold shares together, and holds the lock for some microseconds. Lock order: the route map is read
-/// before this lock is taken, never under it.
+/// There is one lock for all of it: choosing an endpoint reads the registry, the load book, the
+/// budgets and the cold shares together, and holds the lock for some microseconds. Lock order: the
+/// route map is read before this lock is taken, never under it.
 #[derive(Debug)]
 pub struct Tables {
-    /// Endpoints and failure domains that are out.
+    /// Endpoints, and failure domains that are evacuated.
     pub registry: Registry,
-    /// Who has how much where, and who waits.
+    /// Load of each endpoint, and the queue of waiting requests.
     pub dispatcher: Dispatcher,
-    /// The other instances.
+    /// Peers.
     pub fleet: FleetView,
-    /// How long answers take.
+    /// Durations of answers.
     pub pace: Pace,
-    /// Requests under which endpoints died.
+    /// Requests that were running when an endpoint crashed.
     pub crashes: CrashLog,
-    /// Services that move to another version.
+    /// Roll-outs of services to another version.
     pub rollouts: RolloutTable,
-    resends: BTreeMap<ServiceId, ResendBudget>,
-    cold: BTreeMap<EndpointId, ColdShare>,
-    waiting: BTreeMap<Ticket, oneshot::Sender<EndpointId>>,
+    resend_budgets: BTreeMap<ServiceId, ResendBudget>,
+    cold_shares: BTreeMap<EndpointId, ColdShare>,
+    waiters: BTreeMap<Ticket, oneshot::Sender<EndpointId>>,
 }
 
 impl Tables {
-    /// Makes tables of an instance that knows nothing yet.
+    /// Creates empty tables.
     pub fn new(dispatcher: Dispatcher, fleet: FleetView) -> Self {
         Self {
             registry: Registry::new(),
@@ -59,63 +60,65 @@
             pace: Pace::new(),
             crashes: CrashLog::new(),
             rollouts: RolloutTable::new(),
-            resends: BTreeMap::new(),
-            cold: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            resend_budgets: BTreeMap::new(),
+            cold_shares: BTreeMap::new(),
+            waiters: BTreeMap::new(),
         }
     }
 
-    /// Decides about a request; one that waits hears by the channel. A refusal says when to come back.
+    /// Places a request; the channel delivers its endpoint, also after a wait. A refusal returns
+    /// the time after which to retry.
     pub fn offer(
         &mut self,
         need: &Need,
-        patience: Duration,
+        max_wait: Duration,
         now: Moment,
     ) -> Result<oneshot::Receiver<EndpointId>, Duration> {
         let (sender, receiver) = oneshot::channel();
-        match self.dispatcher.offer(need, patience, now) {
+        match self.dispatcher.offer(need, max_wait, now) {
             Offer::Go(endpoint) => {
-                self.note_cold(&endpoint, now);
-                // The receiver is in hand, so the send can't fail.
+                self.count_cold_request(&endpoint, now);
+                // The receiver still exists, so the send can't fail.
                 drop(sender.send(endpoint));
                 Ok(receiver)
             }
             Offer::Wait => {
-                self.waiting.insert(need.ticket, sender);
+                self.waiters.insert(need.ticket, sender);
                 Ok(receiver)
             }
             Offer::Refuse(wait) => Err(wait),
         }
     }
 
-    /// Gives free room to those who wait.
+    /// Assigns free slots to waiting requests.
     pub fn release(&mut self, now: Moment) {
         for (ticket, endpoint) in self.dispatcher.release(now) {
-            self.note_cold(&endpoint, now);
-            let taken = self.waiting.remove(&ticket).map(|s| s.send(endpoint));
-            // Whoever gave up in the same moment leaves the room to the next.
-            if !matches!(taken, Some(Ok(()))) {
+            self.count_cold_request(&endpoint, now);
+            let delivered = self.waiters.remove(&ticket).map(|s| s.send(endpoint));
+            // A request that gave up at the same moment frees its slot for the next one.
+            if !matches!(delivered, Some(Ok(()))) {
                 self.dispatcher.book.end(ticket);
             }
         }
     }
 
-    /// Takes a request out that gave up waiting; returns when it may come back.
+    /// Removes a request that gave up waiting; returns the time after which it may retry.
     pub fn give_up(&mut self, need: &Need) -> Duration {
-        self.waiting.remove(&need.ticket);
+        self.waiters.remove(&need.ticket);
         self.dispatcher.book.end(need.ticket);
         self.dispatcher.give_up(need)
     }
 
-    /// Notes a request for a service; returns the part of such requests that a new version gets now.
+    /// Counts a request for a service; returns the share of requests that a new version gets at
+    /// present.
     pub fn count_request(&mut self, service: &ServiceId, settings: &Settings, now: Moment) -> f64 {
         self.budget(service, settings).request(now);
         self.rollouts.count_request(service);
         self.rollouts.share(service, now)
     }
 
-    /// Notes what a request tells of the version that served it. An endpoint that has just started or leaves
-    /// is slow or breaks off whatever its version.
+    /// Counts a request's outcome for the version that served it. Endpoints that have just started
+    /// or are leaving are not counted, since they are slow or fail whatever their version.
     pub fn note_outcome(
         &mut self,
         endpoint: &EndpointInfo,
@@ -137,25 +140,25 @@
         }
     }
 
-    /// Takes a second send to a service out of the budget, if one is left.
+    /// Takes one resend to a service from the budget; returns whether the budget allows it.
     pub fn take_resend(&mut self, service: &ServiceId, settings: &Settings, now: Moment) -> bool {
         let sharers = self.fleet.sharers(now);
         self.budget(service, settings).take(sharers, now)
     }
 
     fn budget(&mut self, service: &ServiceId, settings: &Settings) -> &mut ResendBudget {
-        let fresh = || ResendBudget::new(settings.resends);
-        self.resends.entry(service.clone()).or_insert_with(fresh)
+        let new_budget = || ResendBudget::new(settings.resends);
+        self.resend_budgets.entry(service.clone()).or_insert_with(new_budget)
     }
 
-    /// Notes a request that goes to an endpoint that may be cold.
-    pub fn note_cold(&mut self, endpoint: &EndpointId, now: Moment) {
-        if let Some(share) = self.cold.get_mut(endpoint) {
+    /// Counts a request against an endpoint's cold share, if it has one.
+    pub fn count_cold_request(&mut self, endpoint: &EndpointId, now: Moment) {
+        if let Some(share) = self.cold_shares.get_mut(endpoint) {
             share.sent(now);
         }
     }
 
-    /// Looks at the endpoints of a service that moves to another version.
+    /// Summarizes the endpoints of a service that is being rolled out.
     pub fn surroundings(
         &self,
         map: &RouteMap,
@@ -173,33 +176,33 @@
         Surroundings::new(&self.registry, (service, version), load, now)
     }
 
-    /// Works out anew what endpoints may get by their version.
-    fn rule_versions(&mut self, settings: &Settings, now: Moment) {
+    /// Recomputes the versions that each service may use.
+    fn refresh_versions(&mut self, settings: &Settings, now: Moment) {
         if settings.exposure.is_none() {
             return;
         }
         let mut versions = self.registry.provisional(self.rollouts.is_known(), now);
-        // A service whose roll-out is over may have any version.
+        // Once its roll-out is decided, a service may use any version.
         versions.retain(|service, _| !self.rollouts.is_decided(service));
         versions.extend(self.rollouts.rules(now));
         self.registry.set_versions(versions);
     }
 
-    /// Works out anew which endpoints may get work.
+    /// Recomputes which endpoints may get work.
     pub fn refresh(&mut self, map: &RouteMap, settings: &Settings, now: Moment) {
-        self.rule_versions(settings, now);
+        self.refresh_versions(settings, now);
         let mut candidates: BTreeMap<ServiceId, Vec<Candidate>> = BTreeMap::new();
         let mut canaries: BTreeMap<&ServiceId, Vec<Candidate>> = BTreeMap::new();
-        let mut cold = BTreeSet::new();
+        let mut cold_ids = BTreeSet::new();
         let sharers = self.fleet.sharers(now);
         for entry in self.registry.usable() {
             let Some(spec) = map.service(&entry.info.service) else { continue };
-            let mut candidate = warm(entry, spec);
-            if let Some(bound) = cold_bound(entry, spec, settings, now) {
+            let mut candidate = to_candidate(entry, spec);
+            if let Some(bound) = cold_rate_limit(entry, spec, settings, now) {
                 let rank = self.fleet.rank(&entry.info.id, now);
-                let share = self.cold.entry(entry.info.id.clone()).or_default();
+                let share = self.cold_shares.entry(entry.info.id.clone()).or_default();
                 candidate.cold_left = Some(share.left(bound, rank, sharers, now));
-                cold.insert(entry.info.id.clone());
+                cold_ids.insert(entry.info.id.clone());
             }
             if self.registry.standing(&entry.info) != Standing::Canary {
                 candidates.entry(spec.name.clone()).or_default().push(candidate);
@@ -212,14 +215,14 @@
             let count = watched(all.len(), self.rollouts.share(service, now));
             candidates.entry(service.clone()).or_default().extend(all.into_iter().take(count));
         }
-        self.cold.retain(|id, _| cold.contains(id));
+        self.cold_shares.retain(|id, _| cold_ids.contains(id));
         let registry = &self.registry;
         self.dispatcher.book.keep_endpoints(|id| registry.get(id).is_some());
         self.dispatcher.set_candidates(candidates);
     }
 }
 
-fn warm(entry: &Registered, spec: &ServiceSpec) -> Candidate {
+fn to_candidate(entry: &Registered, spec: &ServiceSpec) -> Candidate {
     let slots = spec.engine.map_or(entry.info.slots, |e| e.slots);
     Candidate {
         id: entry.info.id.clone(),
@@ -231,8 +234,8 @@
     }
 }
 
-/// Returns how many requests a second a cold endpoint may get from all instances together.
-fn cold_bound(
+/// Returns how many requests per second a cold endpoint may get from all instances together.
+fn cold_rate_limit(
     entry: &Registered,
     spec: &ServiceSpec,
     settings: &Settings,
@@ -242,7 +245,7 @@
         return None;
     }
     let bound = spec.cold_rate * settings.cold_overrun + settings.cold_tolerance;
-    // A rate beyond any that an endpoint bears bounds nothing.
+    // A bound above 65,535 requests per second is cut to that, which no endpoint can serve anyway.
     let steps = (0..16).rev().map(|bit| 1_u32 << bit);
     Some(steps.fold(0, |sum, step| if f64::from(sum + step) <= bound { sum + step } else { sum }))
 }
--- a/crates/nutmeggrade-relay/src/ticker.rs
+++ b/crates/nutmeggrade-relay/src/ticker.rs
@@ -1,4 +1,4 @@
-//! What has to be looked at again and again.
+//! Periodic maintenance of the tables.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,48 +11,49 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Time between looks: a tenth of the second over which cold endpoints are bounded, and as long as
-/// a waiting request may miss room that a pause or a peer's heartbeat made.
-const PERIOD: Duration = Duration::from_millis(100);
+/// Interval between ticks: a tenth of the second over which requests to cold endpoints are limited,
+/// and the longest that a waiting request may miss slots that an expired pause or a peer's
+/// heartbeat has freed.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks for as long as the process runs.
+/// Runs the maintenance for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
-    let mut ticks = interval(PERIOD);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut live = BTreeSet::new();
+    let mut live_before = BTreeSet::new();
     loop {
         ticks.tick().await;
         node.change_registry(Registry::expire);
-        look_at_peers(&node, &mut live);
-        forget_rollouts(&node);
+        expire_peers(&node, &mut live_before);
+        prune_rollouts(&node);
         node.refresh();
     }
 }
 
-/// Forgets what peers that fell silent have placed, and says which did.
-fn look_at_peers(node: &Node, live: &mut BTreeSet<InstanceId>) {
+/// Drops peers that fell silent together with their placements, and logs which ones did.
+fn expire_peers(node: &Node, live_before: &mut BTreeSet<InstanceId>) {
     let now = node.now();
     let mut tables = lock(&node.tables);
     tables.fleet.forget(now);
-    let heard: BTreeSet<InstanceId> = tables.fleet.live(now).cloned().collect();
-    for peer in live.difference(&heard) {
+    let live_now: BTreeSet<InstanceId> = tables.fleet.live(now).cloned().collect();
+    for peer in live_before.difference(&live_now) {
         tracing::info!(event = "peer_silent", %peer);
     }
-    tables.dispatcher.book.keep_peers(|peer| heard.contains(peer));
+    tables.dispatcher.book.keep_peers(|peer| live_now.contains(peer));
     let waiting = tables.dispatcher.waiting();
     drop(tables);
-    node.metrics.peers.set(i64::try_from(heard.len()).unwrap_or(i64::MAX));
+    node.metrics.peers.set(i64::try_from(live_now.len()).unwrap_or(i64::MAX));
     node.metrics.waiting.set(i64::try_from(waiting).unwrap_or(i64::MAX));
-    *live = heard;
+    *live_before = live_now;
 }
 
-/// Forgets orders that were taken back and of whose version nothing is left.
-fn forget_rollouts(node: &Node) {
+/// Drops roll-outs that were withdrawn and whose version has no endpoints left.
+fn prune_rollouts(node: &Node) {
     let tables = &mut *lock(&node.tables);
     let registry = &tables.registry;
     tables.rollouts.forget(|service, version| {
-        let is_there =
+        let runs_version =
             |e: &Registered| e.info.service == *service && e.info.version.as_ref() == Some(version);
-        registry.all().any(is_there)
+        registry.all().any(runs_version)
     });
 }
--- a/crates/nutmeggrade-relay/src/watch/apply.rs
+++ b/crates/nutmeggrade-relay/src/watch/apply.rs
@@ -1,4 +1,4 @@
-//! Takes over what was read.
+//! Applies objects read from the store or received from peers to the tables.
 
 use std::time::Duration;
 
@@ -15,27 +15,30 @@
 use nutmeggrade_wire::{config, endpoint, rollout};
 use serde_json::Value;
 
-use crate::fleet_sync::{Known, KnownAt};
+use crate::fleet_sync::{KindObjects, KindSnapshot};
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Time after a start in which it is not known whether the store was just away.
-const FRESH: Duration = Duration::from_secs(5);
+/// Time after a start for which this instance can't tell whether the store had an outage.
+const STARTUP_WINDOW: Duration = Duration::from_secs(5);
 
-/// Takes over a whole listing.
+/// Applies a complete listing.
 pub fn listing(node: &Node, kind: Kind, snapshot: &Snapshot, after_outage: bool) {
     match kind {
-        Kind::Config => take_config(node, &snapshot.objects),
+        Kind::Config => apply_config(node, &snapshot.objects),
         Kind::Endpoints => {
-            let all: Vec<EndpointInfo> = snapshot.objects.iter().filter_map(read).collect();
+            let all: Vec<EndpointInfo> =
+                snapshot.objects.iter().filter_map(read_endpoint).collect();
             let left =
                 node.change_registry(|registry, now| registry.replace(&all, after_outage, now));
-            // Peers whose watches heard nothing of it learn it here, and not when their own end.
-            node.tell_leaving(&left);
+            // Peers whose watches missed the removal learn it here; otherwise they would only
+            // notice at the end of their own hold time.
+            node.broadcast_leaving(&left);
         }
         Kind::Evacuations => {
-            let out = snapshot.objects.iter().filter_map(|o| read_out(&o.name)).collect();
-            node.set_out(&out);
+            let evacuated =
+                snapshot.objects.iter().filter_map(|o| read_evacuation(&o.name)).collect();
+            node.set_evacuated(&evacuated);
         }
         Kind::Rollouts => {
             let all: Vec<StoredRollout> =
@@ -45,22 +48,23 @@
     }
 }
 
-/// Takes over changes since a revision. `after_outage` says that endpoints' entries may have lapsed.
+/// Applies the changes since a revision. `after_outage` means that endpoint entries may have
+/// expired.
 pub fn changes(node: &Node, kind: Kind, snapshot: &Snapshot, since: u64, after_outage: bool) {
     match kind {
-        Kind::Config => take_config(node, &snapshot.objects),
-        Kind::Endpoints => take_endpoints(node, snapshot, since, after_outage),
+        Kind::Config => apply_config(node, &snapshot.objects),
+        Kind::Endpoints => apply_endpoints(node, snapshot, since, after_outage),
         Kind::Evacuations => {
-            let mut out = lock(&node.tables).registry.out().clone();
+            let mut evacuated = lock(&node.tables).registry.out().clone();
             for object in &snapshot.objects {
-                let Some(domain) = read_out(&object.name) else { continue };
+                let Some(domain) = read_evacuation(&object.name) else { continue };
                 if object.is_gone {
-                    out.remove(&domain);
+                    evacuated.remove(&domain);
                 } else {
-                    out.insert(domain);
+                    evacuated.insert(domain);
                 }
             }
-            node.set_out(&out);
+            node.set_evacuated(&evacuated);
         }
         Kind::Rollouts => node.change_rollouts(|rollouts, now| {
             snapshot.objects.iter().filter_map(|o| change_rollout(rollouts, o, now)).collect()
@@ -68,59 +72,64 @@
     }
 }
 
-/// Takes over what has changed since a listing that lagged. Peers have it by their own listings.
-pub fn rest(node: &Node, kind: Kind, snapshot: &Snapshot, after_outage: bool) {
+/// Applies what has changed since a listing that lagged. Peers get these changes from their own
+/// listings, so they are not forwarded.
+pub fn later_changes(node: &Node, kind: Kind, snapshot: &Snapshot, after_outage: bool) {
     if kind != Kind::Endpoints {
         changes(node, kind, snapshot, 0, after_outage);
         return;
     }
     let all: Vec<EndpointNews> = snapshot.objects.iter().filter_map(to_news).collect();
-    endpoint_changes(node, &all, after_outage);
+    apply_endpoint_changes(node, &all, after_outage);
 }
 
-/// Takes over changes of endpoints, read here or by a peer. `lapses` says that entries that are gone may
-/// only have lapsed with the store.
-pub fn endpoint_changes(node: &Node, changes: &[EndpointNews], lapses: bool) {
+/// Applies changes of endpoints, read here or by a peer. `lapses` means that missing entries may
+/// only have expired during an outage.
+pub fn apply_endpoint_changes(node: &Node, changes: &[EndpointNews], lapses: bool) {
     if lapses {
-        node.follow.note_lapses(node.now());
+        node.follow.note_outage(node.now());
     }
     node.change_registry(|registry, now| {
-        changes.iter().filter_map(|c| change(registry, c, lapses, now)).collect()
+        changes.iter().filter_map(|c| apply_change(registry, c, lapses, now)).collect()
     });
 }
 
-/// Takes over what a peer has read further; says whether it could be read.
-pub fn apply_known(node: &Node, kind: Kind, known: &KnownAt) -> anyhow::Result<()> {
-    let track = node.follow.track(kind);
-    if known.revision <= track.read() {
+/// Applies the objects of a peer that has read a higher revision.
+///
+/// # Errors
+///
+/// Fails if the peer's configuration can't be read.
+pub fn apply_peer_objects(node: &Node, kind: Kind, snapshot: &KindSnapshot) -> anyhow::Result<()> {
+    let state = node.follow.state(kind);
+    if snapshot.revision <= state.read() {
         return Ok(());
     }
-    match &known.known {
-        Known::Config(config) => {
+    match &snapshot.objects {
+        KindObjects::Config(config) => {
             let raw = Bytes::from(config.clone().into_bytes());
             let value: Value = serde_json::from_slice(&raw).context("a peer's configuration")?;
             node.set_map(config::read(&value)?, raw);
         }
-        Known::Endpoints { all, lapses } => {
+        KindObjects::Endpoints { all, lapses } => {
             node.change_registry(|registry, now| registry.replace(all, *lapses, now));
         }
-        Known::Out(out) => node.set_out(out),
-        Known::Rollouts(all) => node.change_rollouts(|rollouts, now| rollouts.replace(all, now)),
+        KindObjects::Evacuated(evacuated) => node.set_evacuated(evacuated),
+        KindObjects::Rollouts(all) => node.change_rollouts(|table, now| table.replace(all, now)),
     }
-    track.note(known.revision, known.revision);
+    state.note(snapshot.revision, snapshot.revision);
     Ok(())
 }
 
-fn take_endpoints(node: &Node, snapshot: &Snapshot, since: u64, lapses: bool) {
+fn apply_endpoints(node: &Node, snapshot: &Snapshot, since: u64, lapses: bool) {
     let changes: Vec<EndpointNews> = snapshot.objects.iter().filter_map(to_news).collect();
     if changes.is_empty() {
         return;
     }
-    endpoint_changes(node, &changes, lapses);
-    node.hand_on(FleetNews { since, revision: snapshot.revision, lapses, changes });
+    apply_endpoint_changes(node, &changes, lapses);
+    node.forward_changes(FleetNews { since, revision: snapshot.revision, lapses, changes });
 }
 
-fn take_config(node: &Node, objects: &[StoredObject]) {
+fn apply_config(node: &Node, objects: &[StoredObject]) {
     let newest = objects.iter().rfind(|o| o.name == CONFIG_NAME && !o.is_gone);
     let Some(object) = newest else { return };
     match config::read(&object.content) {
@@ -131,7 +140,7 @@
     }
 }
 
-fn change(
+fn apply_change(
     registry: &mut Registry,
     news: &EndpointNews,
     lapses: bool,
@@ -139,21 +148,22 @@
 ) -> Option<Change> {
     match &news.info {
         Some(info) => registry.put(info, now),
-        // Its entry may have lapsed with the store; it is written anew at its next heartbeat if it lives.
+        // The entry may have expired during an outage; a live endpoint writes it again at its next
+        // heartbeat.
         None if lapses => registry.miss(&news.id, now),
         None => registry.remove(&news.id),
     }
 }
 
-/// Reads what a changed object says of an endpoint; `None` if it names none. Another program's bytes
-/// in the place of an endpoint's entry count as no entry.
+/// Reads an endpoint's change from an object; `None` if its name is no endpoint's. Content that
+/// can't be read as an endpoint counts as a removed entry.
 fn to_news(object: &StoredObject) -> Option<EndpointNews> {
     let id = EndpointId::new(&object.name).ok()?;
-    let info = if object.is_gone { None } else { read(object) };
+    let info = if object.is_gone { None } else { read_endpoint(object) };
     Some(EndpointNews { id, info })
 }
 
-fn read(object: &StoredObject) -> Option<EndpointInfo> {
+fn read_endpoint(object: &StoredObject) -> Option<EndpointInfo> {
     match endpoint::read(&object.name, &object.content) {
         Ok(info) => Some(info),
         Err(error) => {
@@ -167,7 +177,7 @@
     }
 }
 
-fn read_out(name: &str) -> Option<DomainId> {
+fn read_evacuation(name: &str) -> Option<DomainId> {
     match endpoint::read_evacuation(name) {
         Ok(domain) => Some(domain),
         Err(error) => {
@@ -205,26 +215,29 @@
     }
 }
 
-/// Returns what a peer may want to know of a kind.
-pub fn known(node: &Node, kind: Kind) -> KnownAt {
-    // Read before the objects, which may already be newer than it says but never older.
-    let revision = node.follow.track(kind).news();
-    let known = match kind {
-        Kind::Config => Known::Config(String::from_utf8_lossy(&node.raw_map()).into_owned()),
+/// Returns all objects of a kind, for a peer.
+pub fn objects_for_peer(node: &Node, kind: Kind) -> KindSnapshot {
+    // Read before the objects, which may be newer than this revision but never older.
+    let revision = node.follow.state(kind).change_revision();
+    let objects = match kind {
+        Kind::Config => KindObjects::Config(String::from_utf8_lossy(&node.raw_map()).into_owned()),
         Kind::Endpoints => {
             let now = node.now();
-            // Who has only just started may have listed while entries were lapsed.
-            let lapses = now.since_start() < FRESH || node.follow.may_lapse(now);
+            // A listing just after the start may have missed expired entries.
+            let lapses = now.since_start() < STARTUP_WINDOW || node.follow.may_have_expired(now);
             let tables = lock(&node.tables);
-            // Entries tell how long an endpoint stays cold from when they were read.
-            let as_of_now = |e: &Registered| EndpointInfo {
+            // The remaining cold time in an entry counts from when it was read.
+            let current_entry = |e: &Registered| EndpointInfo {
                 cold_left: e.cold_until.since(now),
                 ..e.info.clone()
             };
-            Known::Endpoints { all: tables.registry.all().map(as_of_now).collect(), lapses }
+            KindObjects::Endpoints {
+                all: tables.registry.all().map(current_entry).collect(),
+                lapses,
+            }
         }
-        Kind::Evacuations => Known::Out(lock(&node.tables).registry.out().clone()),
-        Kind::Rollouts => Known::Rollouts(lock(&node.tables).rollouts.stored()),
+        Kind::Evacuations => KindObjects::Evacuated(lock(&node.tables).registry.out().clone()),
+        Kind::Rollouts => KindObjects::Rollouts(lock(&node.tables).rollouts.stored()),
     };
-    KnownAt { revision, known }
+    KindSnapshot { revision, objects }
 }
--- a/crates/nutmeggrade-relay/src/watch/follower.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower.rs
@@ -18,28 +18,28 @@
 use crate::node::Node;
 use crate::tables::lock;
 use crate::watch::apply;
-use crate::watch::doubt::Doubt;
-use crate::watch::follow::LAPSES;
-use crate::watch::pacing::{self, Asker};
+use crate::watch::overdue_guard::OverdueGuard;
+use crate::watch::pacing::{self, RetryRole};
+use crate::watch::read_state::POST_OUTAGE_WINDOW;
 use crate::watch::store_calls::{CallReason, StoreCalls};
 
-/// Time that the news of a peer get to come before they are asked for. They are sent together with the
-/// heartbeat that tells of them.
-const NEWS_WAIT: Duration = Duration::from_millis(60);
-/// Time after which the answer to a watch that is no longer held back is overdue. The store answers in
-/// milliseconds, and waiting for its answer as long as for that of a slow one would use up the notice
-/// of engines that leave meanwhile.
-const OVERDUE: Duration = Duration::from_millis(250);
-/// Time between looks whether it is this instance's turn to read.
-const TURN: Duration = Duration::from_millis(200);
+/// Time for a peer's changes to arrive before they are requested. A peer sends them together with
+/// the heartbeat that announces them.
+const PEER_CHANGES_WAIT: Duration = Duration::from_millis(60);
+/// Time after a watch's hold time at which its answer is overdue. The store answers in
+/// milliseconds, and waiting as long as for a slow answer would use up the notice of engines that
+/// are leaving.
+const OVERDUE_AFTER: Duration = Duration::from_millis(250);
+/// Time between checks whether this instance has become a reader.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Starts to follow every kind of object.
+/// Starts a follower for every kind of object.
 pub fn start(node: &Arc<Node>) -> Vec<JoinHandle<()>> {
     let follower = |kind| Follower {
         node: Arc::clone(node),
         kind,
         failures: 0,
-        back: None,
+        recovered_at: None,
         reader_since: None,
     };
     let follows = |kind: &Kind| *kind != Kind::Rollouts || node.follows_rollouts();
@@ -51,8 +51,8 @@
     node: Arc<Node>,
     kind: Kind,
     failures: u32,
-    back: Option<Moment>,
-    /// Since when it is this instance's turn to read for all.
+    recovered_at: Option<Moment>,
+    /// Time at which this instance became a reader.
     reader_since: Option<Moment>,
 }
 
@@ -60,23 +60,24 @@
     async fn run(mut self) {
         loop {
             let node = Arc::clone(&self.node);
-            let track = node.follow.track(self.kind);
-            if track.is_known() {
-                self.settle().await;
+            let state = node.follow.state(self.kind);
+            if state.is_loaded() {
+                self.await_readers().await;
             } else if self.kind == Kind::Rollouts {
-                self.learn().await;
+                self.await_objects().await;
             }
-            // Whoever could not read the store asks it again, or would take it for away for ever.
-            if track.is_known() && !track.is_away() && self.is_told() {
-                if !track.is_behind() {
-                    self.wait_for_news().await;
+            // An instance whose last call failed retries the store itself, since nothing else would
+            // reset the failure.
+            if state.is_loaded() && !state.is_unavailable() && self.relies_on_peers() {
+                if !state.is_behind() {
+                    self.await_peer_changes().await;
                     continue;
                 }
                 if self.catch_up().await {
                     continue;
                 }
             }
-            let result = if track.is_known() { self.watch().await } else { self.list().await };
+            let result = if state.is_loaded() { self.watch().await } else { self.list().await };
             match result {
                 Ok(()) => self.succeeded(),
                 Err(error) => self.failed(&error).await,
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Says whether others read this kind of object for this instance.
-    fn is_told(&mut self) -> bool {
+    /// Returns whether this instance relies on other readers for this kind.
+    fn relies_on_peers(&mut self) -> bool {
         let now = self.node.now();
         if !self.is_reader(now) {
             self.reader_since = None;
@@ -95,9 +96,9 @@
         now.since(since) < lock(&self.node.tables).fleet.takeover_wait(now)
     }
 
-    /// Says whether this instance reads this kind of object for all. Where the news of a few readers
-    /// would do, each watch of another instance costs a call for every change and for every time that
-    /// it is held back: with one for each kind at 81 instances a quiet minute took 1,860 calls.
+    /// Returns whether this instance reads this kind on behalf of the fleet. Each further watch
+    /// costs a call for every change and for every expired hold time: with a watch for each kind on
+    /// all of 81 instances, an idle minute took 1,860 calls.
     fn is_reader(&self, now: Moment) -> bool {
         let fleet = &lock(&self.node.tables).fleet;
         match self.kind {
@@ -107,19 +108,19 @@
     }
 
     async fn list(&self) -> Result<(), PlatformError> {
-        let (store, track) = (StoreCalls::new(&self.node), self.node.follow.track(self.kind));
-        // All instances of a fleet may start together: three hundred before three thousand endpoints ask
-        // for 18,300 pages, three seconds' worth of all that the store may be asked. Pages that may lag are
-        // not held against that. Later listings come after the history is gone, when no watch goes on
-        // from an older page.
-        let is_first = !track.is_known();
+        let (store, state) = (StoreCalls::new(&self.node), self.node.follow.state(self.kind));
+        // All instances of a fleet may start together: three hundred of them with three thousand
+        // endpoints request 18,300 pages, three seconds' worth of the store's whole call limit.
+        // Pages that may lag don't count towards it. Later listings follow a loss of history, when
+        // no watch can continue from an older page.
+        let is_first = !state.is_loaded();
         let reason = if is_first { CallReason::First } else { CallReason::Relist };
         let mut snapshot = store.list(self.kind, is_first, reason).await?;
-        let mut rest = None;
+        let mut later = None;
         if snapshot.revision < snapshot.newest {
             let since = snapshot.revision;
-            match store.watch(self.kind, since, Duration::ZERO, CallReason::Rest).await? {
-                Watched::Changes(changes) => rest = Some(changes),
+            match store.watch(self.kind, since, Duration::ZERO, CallReason::AfterListing).await? {
+                Watched::Changes(changes) => later = Some(changes),
                 Watched::HistoryGone => {
                     snapshot = store.list(self.kind, false, CallReason::Relist).await?;
                 }
@@ -127,29 +128,30 @@
         }
         apply::listing(&self.node, self.kind, &snapshot, self.is_after_outage());
         let mut read = snapshot.revision;
-        if let Some(rest) = &rest {
-            apply::rest(&self.node, self.kind, rest, self.is_after_outage());
-            read = rest.revision;
+        if let Some(later) = &later {
+            apply::later_changes(&self.node, self.kind, later, self.is_after_outage());
+            read = later.revision;
         }
-        // A first listing holds nothing that peers who listed a moment earlier have missed; told as
-        // news it would have each of them ask for it again. A later one may stand for removals.
-        // Of roll-outs most instances list none themselves and have to hear that there is nothing to know.
-        let is_news = !is_first || self.kind == Kind::Rollouts;
-        let news = if is_news { snapshot.revision } else { snapshot.last_change() };
-        track.note_listing(read, news);
+        // A first listing contains nothing that peers who listed a moment earlier are missing;
+        // announced as a change it would make each of them request it again. A later listing may
+        // imply removals. Most instances never list roll-outs themselves and have to learn that
+        // there are none.
+        let has_changes = !is_first || self.kind == Kind::Rollouts;
+        let change_revision = if has_changes { snapshot.revision } else { snapshot.last_change() };
+        state.note_listing(read, change_revision);
         Ok(())
     }
 
     async fn watch(&self) -> Result<(), PlatformError> {
-        let track = self.node.follow.track(self.kind);
-        let since = track.read();
-        let held = tokio::select! {
-            result = self.watch_held(since) => Some(result?),
-            () = track.overtaken() => None,
-            () = track.recheck.notified() => None,
+        let state = self.node.follow.state(self.kind);
+        let since = state.read();
+        let outcome = tokio::select! {
+            result = self.watch_with_hold(since) => Some(result?),
+            () = state.overtaken() => None,
+            () = state.recheck.notified() => None,
         };
-        // There is something to know that the watch did not bring, so it is late or silent.
-        let watched = if let Some(watched) = held {
+        // The watch is late or silent: a change exists that it did not deliver.
+        let watched = if let Some(watched) = outcome {
             watched
         } else {
             let store = StoreCalls::new(&self.node);
@@ -157,15 +159,15 @@
         };
         match watched {
             Watched::Changes(snapshot) => {
-                let is_news = !snapshot.objects.is_empty();
-                let lapses = self.is_after_outage();
-                apply::changes(&self.node, self.kind, &snapshot, track.since(), lapses);
-                track.note(snapshot.revision, if is_news { snapshot.revision } else { 0 });
-                if is_news && self.kind != Kind::Endpoints {
-                    self.node.announce.notify_one();
+                let has_changes = !snapshot.objects.is_empty();
+                let after_outage = self.is_after_outage();
+                apply::changes(&self.node, self.kind, &snapshot, state.since(), after_outage);
+                state.note(snapshot.revision, if has_changes { snapshot.revision } else { 0 });
+                if has_changes && self.kind != Kind::Endpoints {
+                    self.node.heartbeat_due.notify_one();
                 }
-                if is_news {
-                    self.gather().await;
+                if has_changes {
+                    self.batch_changes().await;
                 }
                 Ok(())
             }
@@ -176,100 +178,102 @@
         }
     }
 
-    /// Watches from `since`, and raises doubts about the store if its answer is overdue.
-    async fn watch_held(&self, since: u64) -> Result<Watched, PlatformError> {
-        let held = self.held();
+    /// Watches from `since`, and marks the store as overdue if its answer is late.
+    async fn watch_with_hold(&self, since: u64) -> Result<Watched, PlatformError> {
+        let hold = self.hold_time();
         let store = StoreCalls::new(&self.node);
-        let answer = store.watch(self.kind, since, held, self.watch_reason());
+        let answer = store.watch(self.kind, since, hold, self.watch_reason());
         tokio::pin!(answer);
-        if held.is_zero() {
+        if hold.is_zero() {
             return answer.await;
         }
         tokio::select! {
             result = &mut answer => return result,
-            () = sleep(held + OVERDUE) => {}
+            () = sleep(hold + OVERDUE_AFTER) => {}
         }
-        let _doubt = Doubt::raise(&self.node, self.kind);
+        let _guard = OverdueGuard::set(&self.node, self.kind);
         answer.await
     }
 
     fn watch_reason(&self) -> CallReason {
-        let track = self.node.follow.track(self.kind);
-        match (track.is_away(), track.is_behind()) {
+        let state = self.node.follow.state(self.kind);
+        match (state.is_unavailable(), state.is_behind()) {
             (true, _) => CallReason::Retry,
             (false, true) => CallReason::Behind,
             (false, false) => CallReason::Watch,
         }
     }
 
-    /// Waits until further changes have gathered: endpoints that join or leave together change their
-    /// entries one after another, configurations come in quick succession, and each answer is paid for.
-    async fn gather(&self) {
+    /// Waits for further changes, to batch them: endpoints that join or leave together change their
+    /// entries one after another, configurations come in quick succession, and each answer is
+    /// billed.
+    async fn batch_changes(&self) {
         let is_first = lock(&self.node.tables).fleet.is_first_reader(self.node.now());
-        sleep(pacing::gather(self.kind, is_first)).await;
+        sleep(pacing::batch_delay(self.kind, is_first)).await;
     }
 
-    /// Returns how long the store may hold a watch back.
-    fn held(&self) -> Duration {
-        let track = self.node.follow.track(self.kind);
-        // After an outage the first answer is wanted at once: it says that the store is back.
-        if track.is_behind() || track.is_away() {
+    /// Returns how long the store may hold a watch.
+    fn hold_time(&self) -> Duration {
+        let state = self.node.follow.state(self.kind);
+        // The first call after a failure returns at once, since its answer shows that the store is
+        // back.
+        if state.is_behind() || state.is_unavailable() {
             return Duration::ZERO;
         }
         let is_first = lock(&self.node.tables).fleet.is_first_reader(self.node.now());
-        pacing::held(self.kind, is_first)
+        pacing::hold_time(self.kind, is_first)
     }
 
-    /// Says whether entries that vanish may have lapsed with the store.
+    /// Returns whether missing entries may have expired during an outage.
     fn is_after_outage(&self) -> bool {
-        let is_soon = |back| self.node.now().since(back) <= LAPSES;
-        self.failures > 0 || self.back.is_some_and(is_soon)
+        let is_recent = |recovered_at| self.node.now().since(recovered_at) <= POST_OUTAGE_WINDOW;
+        self.failures > 0 || self.recovered_at.is_some_and(is_recent)
     }
 
     fn succeeded(&mut self) {
-        self.count("ok");
+        self.count_call("ok");
         if self.failures > 0 {
-            self.back = Some(self.node.now());
+            self.recovered_at = Some(self.node.now());
         }
         self.failures = 0;
-        if self.node.follow.track(self.kind).set_away(false) {
+        if self.node.follow.state(self.kind).set_unavailable(false) {
             tracing::info!(event = "store_back", kind = self.kind.name());
         }
     }
 
     async fn failed(&mut self, error: &PlatformError) {
-        self.count("failed");
+        self.count_call("failed");
         self.failures += 1;
-        if self.node.follow.track(self.kind).set_away(true) {
+        if self.node.follow.state(self.kind).set_unavailable(true) {
             tracing::warn!(event = "store_away", kind = self.kind.name(), error = %error);
         }
         fleet_sync::catch_up(&self.node, self.kind, Reach::Everywhere).await;
-        let asker = self.asker();
-        let most = pacing::retry(self.failures, asker);
-        // Spread, or all instances call in the same moment when the store is back.
-        let wait = most.mul_f64(rand::rng().random_range(0.5..1.0));
+        let role = self.role();
+        let longest = pacing::max_backoff(self.failures, role);
+        // Jitter, so that not all instances call at the same moment when the store is back.
+        let wait = longest.mul_f64(rand::rng().random_range(0.5..1.0));
         tokio::select! {
             () = sleep(wait) => {}
-            () = self.until_back(), if asker == Asker::ToldLater => {}
-            () = self.node.follow.track(self.kind).nudge.notified() => {
+            () = self.await_recovery(), if role == RetryRole::NonLeaderInOutage => {}
+            () = self.node.follow.state(self.kind).peer_ahead.notified() => {
                 fleet_sync::catch_up(&self.node, self.kind, Reach::Everywhere).await;
-                sleep(pacing::FIRST_WAIT).await;
+                sleep(pacing::INITIAL_BACKOFF).await;
             }
         }
-        self.wait_for_endpoints().await;
+        self.await_endpoints_recovery().await;
     }
 
-    fn asker(&self) -> Asker {
+    fn role(&self) -> RetryRole {
         let now = self.node.now();
         let fleet = &lock(&self.node.tables).fleet;
         match (fleet.leads(now), fleet.is_read(now)) {
-            (true, _) => Asker::Leader,
-            (false, true) => Asker::Told,
-            (false, false) => Asker::ToldLater,
+            (true, _) => RetryRole::Leader,
+            (false, true) => RetryRole::NonLeader,
+            (false, false) => RetryRole::NonLeaderInOutage,
         }
     }
 
-    fn count(&self, end: &str) {
-        self.node.metrics.store_calls.with_label_values(&[self.kind.name(), end]).inc();
+    fn count_call(&self, outcome: &str) {
+        self.node.metrics.store_calls.with_label_values(&[self.kind.name(), outcome]).inc();
     }
 }
--- a/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
@@ -1,4 +1,4 @@
-//! What a follower waits for before it calls the store.
+//! Conditions on which a follower waits before it calls the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,107 +8,109 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
-use super::{Follower, NEWS_WAIT, TURN};
+use super::{Follower, PEER_CHANGES_WAIT, ROLE_CHECK_INTERVAL};
 use crate::fleet_sync;
 use crate::tables::lock;
 
-/// Time after which peers of other failure domains are asked by all.
-const FAR_AFTER: Duration = Duration::from_millis(300);
-/// Time after which the store is asked for what no peer has handed on.
-const PEERS_FIRST: Duration = Duration::from_millis(600);
-/// Time between two questions to peers.
-const ASK_AGAIN: Duration = Duration::from_millis(60);
-/// Time after the start by which the peers that read for all have been heard: eight of their heartbeats.
-const SETTLED: Duration = Duration::from_secs(2);
+/// Time after which every instance may ask peers of other failure domains.
+const REMOTE_PEERS_AFTER: Duration = Duration::from_millis(300);
+/// Time after which the store is called for changes that no peer has supplied.
+const PEERS_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time between two requests to peers.
+const PEER_RETRY_INTERVAL: Duration = Duration::from_millis(60);
+/// Time after the start by which the readers have been heard: eight of their heartbeats.
+const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
 impl Follower {
-    /// Waits until it is known who reads for all. Before that each instance takes itself for one of
-    /// them, and at 81 instances the watches of a start were half of a quiet minute's calls.
-    pub(super) async fn settle(&self) {
-        let left = SETTLED.saturating_sub(self.node.now().since_start());
-        let track = self.node.follow.track(self.kind);
-        if left.is_zero() || track.is_behind() {
+    /// Waits until the readers are known. Until then each instance would act as a reader, and at 81
+    /// instances the watches of a start were half of an idle minute's calls.
+    pub(super) async fn await_readers(&self) {
+        let left = DISCOVERY_TIME.saturating_sub(self.node.now().since_start());
+        let state = self.node.follow.state(self.kind);
+        if left.is_zero() || state.is_behind() {
             return;
         }
         tokio::select! {
             () = sleep(left) => {}
-            () = track.nudge.notified() => sleep(NEWS_WAIT).await,
+            () = state.peer_ahead.notified() => sleep(PEER_CHANGES_WAIT).await,
         }
     }
 
-    /// Waits until a peer tells which objects there are, or until it is this instance's turn to list them.
-    /// Nothing depends on an instance knowing the orders of roll-outs from its first moment.
-    pub(super) async fn learn(&mut self) {
+    /// Waits until a peer supplies the objects, or until this instance has to list them as a
+    /// reader. Roll-outs aren't needed right after the start.
+    pub(super) async fn await_objects(&mut self) {
         let node = Arc::clone(&self.node);
-        let track = node.follow.track(self.kind);
-        while !track.is_known() {
+        let state = node.follow.state(self.kind);
+        while !state.is_loaded() {
             let (now, since_start) = (node.now(), node.now().since_start());
-            let is_turn = since_start >= SETTLED && self.is_reader(now);
-            if is_turn || since_start >= SETTLED * 2 {
+            let must_list = since_start >= DISCOVERY_TIME && self.is_reader(now);
+            if must_list || since_start >= DISCOVERY_TIME * 2 {
                 return;
             }
-            if track.is_behind() && self.catch_up().await {
+            if state.is_behind() && self.catch_up().await {
                 return;
             }
             tokio::select! {
-                () = sleep(TURN) => {}
-                () = track.nudge.notified() => {}
+                () = sleep(ROLE_CHECK_INTERVAL) => {}
+                () = state.peer_ahead.notified() => {}
             }
         }
     }
 
-    /// Waits until a peer has read further, or until it may be this instance's turn to read. What was
-    /// read by a peer mostly comes with its news; only what did not is asked for.
-    pub(super) async fn wait_for_news(&self) {
+    /// Waits until a peer is ahead, or until this instance may have become a reader. A peer's
+    /// changes mostly arrive with its heartbeat; only missing ones are requested.
+    pub(super) async fn await_peer_changes(&self) {
         tokio::select! {
-            () = self.node.follow.track(self.kind).nudge.notified() => sleep(NEWS_WAIT).await,
-            () = sleep(TURN) => {}
+            () = self.node.follow.state(self.kind).peer_ahead.notified() => sleep(PEER_CHANGES_WAIT).await,
+            () = sleep(ROLE_CHECK_INTERVAL) => {}
         }
     }
 
-    /// Asks peers for what they have read further; says whether this instance has caught up.
+    /// Fetches from peers what they have read beyond this instance; returns whether it has caught
+    /// up.
     pub(super) async fn catch_up(&self) -> bool {
-        let begun = self.node.now();
+        let start = self.node.now();
         loop {
-            let waited = self.node.now().since(begun);
-            let reach = if waited < FAR_AFTER { Reach::Near } else { Reach::Everywhere };
+            let waited = self.node.now().since(start);
+            let reach = if waited < REMOTE_PEERS_AFTER { Reach::Near } else { Reach::Everywhere };
             if fleet_sync::catch_up(&self.node, self.kind, reach).await {
                 return true;
             }
-            if waited > PEERS_FIRST {
+            if waited > PEERS_TIMEOUT {
                 return false;
             }
-            let pause = ASK_AGAIN.mul_f64(rand::rng().random_range(0.5..1.5));
+            let pause = PEER_RETRY_INTERVAL.mul_f64(rand::rng().random_range(0.5..1.5));
             sleep(pause).await;
-            if !self.node.follow.track(self.kind).is_behind() {
+            if !self.node.follow.state(self.kind).is_behind() {
                 return true;
             }
         }
     }
 
-    /// Waits for as long as the store does not answer for endpoints: one question says as much as three
-    /// whether it is away.
-    pub(super) async fn wait_for_endpoints(&self) {
+    /// Waits while the store is unavailable for endpoints: one probing follower is enough to detect
+    /// recovery.
+    pub(super) async fn await_endpoints_recovery(&self) {
         if self.kind == Kind::Endpoints {
             return;
         }
         let follow = &self.node.follow;
-        while follow.track(Kind::Endpoints).is_away() {
+        while follow.state(Kind::Endpoints).is_unavailable() {
             tokio::select! {
-                () = sleep(TURN) => {}
-                () = follow.track(self.kind).nudge.notified() => {
+                () = sleep(ROLE_CHECK_INTERVAL) => {}
+                () = follow.state(self.kind).peer_ahead.notified() => {
                     fleet_sync::catch_up(&self.node, self.kind, Reach::Everywhere).await;
                 }
             }
         }
     }
 
-    /// Waits until a peer can read the store again, and a little longer, so that not all call at once.
-    pub(super) async fn until_back(&self) {
+    /// Waits until a peer can read the store again, plus jitter, so that not all instances call at
+    /// once.
+    pub(super) async fn await_recovery(&self) {
         while !lock(&self.node.tables).fleet.is_read(self.node.now()) {
-            sleep(TURN).await;
+            sleep(ROLE_CHECK_INTERVAL).await;
         }
-        let spread = TURN.mul_f64(rand::rng().random_range(0.0..2.0));
-        sleep(spread).await;
+        let jitter = ROLE_CHECK_INTERVAL.mul_f64(rand::rng().random_range(0.0..2.0));
+        sleep(jitter).await;
     }
 }
--- /dev/null
+++ b/crates/nutmeggrade-relay/src/watch/overdue_guard.rs
@@ -0,0 +1,27 @@
+//! Marks the store as overdue while an answer is late.
+
+use nutmeggrade_wire::kinds::Kind;
+
+use crate::node::Node;
+use crate::watch::read_state::KindState;
+
+/// Marks an answer of the store as overdue until dropped.
+#[derive(Debug)]
+pub struct OverdueGuard<'a>(&'a KindState);
+
+impl<'a> OverdueGuard<'a> {
+    /// Sets the mark and wakes the engine poller.
+    pub fn set(node: &'a Node, kind: Kind) -> Self {
+        let state = node.follow.state(kind);
+        state.set_overdue(true);
+        tracing::info!(event = "store_overdue", kind = kind.name());
+        node.follow.answer_overdue.notify_one();
+        Self(state)
+    }
+}
+
+impl Drop for OverdueGuard<'_> {
+    fn drop(&mut self) {
+        self.0.set_overdue(false);
+    }
+}
--- a/crates/nutmeggrade-relay/src/watch/pacing.rs
+++ b/crates/nutmeggrade-relay/src/watch/pacing.rs
@@ -1,77 +1,77 @@
-//! How long those who read the store wait between their calls.
+//! Hold times of watches and delays between calls to the store.
 
 use std::time::Duration;
 
 use nutmeggrade_wire::kinds::Kind;
 
-/// How long the store holds a watch back. A connection that has gone silent is noticed only when
-/// its answer is overdue; peers' heartbeats tell earlier if there was news.
-const HELD: Duration = Duration::from_secs(4);
-/// The same for endpoints at the first of those that read for all. While the store is away engines
-/// that leave are asked themselves, and their notice of two seconds has to be enough to find out that
-/// it is away, to ask them and to copy what runs there.
-const HELD_FIRST: Duration = Duration::from_secs(1);
-/// The same for the configuration and the failure domains that are out at the other readers. They are there
-/// for news that the first one misses, and each time that a watch is held back in vain is paid for.
-const HELD_LONG: Duration = Duration::from_secs(29);
-/// The same for roll-outs at the first reader: orders are rare, and an order gives time.
-const HELD_ROLLOUTS: Duration = Duration::from_secs(10);
-/// Time in which changes of endpoints gather before the first reader asks for more. It is a small part
-/// of the two seconds for which an endpoint that leaves may still get work.
-const GATHER: Duration = Duration::from_millis(50);
-/// The same for the other readers, whose news count only when the first one's are lost.
-const GATHER_LONG: Duration = Duration::from_millis(400);
-/// First wait after a call that failed.
-pub const FIRST_WAIT: Duration = Duration::from_millis(150);
-/// Longest wait between two calls while the store can't be read. Calls are counted by the platform,
-/// and a second is within every time in which changes have to be in force.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Longest wait of an instance that does not read for all. Those that do find out that the store is
-/// back, and their heartbeats tell of news.
-const LONGEST_TOLD: Duration = Duration::from_secs(4);
-/// The same while no peer can read the store either. Those that lead go on calling, and their
-/// heartbeats tell when it is back; this is for the case that they don't.
-const LONGEST_OUTAGE: Duration = Duration::from_secs(10);
-/// Failures up to which the wait doubles; it is longer than any bound by then.
-const MOST_DOUBLED: u32 = 7;
+/// Hold time of a watch. A connection that has gone silent is noticed only once its answer is
+/// overdue; peers' heartbeats reveal missed changes earlier.
+const WATCH_HOLD: Duration = Duration::from_secs(4);
+/// Hold time of the first reader's endpoint watch. While the store is unavailable, engines that are
+/// leaving are detected by polling them, and their notice of two seconds has to cover detecting the
+/// outage, polling, and copying the generations that run there.
+const FIRST_READER_ENDPOINTS_HOLD: Duration = Duration::from_secs(1);
+/// Hold time of the other readers' watches of the configuration and of evacuated failure domains.
+/// They only back up the first reader, and each watch that expires without a change is a billed
+/// call.
+const BACKUP_HOLD: Duration = Duration::from_secs(29);
+/// Hold time of the first reader's roll-out watch: roll-outs are rare and allow time.
+const FIRST_READER_ROLLOUTS_HOLD: Duration = Duration::from_secs(10);
+/// Time for which the first reader batches endpoint changes before its next watch. It is a small
+/// part of the two seconds during which a leaving endpoint may still get work.
+const FIRST_READER_BATCH_DELAY: Duration = Duration::from_millis(50);
+/// Batching time of the other readers, whose changes only count when the first reader's are lost.
+const BACKUP_BATCH_DELAY: Duration = Duration::from_millis(400);
+/// Initial delay after a failed call.
+pub const INITIAL_BACKOFF: Duration = Duration::from_millis(150);
+/// Longest delay between two calls of a leader while the store is unavailable. The platform counts
+/// calls, and a second is well within the times in which changes have to take effect.
+const MAX_LEADER_BACKOFF: Duration = Duration::from_secs(1);
+/// Longest delay of an instance that is not a leader. Leaders detect that the store is back, and
+/// their heartbeats announce changes.
+const MAX_NON_LEADER_BACKOFF: Duration = Duration::from_secs(4);
+/// Longest delay of a non-leader while no peer can read the store either. Leaders keep calling, and
+/// their heartbeats show when it is back; this is the fallback for when they don't.
+const MAX_OUTAGE_BACKOFF: Duration = Duration::from_secs(10);
+/// Failures up to which the delay doubles; it exceeds every limit by then.
+const MAX_DOUBLINGS: u32 = 7;
 
-/// Who asks a store that did not answer.
+/// Role of an instance whose call to the store failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asker {
-    /// One of those that read for all.
+pub enum RetryRole {
+    /// A candidate for reading the store on behalf of the fleet.
     Leader,
-    /// Another one, while a peer can read the store.
-    Told,
-    /// Another one, while no peer can.
-    ToldLater,
+    /// Another instance, while a peer can read the store.
+    NonLeader,
+    /// Another instance, while no peer can read the store.
+    NonLeaderInOutage,
 }
 
-/// Returns how long the store may hold a watch back. `is_first` says whether the caller is the first of
-/// those that read for all.
-pub const fn held(kind: Kind, is_first: bool) -> Duration {
+/// Returns how long the store may hold a watch. `is_first` is set for the first reader.
+pub const fn hold_time(kind: Kind, is_first: bool) -> Duration {
     match (kind, is_first) {
-        (Kind::Endpoints, true) => HELD_FIRST,
-        (Kind::Rollouts, true) => HELD_ROLLOUTS,
-        (Kind::Endpoints, false) | (_, true) => HELD,
-        (_, false) => HELD_LONG,
+        (Kind::Endpoints, true) => FIRST_READER_ENDPOINTS_HOLD,
+        (Kind::Rollouts, true) => FIRST_READER_ROLLOUTS_HOLD,
+        (Kind::Endpoints, false) | (_, true) => WATCH_HOLD,
+        (_, false) => BACKUP_HOLD,
     }
 }
 
-/// Returns how long further changes gather before the next watch.
-pub const fn gather(kind: Kind, is_first: bool) -> Duration {
+/// Returns how long changes are batched before the next watch.
+pub const fn batch_delay(kind: Kind, is_first: bool) -> Duration {
     match (kind, is_first) {
-        (Kind::Endpoints, true) => GATHER,
+        (Kind::Endpoints, true) => FIRST_READER_BATCH_DELAY,
         (_, true) => Duration::ZERO,
-        (_, false) => GATHER_LONG,
+        (_, false) => BACKUP_BATCH_DELAY,
     }
 }
 
-/// Returns the longest wait after a number of failures in a row; a part of it is drawn.
-pub fn retry(failures: u32, asker: Asker) -> Duration {
-    let longest = match asker {
-        Asker::Leader => LONGEST_WAIT,
-        Asker::Told => LONGEST_TOLD,
-        Asker::ToldLater => LONGEST_OUTAGE,
+/// Returns the longest delay after a number of consecutive failures; the caller applies jitter.
+pub fn max_backoff(failures: u32, role: RetryRole) -> Duration {
+    let longest = match role {
+        RetryRole::Leader => MAX_LEADER_BACKOFF,
+        RetryRole::NonLeader => MAX_NON_LEADER_BACKOFF,
+        RetryRole::NonLeaderInOutage => MAX_OUTAGE_BACKOFF,
     };
-    FIRST_WAIT.saturating_mul(1 << failures.min(MOST_DOUBLED)).min(longest)
+    INITIAL_BACKOFF.saturating_mul(1 << failures.min(MAX_DOUBLINGS)).min(longest)
 }
--- a/crates/nutmeggrade-relay/src/watch/store_calls.rs
+++ b/crates/nutmeggrade-relay/src/watch/store_calls.rs
@@ -9,20 +9,20 @@
 
 use crate::node::Node;
 
-/// Why a call is made to the store.
+/// Reason for a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallReason {
-    /// Nothing was read yet.
+    /// First listing of a kind.
     First,
-    /// A first listing lagged; what changed since is fetched.
-    Rest,
-    /// The history since the last revision is gone.
+    /// Fetches the changes since a first listing that lagged.
+    AfterListing,
+    /// Lists again because the history since the last revision is gone.
     Relist,
     /// Waits for changes.
     Watch,
-    /// A peer has read further.
+    /// Catches up with a peer that has read a higher revision.
     Behind,
-    /// The store did not answer the last call.
+    /// Retries after a failed call.
     Retry,
     /// Writes the state of a roll-out.
     Write,
@@ -33,7 +33,7 @@
     pub const fn name(self) -> &'static str {
         match self {
             Self::First => "first",
-            Self::Rest => "rest",
+            Self::AfterListing => "rest",
             Self::Relist => "relist",
             Self::Watch => "watch",
             Self::Behind => "behind",
@@ -48,7 +48,7 @@
 pub struct StoreCalls<'a>(&'a Node);
 
 impl<'a> StoreCalls<'a> {
-    /// Makes the reader of an instance.
+    /// Creates a caller that records its calls in the instance's metrics.
     pub const fn new(node: &'a Node) -> Self {
         Self(node)
     }
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// Fails as the store's client does.
+    /// Fails if the store's client does.
     pub async fn list(
         &self,
         kind: Kind,
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// Fails as the store's client does.
+    /// Fails if the store's client does.
     pub async fn watch(
         &self,
         kind: Kind,
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Fails as the store's client does.
+    /// Fails if the store's client does.
     pub async fn write_status(
         &self,
         kind: Kind,
