--- a/crates/nutmeggrade-relay/src/answer_body.rs
+++ b/crates/nutmeggrade-relay/src/answer_body.rs
@@ -11,15 +11,15 @@
 /// Error of an answer that broke off. It closes the client's connection in the middle of the
 /// answer, so that the answer can't look complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BrokenOff;
+pub struct TruncatedAnswer;
 
-impl fmt::Display for BrokenOff {
+impl fmt::Display for TruncatedAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("answer broke off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for TruncatedAnswer {}
 
 /// Part of an answer that is sent in pieces.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -53,18 +53,18 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Self::Pieces(pieces) => pieces.poll_recv(cx).map(|piece| match piece {
                 Some(Piece::Bytes(bytes)) => Some(Ok(Frame::data(bytes))),
                 Some(Piece::End) => None,
-                None => Some(Err(BrokenOff)),
+                None => Some(Err(TruncatedAnswer)),
             }),
         }
     }
--- a/crates/nutmeggrade-relay/src/front/in_flight.rs
+++ b/crates/nutmeggrade-relay/src/front/in_flight.rs
@@ -8,7 +8,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 
 use super::tap_state::TapState;
-use crate::answer_body::{AnswerBody, BrokenOff};
+use crate::answer_body::{AnswerBody, TruncatedAnswer};
 use crate::clock::Clock;
 use crate::tables::lock;
 
@@ -35,12 +35,12 @@
 
 impl Body for InFlight {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
--- a/crates/nutmeggrade-relay/src/node.rs
+++ b/crates/nutmeggrade-relay/src/node.rs
@@ -72,7 +72,7 @@
     /// Endpoints that are being probed; never locked together with the tables.
     pub probed: Mutex<BTreeSet<EndpointId>>,
     /// Workspace shared by all requests that need no key.
-    pub anybody: WorkspaceId,
+    pub keyless_workspace: WorkspaceId,
     settings: RwLock<Arc<Settings>>,
     map: RwLock<Arc<RouteMap>>,
     raw_map: RwLock<Bytes>,
@@ -108,7 +108,7 @@
             failures_counted: Notify::new(),
             heartbeat_due: Notify::new(),
             probed: Mutex::default(),
-            anybody: WorkspaceId::new("-")?,
+            keyless_workspace: WorkspaceId::new("-")?,
             settings: RwLock::new(Arc::new(settings.clone())),
             map: RwLock::default(),
             raw_map: RwLock::default(),
--- a/crates/nutmeggrade-relay/src/node/endpoints.rs
+++ b/crates/nutmeggrade-relay/src/node/endpoints.rs
@@ -134,7 +134,7 @@
     /// (`event=copied`) while engines with room are idle. An instance that receives the message
     /// avoids the endpoint for a moment; the message is repeated for as long as connections are
     /// refused.
-    pub fn announce_gone(&self, endpoint: &EndpointId) {
+    pub fn announce_unreachable(&self, endpoint: &EndpointId) {
         let now = self.now();
         let mut tables = lock(&self.tables);
         let health = tables.dispatcher.book.health_mut(endpoint);
@@ -172,7 +172,7 @@
     }
 
     /// Updates an endpoint's health after an answer or a failure.
-    pub fn note_health(&self, endpoint: &EndpointId, update: impl FnOnce(&mut Health, Moment)) {
+    pub fn update_health(&self, endpoint: &EndpointId, update: impl FnOnce(&mut Health, Moment)) {
         let now = self.now();
         update(lock(&self.tables).dispatcher.book.health_mut(endpoint), now);
         self.failures_counted.notify_one();
--- a/crates/nutmeggrade-relay/src/probes.rs
+++ b/crates/nutmeggrade-relay/src/probes.rs
@@ -66,7 +66,7 @@
         if reported > last_reported || probe(node, endpoint).await == ProbeResult::Answers {
             return;
         }
-        node.announce_gone(&endpoint.id);
+        node.announce_unreachable(&endpoint.id);
         last_reported = Some(node.now());
         let pause = PROBE_INTERVAL.mul_f64(rand::rng().random_range(0.9..1.1));
         sleep(pause).await;
--- a/crates/nutmeggrade-relay/src/relay/call.rs
+++ b/crates/nutmeggrade-relay/src/relay/call.rs
@@ -53,11 +53,11 @@
 
 impl Call {
     /// Returns what the request takes of an endpoint.
-    pub fn need(&self, ticket: Ticket, anybody: &WorkspaceId) -> Need {
+    pub fn need(&self, ticket: Ticket, keyless_workspace: &WorkspaceId) -> Need {
         let prompt = self.prompt.as_ref();
         Need {
             ticket,
-            workspace: self.workspace.as_ref().unwrap_or(anybody).clone(),
+            workspace: self.workspace.as_ref().unwrap_or(keyless_workspace).clone(),
             service: self.service.clone(),
             priority: self.priority,
             prompt: prompt.map_or(0, |p| p.tokens),
--- a/crates/nutmeggrade-relay/src/relay/crash.rs
+++ b/crates/nutmeggrade-relay/src/relay/crash.rs
@@ -56,7 +56,7 @@
             return;
         };
         if error.kind() == io::ErrorKind::ConnectionRefused {
-            node.announce_gone(&crashed.endpoint);
+            node.announce_unreachable(&crashed.endpoint);
         }
         tracing::info!(event = "endpoint_crashed", request = %id, endpoint = %crashed.endpoint);
         lock(&node.tables).crashes.note(&crashed, node.now());
--- a/crates/nutmeggrade-relay/src/relay/escape.rs
+++ b/crates/nutmeggrade-relay/src/relay/escape.rs
@@ -79,7 +79,7 @@
         let is_stopping = Arc::new(AtomicBool::new(false));
         let source = stream.place.endpoint.clone();
         let memory = stream.memory();
-        let mut need = stream.call.need(stream.node.ticket(), &stream.node.anybody);
+        let mut need = stream.call.need(stream.node.ticket(), &stream.node.keyless_workspace);
         need.avoid.insert(source.id.clone());
         need.from = Some(source.domain.clone());
         need.memory = need.memory.max(memory);
--- a/crates/nutmeggrade-relay/src/relay/intake.rs
+++ b/crates/nutmeggrade-relay/src/relay/intake.rs
@@ -102,7 +102,7 @@
 /// An instance that can't read the store may be behind. To say that there is no such route or key
 /// would be wrong where it was added since, and a client does not come back after that.
 fn absent(node: &Node, code: Code, why: &str) -> Failure {
-    if node.follow.is_config_away() {
+    if node.follow.is_config_unavailable() {
         return come_back(node, Code::Outdated, why);
     }
     Failure::new(code, why)
--- a/crates/nutmeggrade-relay/src/relay/search.rs
+++ b/crates/nutmeggrade-relay/src/relay/search.rs
@@ -97,7 +97,7 @@
 impl Search {
     fn new(node: &Arc<Node>, call: Call) -> Self {
         let settings = node.settings();
-        let mut need = call.need(node.ticket(), &node.anybody);
+        let mut need = call.need(node.ticket(), &node.keyless_workspace);
         let share = lock(&node.tables).count_request(&call.service, &settings, call.arrived);
         need.is_canary = share > rand::random();
         Self {
@@ -161,14 +161,14 @@
             Err(NoAnswer::NotSent(why)) => {
                 self.attempt.not_sent();
                 self.note("not_sent", &endpoint.id);
-                self.node.note_health(&endpoint.id, Health::lost);
+                self.node.update_health(&endpoint.id, Health::lost);
                 self.next_unsent(&endpoint.id, &why)
             }
             Err(NoAnswer::Gone) => {
                 self.attempt.not_sent();
                 self.note("not_sent", &endpoint.id);
-                self.node.note_health(&endpoint.id, Health::lost);
-                self.node.announce_gone(&endpoint.id);
+                self.node.update_health(&endpoint.id, Health::lost);
+                self.node.announce_unreachable(&endpoint.id);
                 self.next_unsent(&endpoint.id, "nobody listens at the endpoint's address")
             }
             Err(NoAnswer::Leaving) => {
@@ -179,7 +179,7 @@
                 self.attempt.lost();
                 self.note_outcome(&endpoint, Outcome::Failed);
                 self.note("silent", &endpoint.id);
-                self.node.note_health(&endpoint.id, Health::failed);
+                self.node.update_health(&endpoint.id, Health::failed);
                 self.next(&endpoint.id, "no answer in time", Code::DeadlinePassed)
             }
             Err(NoAnswer::Lost(why)) => {
@@ -187,7 +187,7 @@
                 self.note_outcome(&endpoint, Outcome::Failed);
                 crash::look(&self.node, &self.call, &endpoint);
                 self.note("lost", &endpoint.id);
-                self.node.note_health(&endpoint.id, Health::lost);
+                self.node.update_health(&endpoint.id, Health::lost);
                 self.next(&endpoint.id, &why, Code::OutcomeUnknown)
             }
         }
@@ -214,7 +214,7 @@
                 self.attempt.lost();
                 self.note_outcome(&place.endpoint, Outcome::Failed);
                 self.note("broken", &endpoint);
-                self.node.note_health(&endpoint, Health::failed);
+                self.node.update_health(&endpoint, Health::failed);
                 return self.next(&endpoint, &why, Code::OutcomeUnknown);
             }
         };
@@ -222,7 +222,7 @@
             self.attempt.failed();
             self.note_outcome(&place.endpoint, Outcome::Failed);
             self.note("failed", &endpoint);
-            self.node.note_health(&endpoint, Health::failed);
+            self.node.update_health(&endpoint, Health::failed);
             if self.may_repeat() {
                 self.last = Some((head, body));
                 self.need.avoid.insert(endpoint);
@@ -232,7 +232,7 @@
             self.attempt.answer();
             self.note_outcome(&place.endpoint, Outcome::First(took));
             self.note("answered", &endpoint);
-            self.node.note_health(&endpoint, Health::succeeded);
+            self.node.update_health(&endpoint, Health::succeeded);
         }
         Ok(Step::Done(Found::Whole(head, body)))
     }
--- a/crates/nutmeggrade-relay/src/relay/splice.rs
+++ b/crates/nutmeggrade-relay/src/relay/splice.rs
@@ -35,7 +35,7 @@
     if !stream.attempt.may_send() || !stream.node.take_resend(&stream.call.service) {
         return None;
     }
-    let mut need = stream.call.need(stream.node.ticket(), &stream.node.anybody);
+    let mut need = stream.call.need(stream.node.ticket(), &stream.node.keyless_workspace);
     need.avoid.insert(stream.place.endpoint.id.clone());
     let place = place::find(&stream.node, &stream.call, &need).await.ok()?;
     stream.attempt.send();
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -259,7 +259,7 @@
     /// Looks for another way after the endpoint broke the stream off; says whether it goes on.
     async fn recover(&mut self, error: Option<hyper::Error>) -> bool {
         let endpoint = self.place.endpoint.id.clone();
-        self.node.note_health(&endpoint, Health::lost);
+        self.node.update_health(&endpoint, Health::lost);
         let why = error.map_or_else(|| "ended".to_owned(), |e| e.to_string());
         tracing::info!(event = "stream_broke", request = %self.call.id, endpoint = %endpoint,
             events = self.splitter.passed(), why);
--- a/crates/nutmeggrade-relay/src/server.rs
+++ b/crates/nutmeggrade-relay/src/server.rs
@@ -29,7 +29,7 @@
     /// # Errors
     ///
     /// Fails if a handler can't be installed.
-    pub fn catch() -> anyhow::Result<Self> {
+    pub fn install() -> anyhow::Result<Self> {
         Ok(Self {
             term: signal(SignalKind::terminate()).context("handle SIGTERM")?,
             int: signal(SignalKind::interrupt()).context("handle SIGINT")?,
--- a/crates/nutmeggrade-relay/src/watch/read_state.rs
+++ b/crates/nutmeggrade-relay/src/watch/read_state.rs
@@ -187,7 +187,7 @@
     }
 
     /// Returns whether the configuration can't be read at present.
-    pub fn is_config_away(&self) -> bool {
+    pub fn is_config_unavailable(&self) -> bool {
         self.config.is_unavailable()
     }
 }
--- a/crates/nutmeggrade/src/cmd/relay.rs
+++ b/crates/nutmeggrade/src/cmd/relay.rs
@@ -63,7 +63,7 @@
 fn catch_signals() -> anyhow::Result<(Runtime, Signals)> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let entered = runtime.enter();
-    let signals = Signals::catch()?;
+    let signals = Signals::install()?;
     drop(entered);
     Ok((runtime, signals))
 }
