--- a/crates/nutmeggrade-relay/src/dial.rs
+++ b/crates/nutmeggrade-relay/src/dial.rs
@@ -45,7 +45,7 @@
         attempts.next().await.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
     };
     let stream = timeout(CONNECT_TIMEOUT, first).await??;
-    guard(&stream)?;
+    set_socket_options(&stream)?;
     Ok(stream)
 }
 
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// Fails if the kernel refuses an option.
-pub fn guard(stream: &TcpStream) -> io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probing = TcpKeepalive::new()
--- a/crates/nutmeggrade-relay/src/engine_watch.rs
+++ b/crates/nutmeggrade-relay/src/engine_watch.rs
@@ -31,7 +31,7 @@
     loop {
         tokio::select! {
             () = sleep(POLL_INTERVAL) => {}
-            () = node.follow.answer_overdue.notified() => {}
+            () = node.read_state.answer_overdue.notified() => {}
         }
         if !is_store_unavailable(&node) {
             continue;
@@ -49,7 +49,7 @@
 /// Most instances call the store rarely, and waiting until each detects the outage itself takes
 /// longer than an engine's notice.
 fn is_store_unavailable(node: &Node) -> bool {
-    !node.follow.state(Kind::Endpoints).is_available()
+    !node.read_state.of(Kind::Endpoints).is_available()
         || lock(&node.tables).fleet.is_store_away(node.now())
 }
 
@@ -60,7 +60,7 @@
     let tables = lock(&node.tables);
     let is_engine = |e: &EndpointInfo| map.service(&e.service).is_some_and(|s| s.engine.is_some());
     let all = tables.registry.all().map(|e| &e.info).filter(|e| !e.leaving && is_engine(e));
-    let polls_all = node.follow.state(Kind::Endpoints).is_overdue();
+    let polls_all = node.read_state.of(Kind::Endpoints).is_overdue();
     all.filter(|e| polls_all || tables.fleet.is_first_for(&e.id, now)).cloned().collect()
 }
 
--- a/crates/nutmeggrade-relay/src/fleet_sync.rs
+++ b/crates/nutmeggrade-relay/src/fleet_sync.rs
@@ -74,13 +74,13 @@
     if !is_local {
         node.heartbeat_due.notify_one();
     }
-    !node.follow.state(kind).is_behind()
+    !node.read_state.of(kind).is_behind()
 }
 
 /// Returns a live peer that has read a higher revision, and whether it is in the same failure
 /// domain.
 fn source(node: &Node, kind: Kind, reach: Reach) -> Option<(SocketAddr, bool)> {
-    let read = node.follow.state(kind).read();
+    let read = node.read_state.of(kind).read();
     let is_ahead = |revisions: &Revisions| revision(revisions, kind) > read;
     let random = usize::from(rand::random::<u16>());
     let (now, fleet) = (node.now(), &lock(&node.tables).fleet);
--- a/crates/nutmeggrade-relay/src/front.rs
+++ b/crates/nutmeggrade-relay/src/front.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-use crate::dial::guard;
+use crate::dial::set_socket_options;
 use crate::node::{Node, Phase};
 
 /// Connections that may wait to be accepted; a few hundred clients may come in the same moment.
@@ -89,7 +89,7 @@
 
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
     match listener.accept().await {
-        Ok((stream, _)) => match guard(&stream) {
+        Ok((stream, _)) => match set_socket_options(&stream) {
             Ok(()) => Some(stream),
             Err(error) => {
                 tracing::debug!(event = "connection_lost", %error);
--- a/crates/nutmeggrade-relay/src/node.rs
+++ b/crates/nutmeggrade-relay/src/node.rs
@@ -55,7 +55,7 @@
     /// Client of the platform's store.
     pub store: Store,
     /// Read state of each kind of object.
-    pub follow: ReadState,
+    pub read_state: ReadState,
     /// Buffered log lines.
     pub logs: LogBuffer,
     /// Failure domain and addresses of this instance.
@@ -100,7 +100,7 @@
             metrics: Metrics::new()?,
             tables: Mutex::new(Tables::new(dispatcher, fleet)),
             store: Store::new(settings.platform, STORE_TIMEOUT),
-            follow: ReadState::new(),
+            read_state: ReadState::new(),
             logs: logs.clone(),
             seat: seat.clone(),
             incarnation,
@@ -172,7 +172,7 @@
     /// Returns whether requests can be served: a configuration and the endpoints were read, and no
     /// stop has begun.
     pub fn is_ready(&self) -> bool {
-        self.map().version > 0 && self.follow.has_endpoints() && self.phase() == Phase::Serving
+        self.map().version > 0 && self.read_state.has_endpoints() && self.phase() == Phase::Serving
     }
 
     /// Returns the current phase of a graceful stop.
@@ -187,7 +187,7 @@
     }
 
     /// Returns the time until the process ends, if it is stopping.
-    pub fn stays(&self) -> Option<Duration> {
+    pub fn time_until_end(&self) -> Option<Duration> {
         self.ends_at.get().map(|end| self.clock.left(*end))
     }
 
@@ -240,6 +240,6 @@
 
     /// Returns the revisions that this instance has read from the store.
     pub fn revisions(&self) -> Revisions {
-        self.follow.change_revisions()
+        self.read_state.change_revisions()
     }
 }
--- a/crates/nutmeggrade-relay/src/node/endpoints.rs
+++ b/crates/nutmeggrade-relay/src/node/endpoints.rs
@@ -71,7 +71,7 @@
             changes.iter().filter_map(Change::joined).any(|info| registry.is_first_of_version(info))
         };
         if is_new_version {
-            self.follow.state(Kind::Rollouts).recheck.notify_one();
+            self.read_state.of(Kind::Rollouts).recheck.notify_one();
         }
     }
 
@@ -95,19 +95,19 @@
     pub fn forward_changes(&self, news: FleetNews) {
         let is_reader = lock(&self.tables).fleet.is_reader(self.now());
         if is_reader && news.changes.len() <= MAX_CHANGES_PER_DATAGRAM {
-            self.tell(FleetMessage::News(news));
+            self.broadcast(FleetMessage::News(news));
         }
     }
 
     /// Sends the names of leaving endpoints to all peers.
     pub fn broadcast_leaving(&self, endpoints: &[EndpointId]) {
         for batch in endpoints.chunks(MAX_NAMES_PER_DATAGRAM) {
-            self.tell(FleetMessage::Leaving(batch.to_vec()));
+            self.broadcast(FleetMessage::Leaving(batch.to_vec()));
         }
     }
 
     /// Queues a message to all peers.
-    pub fn tell(&self, message: FleetMessage) {
+    pub fn broadcast(&self, message: FleetMessage) {
         if self.outbox.try_send(message).is_err() {
             tracing::warn!(event = "news_not_handed_on");
         }
@@ -144,7 +144,7 @@
         health.gone(now);
         drop(tables);
         tracing::info!(event = "endpoint_gone", %endpoint);
-        self.tell(FleetMessage::Gone(vec![endpoint.clone()]));
+        self.broadcast(FleetMessage::Gone(vec![endpoint.clone()]));
     }
 
     /// Records endpoints whose addresses refuse connections according to a peer.
--- a/crates/nutmeggrade-relay/src/node/rollouts.rs
+++ b/crates/nutmeggrade-relay/src/node/rollouts.rs
@@ -22,7 +22,7 @@
         let now = self.now();
         let changed = change(&mut lock(&self.tables).rollouts, now);
         for notice in &changed {
-            self.tell(FleetMessage::Rollout(notice.clone()));
+            self.broadcast(FleetMessage::Rollout(notice.clone()));
         }
         self.apply_phases(&changed);
     }
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -242,7 +242,7 @@
             sequence,
             intro,
             leaving: node.phase() > Phase::Serving,
-            reads: node.follow.is_available(),
+            reads: node.read_state.is_available(),
             revisions: node.revisions(),
             placed: tables.dispatcher.book.own().clone(),
             rollouts: tables.rollouts.notices(now),
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -56,7 +56,7 @@
         }
     }
     for kind in Kind::ALL {
-        node.follow.state(kind).note_peer_revision(revision(&beacon.revisions, kind));
+        node.read_state.of(kind).note_peer_revision(revision(&beacon.revisions, kind));
     }
     node.apply_rollout_notices(beacon.rollouts);
 }
@@ -66,7 +66,7 @@
 /// If this instance has not read up to the revision that they start from, changes in between are
 /// missing, and the follower is woken instead.
 fn apply_endpoint_news(node: &Node, news: &FleetNews) {
-    let state = node.follow.state(Kind::Endpoints);
+    let state = node.read_state.of(Kind::Endpoints);
     let read = state.read();
     if read >= news.revision {
         return;
--- a/crates/nutmeggrade-relay/src/relay/crash.rs
+++ b/crates/nutmeggrade-relay/src/relay/crash.rs
@@ -60,6 +60,6 @@
         }
         tracing::info!(event = "endpoint_crashed", request = %id, endpoint = %crashed.endpoint);
         lock(&node.tables).crashes.note(&crashed, node.now());
-        node.tell(FleetMessage::Crashed(crashed));
+        node.broadcast(FleetMessage::Crashed(crashed));
     });
 }
--- a/crates/nutmeggrade-relay/src/relay/intake.rs
+++ b/crates/nutmeggrade-relay/src/relay/intake.rs
@@ -48,7 +48,7 @@
     };
     let patience = asked.patience.unwrap_or(PATIENCE).min(route.timeout);
     let deadline = arrived.after(patience);
-    if let Some(stays) = node.stays() {
+    if let Some(stays) = node.time_until_end() {
         check_end(node, &route, &asked, stays).map_err(refuse)?;
     }
     let body = whole(node, body, &map, deadline).await.map_err(refuse)?;
@@ -102,7 +102,7 @@
 /// An instance that can't read the store may be behind. To say that there is no such route or key
 /// would be wrong where it was added since, and a client does not come back after that.
 fn absent(node: &Node, code: Code, why: &str) -> Failure {
-    if node.follow.is_config_unavailable() {
+    if node.read_state.is_config_unavailable() {
         return come_back(node, Code::Outdated, why);
     }
     Failure::new(code, why)
--- a/crates/nutmeggrade-relay/src/rollouts/writing.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/writing.rs
@@ -30,7 +30,7 @@
 /// Lists the states that this instance has to write.
 fn pending(node: &Node) -> Vec<StateChange> {
     let tables = lock(&node.tables);
-    let is_unavailable = node.follow.state(Kind::Rollouts).is_unavailable();
+    let is_unavailable = node.read_state.of(Kind::Rollouts).is_unavailable();
     if is_unavailable || !tables.fleet.is_first_reader(node.now()) {
         return Vec::new();
     }
--- a/crates/nutmeggrade-relay/src/watch/apply.rs
+++ b/crates/nutmeggrade-relay/src/watch/apply.rs
@@ -87,7 +87,7 @@
 /// only have expired during an outage.
 pub fn apply_endpoint_changes(node: &Node, changes: &[EndpointNews], lapses: bool) {
     if lapses {
-        node.follow.note_outage(node.now());
+        node.read_state.note_outage(node.now());
     }
     node.change_registry(|registry, now| {
         changes.iter().filter_map(|c| apply_change(registry, c, lapses, now)).collect()
@@ -100,7 +100,7 @@
 ///
 /// Fails if the peer's configuration can't be read.
 pub fn apply_peer_objects(node: &Node, kind: Kind, snapshot: &KindSnapshot) -> anyhow::Result<()> {
-    let state = node.follow.state(kind);
+    let state = node.read_state.of(kind);
     if snapshot.revision <= state.read() {
         return Ok(());
     }
@@ -218,13 +218,14 @@
 /// Returns all objects of a kind, for a peer.
 pub fn objects_for_peer(node: &Node, kind: Kind) -> KindSnapshot {
     // Read before the objects, which may be newer than this revision but never older.
-    let revision = node.follow.state(kind).change_revision();
+    let revision = node.read_state.of(kind).change_revision();
     let objects = match kind {
         Kind::Config => KindObjects::Config(String::from_utf8_lossy(&node.raw_map()).into_owned()),
         Kind::Endpoints => {
             let now = node.now();
             // A listing just after the start may have missed expired entries.
-            let lapses = now.since_start() < STARTUP_WINDOW || node.follow.may_have_expired(now);
+            let lapses =
+                now.since_start() < STARTUP_WINDOW || node.read_state.may_have_expired(now);
             let tables = lock(&node.tables);
             // The remaining cold time in an entry counts from when it was read.
             let current_entry = |e: &Registered| EndpointInfo {
--- a/crates/nutmeggrade-relay/src/watch/follower.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower.rs
@@ -60,7 +60,7 @@
     async fn run(mut self) {
         loop {
             let node = Arc::clone(&self.node);
-            let state = node.follow.state(self.kind);
+            let state = node.read_state.of(self.kind);
             if state.is_loaded() {
                 self.await_readers().await;
             } else if self.kind == Kind::Rollouts {
@@ -108,7 +108,7 @@
     }
 
     async fn list(&self) -> Result<(), PlatformError> {
-        let (store, state) = (StoreCalls::new(&self.node), self.node.follow.state(self.kind));
+        let (store, state) = (StoreCalls::new(&self.node), self.node.read_state.of(self.kind));
         // All instances of a fleet may start together: three hundred of them with three thousand
         // endpoints request 18,300 pages, three seconds' worth of the store's whole call limit.
         // Pages that may lag don't count towards it. Later listings follow a loss of history, when
@@ -143,7 +143,7 @@
     }
 
     async fn watch(&self) -> Result<(), PlatformError> {
-        let state = self.node.follow.state(self.kind);
+        let state = self.node.read_state.of(self.kind);
         let since = state.read();
         let outcome = tokio::select! {
             result = self.watch_with_hold(since) => Some(result?),
@@ -196,7 +196,7 @@
     }
 
     fn watch_reason(&self) -> CallReason {
-        let state = self.node.follow.state(self.kind);
+        let state = self.node.read_state.of(self.kind);
         match (state.is_unavailable(), state.is_behind()) {
             (true, _) => CallReason::Retry,
             (false, true) => CallReason::Behind,
@@ -214,7 +214,7 @@
 
     /// Returns how long the store may hold a watch.
     fn hold_time(&self) -> Duration {
-        let state = self.node.follow.state(self.kind);
+        let state = self.node.read_state.of(self.kind);
         // The first call after a failure returns at once, since its answer shows that the store is
         // back.
         if state.is_behind() || state.is_unavailable() {
@@ -236,7 +236,7 @@
             self.recovered_at = Some(self.node.now());
         }
         self.failures = 0;
-        if self.node.follow.state(self.kind).set_unavailable(false) {
+        if self.node.read_state.of(self.kind).set_unavailable(false) {
             tracing::info!(event = "store_back", kind = self.kind.name());
         }
     }
@@ -244,7 +244,7 @@
     async fn failed(&mut self, error: &PlatformError) {
         self.count_call("failed");
         self.failures += 1;
-        if self.node.follow.state(self.kind).set_unavailable(true) {
+        if self.node.read_state.of(self.kind).set_unavailable(true) {
             tracing::warn!(event = "store_away", kind = self.kind.name(), error = %error);
         }
         fleet_sync::catch_up(&self.node, self.kind, Reach::Everywhere).await;
@@ -255,7 +255,7 @@
         tokio::select! {
             () = sleep(wait) => {}
             () = self.await_recovery(), if role == RetryRole::NonLeaderInOutage => {}
-            () = self.node.follow.state(self.kind).peer_ahead.notified() => {
+            () = self.node.read_state.of(self.kind).peer_ahead.notified() => {
                 fleet_sync::catch_up(&self.node, self.kind, Reach::Everywhere).await;
                 sleep(pacing::INITIAL_BACKOFF).await;
             }
--- a/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
@@ -26,7 +26,7 @@
     /// instances the watches of a start were half of an idle minute's calls.
     pub(super) async fn await_readers(&self) {
         let left = DISCOVERY_TIME.saturating_sub(self.node.now().since_start());
-        let state = self.node.follow.state(self.kind);
+        let state = self.node.read_state.of(self.kind);
         if left.is_zero() || state.is_behind() {
             return;
         }
@@ -40,7 +40,7 @@
     /// reader. Roll-outs aren't needed right after the start.
     pub(super) async fn await_objects(&mut self) {
         let node = Arc::clone(&self.node);
-        let state = node.follow.state(self.kind);
+        let state = node.read_state.of(self.kind);
         while !state.is_loaded() {
             let (now, since_start) = (node.now(), node.now().since_start());
             let must_list = since_start >= DISCOVERY_TIME && self.is_reader(now);
@@ -61,7 +61,8 @@
     /// changes mostly arrive with its heartbeat; only missing ones are requested.
     pub(super) async fn await_peer_changes(&self) {
         tokio::select! {
-            () = self.node.follow.state(self.kind).peer_ahead.notified() => sleep(PEER_CHANGES_WAIT).await,
+            () = self.node.read_state.of(self.kind).peer_ahead.notified() =>
+                sleep(PEER_CHANGES_WAIT).await,
             () = sleep(ROLE_CHECK_INTERVAL) => {}
         }
     }
@@ -81,7 +82,7 @@
             }
             let pause = PEER_RETRY_INTERVAL.mul_f64(rand::rng().random_range(0.5..1.5));
             sleep(pause).await;
-            if !self.node.follow.state(self.kind).is_behind() {
+            if !self.node.read_state.of(self.kind).is_behind() {
                 return true;
             }
         }
@@ -93,11 +94,11 @@
         if self.kind == Kind::Endpoints {
             return;
         }
-        let follow = &self.node.follow;
-        while follow.state(Kind::Endpoints).is_unavailable() {
+        let read_state = &self.node.read_state;
+        while read_state.of(Kind::Endpoints).is_unavailable() {
             tokio::select! {
                 () = sleep(ROLE_CHECK_INTERVAL) => {}
-                () = follow.state(self.kind).peer_ahead.notified() => {
+                () = read_state.of(self.kind).peer_ahead.notified() => {
                     fleet_sync::catch_up(&self.node, self.kind, Reach::Everywhere).await;
                 }
             }
--- a/crates/nutmeggrade-relay/src/watch/overdue_guard.rs
+++ b/crates/nutmeggrade-relay/src/watch/overdue_guard.rs
@@ -12,10 +12,10 @@
 impl<'a> OverdueGuard<'a> {
     /// Sets the mark and wakes the engine poller.
     pub fn set(node: &'a Node, kind: Kind) -> Self {
-        let state = node.follow.state(kind);
+        let state = node.read_state.of(kind);
         state.set_overdue(true);
         tracing::info!(event = "store_overdue", kind = kind.name());
-        node.follow.answer_overdue.notify_one();
+        node.read_state.answer_overdue.notify_one();
         Self(state)
     }
 }
--- a/crates/nutmeggrade-relay/src/watch/read_state.rs
+++ b/crates/nutmeggrade-relay/src/watch/read_state.rs
@@ -141,7 +141,7 @@
     }
 
     /// Returns the read state of one kind.
-    pub const fn state(&self, kind: Kind) -> &KindState {
+    pub const fn of(&self, kind: Kind) -> &KindState {
         match kind {
             Kind::Config => &self.config,
             Kind::Endpoints => &self.endpoints,
@@ -183,7 +183,7 @@
 
     /// Returns whether the store is available for every kind.
     pub fn is_available(&self) -> bool {
-        Kind::ALL.into_iter().all(|kind| self.state(kind).is_available())
+        Kind::ALL.into_iter().all(|kind| self.of(kind).is_available())
     }
 
     /// Returns whether the configuration can't be read at present.
