--- a/crates/nutmeggrade-relay/src/relay/admission.rs
+++ b/crates/nutmeggrade-relay/src/relay/admission.rs
@@ -49,7 +49,7 @@
     };
     let timeout = asked.patience.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
     let deadline = arrived_at.after(timeout);
-    if let Some(time_left) = node.stays() {
+    if let Some(time_left) = node.time_until_end() {
         check_shutdown(node, &route, &asked, time_left).map_err(refuse)?;
     }
     let body = read_body(node, body, &map, deadline).await.map_err(refuse)?;
@@ -106,7 +106,7 @@
 /// have been added since. The failure then asks the client to retry, since a client gives up after
 /// a final one.
 fn not_configured(node: &Node, code: Code, detail: &str) -> Failure {
-    if node.follow.is_config_away() {
+    if node.read_state.is_config_unavailable() {
         return retry_later(node, Code::Outdated, detail);
     }
     Failure::new(code, detail)
--- a/crates/nutmeggrade-relay/src/relay/crash.rs
+++ b/crates/nutmeggrade-relay/src/relay/crash.rs
@@ -61,11 +61,11 @@
             return;
         };
         if error.kind() == io::ErrorKind::ConnectionRefused {
-            node.announce_gone(&crashed.endpoint);
+            node.announce_unreachable(&crashed.endpoint);
         }
         tracing::info!(event = "endpoint_crashed", request = %request_id,
             endpoint = %crashed.endpoint);
         lock(&node.tables).crashes.note(&crashed, node.now());
-        node.tell(FleetMessage::Crashed(crashed));
+        node.broadcast(FleetMessage::Crashed(crashed));
     });
 }
--- a/crates/nutmeggrade-relay/src/relay/migration.rs
+++ b/crates/nutmeggrade-relay/src/relay/migration.rs
@@ -82,7 +82,7 @@
         let is_stopping = Arc::new(AtomicBool::new(false));
         let source = stream.reservation.endpoint.clone();
         let memory = stream.memory_tokens();
-        let mut need = stream.request.need(stream.node.ticket(), &stream.node.anybody);
+        let mut need = stream.request.need(stream.node.ticket(), &stream.node.keyless_workspace);
         need.avoid.insert(source.id.clone());
         need.from = Some(source.domain.clone());
         need.memory = need.memory.max(memory);
--- a/crates/nutmeggrade-relay/src/relay/resume.rs
+++ b/crates/nutmeggrade-relay/src/relay/resume.rs
@@ -39,7 +39,7 @@
     if !stream.attempt.may_send() || !stream.node.take_resend(&stream.request.service) {
         return None;
     }
-    let mut need = stream.request.need(stream.node.ticket(), &stream.node.anybody);
+    let mut need = stream.request.need(stream.node.ticket(), &stream.node.keyless_workspace);
     need.avoid.insert(stream.reservation.endpoint.id.clone());
     let reservation = reservation::reserve(&stream.node, &stream.request, &need).await.ok()?;
     stream.attempt.send();
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -271,7 +271,7 @@
     /// returns whether the stream continues.
     async fn recover(&mut self, error: Option<hyper::Error>) -> bool {
         let endpoint = self.reservation.endpoint.id.clone();
-        self.node.note_health(&endpoint, Health::lost);
+        self.node.update_health(&endpoint, Health::lost);
         let reason = error.map_or_else(|| "ended".to_owned(), |e| e.to_string());
         tracing::info!(event = "stream_broke", request = %self.request.id, endpoint = %endpoint,
             events = self.splitter.passed(), why = reason);
