--- a/crates/nutmeggrade-core/src/audit.rs
+++ b/crates/nutmeggrade-core/src/audit.rs
@@ -1,29 +1,29 @@
-//! Entries of the audit trail beside the changes themselves.
+//! Audit trail entries other than configuration changes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::InstanceId;
 
-/// Prefix of the platform keys that hold the entries.
+/// Key prefix of the audit entries in the platform's object store.
 pub const AUDIT_PREFIX: &str = "audit/";
 
-/// What an instance did or refused.
+/// An action that an instance took or refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AuditEvent {
-    /// It wrote a new epoch, in which endpoints may have new owners.
+    /// Wrote a new epoch, in which endpoints may have new owners.
     TookOver,
-    /// It refused an operators' call without the token.
+    /// Refused an operator's call without a valid token.
     TokenRefused,
-    /// It was pushed a configuration older than the one in force and kept the newer one.
+    /// Received a configuration older than the one in force and kept the newer one.
     OldConfigRefused,
-    /// It was cut off and refused new work.
+    /// Refused new work while cut off.
     WorkRefused,
-    /// It sent an order to an endpoint.
+    /// Sent an order to an endpoint.
     OrderSent,
-    /// An endpoint refused an order.
+    /// Received an endpoint's refusal of an order.
     OrderRefused,
-    /// It read back that an endpoint does what was ordered.
+    /// Confirmed by reading back that an endpoint carries out an order.
     OrderDone,
 }
 
@@ -45,36 +45,36 @@
 /// One entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// The instance that did it.
+    /// The instance that wrote the entry.
     pub instance: InstanceId,
-    /// Distinguishes two lives of an instance with the same name.
+    /// Distinguishes restarts of an instance under the same name.
     pub incarnation: u64,
-    /// Counts the entries of this life.
+    /// Number of the entry within this incarnation.
     pub number: u64,
-    /// Wall time, milliseconds since 1970, for people only.
+    /// Wall time in Unix milliseconds, for display only.
     pub at_ms: u64,
-    /// Version of the configuration in force there.
+    /// Version of the configuration in force on the instance.
     pub config: u64,
-    /// What it did.
+    /// The action.
     pub event: AuditEvent,
-    /// The numbers, as key=value.
+    /// Details, as key=value pairs.
     pub detail: String,
-    /// Like events that were left out since the last entry that says the same.
+    /// Number of similar events omitted since the last entry of this kind.
     pub repeats: u64,
 }
 
 impl AuditEntry {
-    /// Returns the prefix of an instance's entries.
+    /// Returns the key prefix of an instance's entries.
     pub fn prefix(instance: &InstanceId) -> String {
         format!("{AUDIT_PREFIX}{instance}/")
     }
 
-    /// Returns the platform key of an instance's n-th entry; keys sort in their order.
-    pub fn key(instance: &InstanceId, place: u64) -> String {
-        format!("{AUDIT_PREFIX}{instance}/{place:012}")
+    /// Returns the key of an instance's entry at an index; keys sort by index.
+    pub fn key(instance: &InstanceId, index: u64) -> String {
+        format!("{AUDIT_PREFIX}{instance}/{index:012}")
     }
 
-    /// Returns the place that a key names.
+    /// Returns the index that a key ends with.
     pub fn place(key: &str) -> Option<u64> {
         key.rsplit('/').next()?.parse().ok()
     }
--- a/crates/nutmeggrade-core/src/config/change.rs
+++ b/crates/nutmeggrade-core/src/config/change.rs
@@ -1,11 +1,11 @@
-//! What one change of the configuration did.
+//! Changes of the configuration.
 
 use serde::{Deserialize, Serialize};
 
 use super::Preset;
 use crate::id::{DomainId, EndpointId, PresetId};
 
-/// One change that an operator asks for.
+/// A change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum Change {
@@ -13,7 +13,7 @@
     PutPreset {
         /// The preset's name.
         preset: PresetId,
-        /// Its content.
+        /// The preset's content.
         content: Box<Preset>,
     },
     /// Puts a preset in force.
--- a/crates/nutmeggrade-core/src/config/configuration.rs
+++ b/crates/nutmeggrade-core/src/config/configuration.rs
@@ -1,4 +1,4 @@
-//! The whole configuration at one version.
+//! Versions of the configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,30 +9,30 @@
 use crate::failure::Failure;
 use crate::id::{ChangeId, DomainId, EndpointId, PresetId};
 
-/// Prefix of the platform keys that hold the configuration's versions.
+/// Key prefix of the configuration's versions in the platform's object store.
 pub const CONFIG_PREFIX: &str = "config/";
 
-/// The whole configuration at one version, with who changed it and why.
+/// One version of the whole configuration, with the author and reason of its change.
 ///
-/// Version n+1 is an object that is created only if absent, so the platform decides every race and
+/// Version n+1 is an object that is created only if absent, so the platform resolves every race and
 /// the versions themselves are the audit trail of changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Counts accepted changes, from 1.
+    /// Number of accepted changes, from 1.
     pub version: u64,
-    /// The change that led here; tells after a lost answer whose write it was.
+    /// Id of the change; identifies the writer when the response to a write was lost.
     pub id: ChangeId,
-    /// Who made the change.
+    /// Author of the change.
     pub who: String,
-    /// Why.
+    /// Reason for the change.
     pub why: String,
-    /// Wall time of the change, milliseconds since 1970, for people only.
+    /// Wall time of the change in Unix milliseconds, for display only.
     pub at_ms: u64,
-    /// What was changed.
+    /// The change that produced this version.
     pub change: Change,
-    /// The one preset in force.
+    /// Name of the preset in force.
     pub active: PresetId,
-    /// All presets.
+    /// All presets by name.
     pub presets: BTreeMap<PresetId, Preset>,
     /// Failure domains out of service.
     pub out_domains: BTreeSet<DomainId>,
@@ -41,7 +41,7 @@
 }
 
 impl Configuration {
-    /// Makes version 1 with one preset, which is in force.
+    /// Creates version 1 with a single preset, which is in force.
     pub fn new(id: ChangeId, who: &str, why: &str, name: &PresetId, preset: &Preset) -> Self {
         let change = Change::PutPreset { preset: name.clone(), content: Box::new(preset.clone()) };
         Self {
@@ -65,7 +65,7 @@
         self
     }
 
-    /// Returns the platform key of a version; keys sort in the order of the versions.
+    /// Returns the key of a version; keys sort by version.
     pub fn key(version: u64) -> String {
         format!("{CONFIG_PREFIX}{version:012}")
     }
@@ -75,10 +75,10 @@
         self.presets.get(&self.active)
     }
 
-    /// Says whether a change would alter nothing.
+    /// Returns whether a change would have no effect.
     ///
-    /// Operators repeat a command whose answer they lost; a second version that says the same would
-    /// hide in the audit trail who made the change and why.
+    /// Operators repeat a command whose response was lost; a second version with the same content
+    /// would hide the author and reason of the change in the audit trail.
     pub fn has(&self, change: &Change) -> bool {
         match change {
             Change::PutPreset { preset, content } => self.presets.get(preset) == Some(&**content),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Makes the next version, checked as a whole.
+    /// Creates the next version and validates it as a whole.
     pub fn next(
         &self,
         id: ChangeId,
--- a/crates/nutmeggrade-core/src/config/known.rs
+++ b/crates/nutmeggrade-core/src/config/known.rs
@@ -1,4 +1,4 @@
-//! The names that a change may use.
+//! Names that a configuration change may refer to.
 
 use std::collections::BTreeSet;
 
@@ -9,88 +9,95 @@
 use crate::id::{DomainId, EndpointId};
 use crate::peer::Entry;
 
-/// Failure domains and endpoints that the platform lists.
+/// Failure domains and endpoints in the platform's lists.
 ///
-/// An operator who mistypes a failure domain's name in a hurry would see an accepted change while
-/// the failing domain still gets work. A name that is nowhere listed is therefore refused, not only
-/// warned of. Lists lag, so the operator may confirm the one refusal by its code.
+/// If a change with a mistyped failure domain were accepted, the failing domain would keep
+/// receiving work. An unlisted name is therefore refused rather than warned about. Because the
+/// lists lag, the operator can override a single refusal by its code.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Known {
     /// Failure domains of instances and endpoints.
     pub domains: BTreeSet<DomainId>,
-    /// Endpoints.
+    /// Ids of endpoints.
     pub endpoints: BTreeSet<EndpointId>,
 }
 
 impl Known {
-    /// Collects the names out of the platform's lists.
+    /// Collects the names from the platform's lists.
     pub fn new(endpoints: &[Endpoint], instances: &[Entry]) -> Self {
-        let of_endpoints = endpoints.iter().map(|e| e.domain.clone());
-        let of_instances = instances.iter().map(|e| e.domain.clone());
+        let endpoint_domains = endpoints.iter().map(|e| e.domain.clone());
+        let instance_domains = instances.iter().map(|e| e.domain.clone());
         Self {
-            domains: of_endpoints.chain(of_instances).collect(),
+            domains: endpoint_domains.chain(instance_domains).collect(),
             endpoints: endpoints.iter().map(|e| e.id.clone()).collect(),
         }
     }
 
-    /// Refuses a change that names what is not known or leaves no failure domain in service.
+    /// Refuses a change that uses an unknown name or leaves no failure domain in service.
     ///
-    /// `confirmed` is the number of a refusal that the operator overrides.
+    /// `confirmed` is the number of the result code that the operator overrides.
     pub fn judge(
         &self,
-        now: Option<&Configuration>,
+        current: Option<&Configuration>,
         change: &Change,
         confirmed: u64,
     ) -> Result<(), Failure> {
-        let refusals = self.refusals(now, change);
-        let overridden = |f: &Failure| u64::from(f.code.number()) == confirmed;
-        match refusals.into_iter().find(|f| !overridden(f)) {
+        let refusals = self.refusals(current, change);
+        let is_overridden = |f: &Failure| u64::from(f.code.number()) == confirmed;
+        match refusals.into_iter().find(|f| !is_overridden(f)) {
             Some(refusal) => Err(refusal),
             None => Ok(()),
         }
     }
 
-    fn refusals(&self, now: Option<&Configuration>, change: &Change) -> Vec<Failure> {
+    fn refusals(&self, current: Option<&Configuration>, change: &Change) -> Vec<Failure> {
         match change {
-            Change::DomainOut { domain } => self.domain_out(now, domain),
+            Change::DomainOut { domain } => self.check_domain_out(current, domain),
             Change::EndpointOut { endpoint } if !self.endpoints.contains(endpoint) => {
-                vec![unknown("endpoint", endpoint.as_str(), &names(&self.endpoints))]
+                vec![unknown_name("endpoint", endpoint.as_str(), &join_names(&self.endpoints))]
             }
-            Change::PutPreset { content, .. } => self.preset_names(content),
+            Change::PutPreset { content, .. } => self.check_preset(content),
             _ => Vec::new(),
         }
     }
 
-    fn domain_out(&self, now: Option<&Configuration>, domain: &DomainId) -> Vec<Failure> {
+    fn check_domain_out(&self, current: Option<&Configuration>, domain: &DomainId) -> Vec<Failure> {
         let mut refusals = Vec::new();
         if !self.domains.contains(domain) {
-            refusals.push(unknown("failure domain", domain.as_str(), &names(&self.domains)));
+            refusals.push(unknown_name(
+                "failure domain",
+                domain.as_str(),
+                &join_names(&self.domains),
+            ));
         }
-        let out = |d: &DomainId| d == domain || now.is_some_and(|c| c.out_domains.contains(d));
-        if self.domains.iter().all(out) {
+        let is_out =
+            |d: &DomainId| d == domain || current.is_some_and(|c| c.out_domains.contains(d));
+        if self.domains.iter().all(is_out) {
             let detail = format!("no failure domain would be in service without {domain}");
-            refusals.push(confirmable(Code::LastDomain, &detail));
+            refusals.push(overridable(Code::LastDomain, &detail));
         }
         refusals
     }
 
-    fn preset_names(&self, preset: &Preset) -> Vec<Failure> {
+    fn check_preset(&self, preset: &Preset) -> Vec<Failure> {
         let named = preset.models.values().flat_map(|m| &m.endpoints);
         let missing = named.filter(|e| !self.endpoints.contains(e));
-        missing.map(|e| unknown("endpoint", e.as_str(), &names(&self.endpoints))).collect()
+        missing
+            .map(|e| unknown_name("endpoint", e.as_str(), &join_names(&self.endpoints)))
+            .collect()
     }
 }
 
-fn names<T: ToString>(known: &BTreeSet<T>) -> String {
-    let names: Vec<_> = known.iter().map(ToString::to_string).collect();
+fn join_names<T: ToString>(names: &BTreeSet<T>) -> String {
+    let names: Vec<_> = names.iter().map(ToString::to_string).collect();
     names.join(", ")
 }
 
-fn unknown(kind: &str, name: &str, known: &str) -> Failure {
-    confirmable(Code::UnknownName, &format!("no {kind} {name}; known: {known}"))
+fn unknown_name(kind: &str, name: &str, known: &str) -> Failure {
+    overridable(Code::UnknownName, &format!("no {kind} {name}; known: {known}"))
 }
 
-fn confirmable(code: Code, detail: &str) -> Failure {
+fn overridable(code: Code, detail: &str) -> Failure {
     let number = code.number();
-    Failure::new(code, &format!("{detail}; to do it all the same add --confirm {number}"))
+    Failure::new(code, &format!("{detail}; to override, add --confirm {number}"))
 }
--- a/crates/nutmeggrade-core/src/config/operation_class.rs
+++ b/crates/nutmeggrade-core/src/config/operation_class.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What the configuration says about one operation of a plain service.
+/// Properties of one operation of a plain service.
 ///
-/// Whether a call may be repeated comes from here and never from the caller.
+/// Whether a call may be repeated is configured here and never taken from the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperationClass {
--- a/crates/nutmeggrade-core/src/config/preset.rs
+++ b/crates/nutmeggrade-core/src/config/preset.rs
@@ -1,4 +1,4 @@
-//! Presets: what operators choose between.
+//! Presets: named sets of limits, classes and weights that operators switch between.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,56 +9,56 @@
 use super::{OperationClass, TaskClass, Weights};
 use crate::id::{EndpointId, ModelId, ServiceId, TaskId};
 
-/// Limits that a preset sets on waiting.
+/// Limits on queueing, deadlines and weight loads.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Most requests that wait on one instance.
+    /// Maximum number of requests queued on one instance.
     pub queue: u32,
-    /// Deadline of a service call that names none.
+    /// Deadline of a service call that sets none.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "call_deadline_ms")]
     pub call_deadline: Duration,
-    /// Loads from the weight store at a time, over the whole fleet.
+    /// Maximum number of concurrent loads from the weight store, fleet-wide.
     #[serde(default = "default_loads")]
     pub loads: u32,
 }
 
-/// Loads at a time where a preset names none: one engine after another is slow but never too much.
+/// Concurrent loads if a preset sets none: one at a time is slow but never overloads the store.
 const fn default_loads() -> u32 {
     1
 }
 
-/// One model that callers may ask for.
+/// A model that callers may request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelClass {
-    /// Longest prompt and answer together, in tokens.
+    /// Maximum length of prompt and answer together, in tokens.
     pub context: u64,
-    /// Engines that may serve it; empty for every engine that has it loaded.
+    /// Engines that may serve the model; if empty, every engine that has it loaded.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub endpoints: BTreeSet<EndpointId>,
 }
 
-/// One preset: the limits, classes and weights in force together.
+/// A set of limits, classes and weights that are in force together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Preset {
-    /// Models on offer.
+    /// Models offered to callers.
     pub models: BTreeMap<ModelId, ModelClass>,
-    /// Task classes that callers may name.
+    /// Task classes that callers may select.
     pub tasks: BTreeMap<TaskId, TaskClass>,
     /// Operations of plain services.
     pub services: BTreeMap<ServiceId, BTreeMap<String, OperationClass>>,
-    /// Limits on waiting.
+    /// Limits on queueing, deadlines and weight loads.
     pub limits: Limits,
-    /// What this deployment weighs most.
+    /// Relative weights of the deployment's objectives.
     pub weights: Weights,
 }
 
 impl Preset {
-    /// Says whether an engine may serve a model.
+    /// Returns whether an engine may serve a model.
     pub fn lets_serve(&self, model: &ModelId, engine: &EndpointId) -> bool {
         let Some(class) = self.models.get(model) else { return false };
         class.endpoints.is_empty() || class.endpoints.contains(engine)
--- a/crates/nutmeggrade-core/src/config/problem.rs
+++ b/crates/nutmeggrade-core/src/config/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a preset.
+//! Validation problems of presets.
 
 use std::fmt;
 
@@ -6,19 +6,19 @@
 
 use crate::code::Code;
 
-/// One mistake in a preset: its place, its numbered code and what is wrong.
+/// A validation problem in a preset.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// The numbered code.
+    /// The numbered result code.
     pub code: Code,
-    /// Path of keys, or file, line and column where the text can't be read.
+    /// Path of keys, or file, line and column if the text can't be parsed.
     pub place: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub detail: String,
 }
 
 impl Problem {
-    /// Makes a problem at a place.
+    /// Creates a problem at a place.
     pub fn new(code: Code, place: &str, detail: &str) -> Self {
         Self { code, place: place.to_owned(), detail: detail.to_owned() }
     }
@@ -30,7 +30,7 @@
     }
 }
 
-/// Every mistake that was found in one preset.
+/// All problems found in one preset.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problems(pub Vec<Problem>);
 
--- a/crates/nutmeggrade-core/src/config/weights.rs
+++ b/crates/nutmeggrade-core/src/config/weights.rs
@@ -1,18 +1,18 @@
-//! What a deployment weighs most.
+//! Weights of a deployment's objectives.
 
 use serde::{Deserialize, Serialize};
 
-/// Relative weights of the measures; only their ratios matter.
+/// Relative weights of the objectives; only their ratios matter.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
-    /// Time that streams stand still.
+    /// Time that streams are stalled.
     pub stall: f64,
-    /// Service while a failure domain leaves and returns.
+    /// Service while a failure domain is lost and returns.
     pub domains: f64,
     /// Tail latency between tokens.
     pub gap: f64,
-    /// Generations that an engine preempts.
+    /// Generations preempted by engines.
     pub preemptions: f64,
 }
 
