--- a/crates/nutmeggrade-core/src/endpoint.rs
+++ b/crates/nutmeggrade-core/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the platform's instance list shows them.
+//! Endpoints as listed by the platform.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,15 +7,15 @@
 
 use crate::id::{DomainId, EndpointId, ModelId, ServiceId};
 
-/// What an endpoint serves.
+/// The type of an endpoint and what it serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum EndpointKind {
-    /// A model engine and the models it has loaded.
+    /// A model engine.
     Engine {
-        /// Models that can be asked for.
+        /// Models that the engine has loaded.
         models: BTreeSet<ModelId>,
-        /// Memory for key/value cache, in tokens.
+        /// Capacity of the key/value cache, in tokens.
         memory: u64,
     },
     /// A plain service.
@@ -25,30 +25,30 @@
     },
 }
 
-/// Whether the platform says that an endpoint stays.
+/// Whether an endpoint stays, according to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
     /// In service.
     Live,
-    /// About to go; gets no new work.
+    /// Shutting down; receives no new work.
     Leaving,
 }
 
-/// One row of the platform's instance list, which lags.
+/// An entry of the platform's endpoint list, which lags behind the actual state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
     /// The endpoint's name.
     pub id: EndpointId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Whether it stays.
+    /// Whether it stays in service.
     pub state: EndpointState,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing token.
     pub checks_fencing: bool,
-    /// What it serves.
+    /// Type of the endpoint and what it serves.
     #[serde(flatten)]
     pub kind: EndpointKind,
 }
--- a/crates/nutmeggrade-core/src/engine.rs
+++ b/crates/nutmeggrade-core/src/engine.rs
@@ -1,4 +1,4 @@
-//! Messages between a node and a model engine.
+//! Messages between an instance and a model engine.
 
 mod cache_event;
 mod generate;
@@ -12,9 +12,9 @@
 pub use standing::Standing;
 pub use token::{Finish, Token};
 
-/// Path under which an engine starts, resumes and cancels generations.
+/// Path for starting, resuming and canceling generations on an engine.
 pub const GENERATIONS_PATH: &str = "/v1/generations";
-/// Path of an engine's lagging load report.
+/// Path of an engine's load report, which lags behind the actual load.
 pub const LOAD_PATH: &str = "/v1/load";
-/// Path of an engine's cache events, after the number in the query.
+/// Path of an engine's cache events; the query gives the number after which they start.
 pub const CACHE_EVENTS_PATH: &str = "/v1/cache-events";
--- a/crates/nutmeggrade-core/src/engine/cache_event.rs
+++ b/crates/nutmeggrade-core/src/engine/cache_event.rs
@@ -1,16 +1,16 @@
-//! What an engine publishes about its prefix cache, late and with gaps.
+//! Prefix cache events, which engines publish late and with gaps.
 
 use serde::{Deserialize, Serialize};
 
-/// A prefix that came into an engine's cache or left it.
+/// The addition or removal of a prefix in an engine's cache.
 ///
-/// Numbers grow by one; a missing one is an event that was lost.
+/// Numbers increase by one; a gap means lost events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts the engine's events from 1.
+    /// Sequence number of the engine's event, from 1.
     pub number: u64,
-    /// The engine's name for the prefix.
+    /// The engine's id of the prefix.
     pub prefix: u64,
-    /// Whether it is in the cache now.
+    /// Whether the prefix is in the cache after the event.
     pub kept: bool,
 }
--- a/crates/nutmeggrade-core/src/engine/generate.rs
+++ b/crates/nutmeggrade-core/src/engine/generate.rs
@@ -1,20 +1,20 @@
-//! The order to start a generation.
+//! Request to start a generation.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{GenerationId, ModelId};
 
-/// Starts one generation on an engine.
+/// A request to start one generation on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Generate {
-    /// Id drawn by the node for this attempt.
+    /// Random id that the instance assigns to this attempt.
     pub generation: GenerationId,
     /// The model to run.
     pub model: ModelId,
     /// The prompt.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// Higher is preempted later.
+    /// Priority; engines preempt lower values first.
     pub priority: i32,
 }
--- a/crates/nutmeggrade-core/src/engine/load_report.rs
+++ b/crates/nutmeggrade-core/src/engine/load_report.rs
@@ -1,29 +1,29 @@
-//! What an engine says about its load, with a lag.
+//! Load reports of engines.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// An engine's own view of its load.
+/// An engine's load as measured by the engine, with a lag.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Generations in the batch.
+    /// Number of generations in the running batch.
     pub running: u32,
-    /// Generations that wait inside the engine.
+    /// Number of generations queued in the engine.
     pub waiting: u32,
-    /// Memory in use, in tokens.
+    /// Key/value memory in use, in tokens.
     pub memory_used: u64,
-    /// Memory in all, in tokens.
+    /// Total key/value memory, in tokens.
     pub memory_total: u64,
-    /// Preemptions since the engine started.
+    /// Number of preemptions since the engine started.
     pub preemptions: u64,
     /// Whether the engine is in cold start.
     pub cold: bool,
-    /// Most generations that it bears while cold.
+    /// Maximum number of generations during cold start.
     pub cold_limit: u32,
-    /// How old these numbers are.
+    /// Age of the reported values.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "age_ms")]
     pub age: Duration,
--- a/crates/nutmeggrade-core/src/engine/standing.rs
+++ b/crates/nutmeggrade-core/src/engine/standing.rs
@@ -1,16 +1,16 @@
-//! What an engine answers when it is asked how it stands.
+//! Status of an engine, as returned by its load endpoint.
 
 use serde::{Deserialize, Serialize};
 
 use super::LoadReport;
 
-/// An engine's load, and whether it is about to go.
+/// An engine's load and whether it is shutting down.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
-    /// Its load.
+    /// The load report.
     #[serde(flatten)]
     pub load: LoadReport,
-    /// Whether it is about to go; engines that don't say stay.
+    /// Whether the engine is shutting down; false if it does not report this.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/nutmeggrade-core/src/engine/token.rs
+++ b/crates/nutmeggrade-core/src/engine/token.rs
@@ -1,4 +1,4 @@
-//! One generated token.
+//! Tokens on an engine's stream.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,9 +19,9 @@
 pub struct Token {
     /// The generation it belongs to.
     pub generation: GenerationId,
-    /// Place in the answer, from 0.
+    /// Position in the answer, from 0.
     pub offset: u64,
-    /// The text.
+    /// Text of the token.
     pub text: String,
     /// Set on the last token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/nutmeggrade-core/src/event_id.rs
+++ b/crates/nutmeggrade-core/src/event_id.rs
@@ -4,14 +4,14 @@
 
 use crate::id::{EndpointId, GenerationId, WorkspaceId};
 
-const TAG_LEN: usize = 32;
-/// Follows the offset of an answer's last token.
-const LAST: &str = ".";
+const TAG_HEX_DIGITS: usize = 32;
+/// Suffix of the offset if the token is the answer's last.
+const LAST_TOKEN_SUFFIX: &str = ".";
 
-/// The place in a generation that an event id names.
+/// The position in a generation that an event id stands for.
 ///
-/// A caller that lost its connection hands the id of its last event to any instance, which then
-/// knows the engine, the generation and the next token without a shared table.
+/// A caller that lost its connection sends the id of its last event to any instance, which learns
+/// from it the engine, the generation and the next token without a shared table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventId {
     /// The engine that runs the generation.
@@ -25,55 +25,55 @@
 }
 
 impl EventId {
-    /// Names a token that is not the last.
+    /// Creates the id of a token that is not the last.
     pub const fn new(endpoint: EndpointId, generation: GenerationId, offset: u64) -> Self {
         Self { endpoint, generation, offset, last: false }
     }
 
-    /// Says whether the token was the last of the answer.
+    /// Sets whether the token was the last of the answer.
     ///
-    /// A caller whose connection broke between the last token and the end of the stream resumes after
-    /// the last token. No engine can tell that apart from a lost answer; the id can.
+    /// A caller whose connection broke between the last token and the end of the stream resumes
+    /// after the last token. An engine can't distinguish this from a lost answer; the id does.
     #[must_use]
     pub const fn with_last(mut self, last: bool) -> Self {
         self.last = last;
         self
     }
 
-    /// Writes the id as text with a tag that binds it to the workspace.
+    /// Encodes the id as text with an authentication tag that binds it to the workspace.
     ///
     /// Without the tag a caller could read another workspace's answer by guessing or copying ids;
-    /// one would notice answers in logs under the wrong workspace. The tag is keyed with a secret
-    /// of the instances, so an id verifies only for the workspace it was made for.
+    /// it would show as answers logged under the wrong workspace. The tag is keyed with a secret
+    /// shared by the instances, so an id is valid only for the workspace that it was created for.
     pub fn seal(&self, workspace: &WorkspaceId, key: &[u8; 32]) -> String {
-        let mark = if self.last { LAST } else { "" };
-        let place = format!("{}{mark}~{}~{}", self.offset, self.generation, self.endpoint);
-        let tag = tag(&place, workspace, key);
-        format!("{place}~{tag}")
+        let suffix = if self.last { LAST_TOKEN_SUFFIX } else { "" };
+        let payload = format!("{}{suffix}~{}~{}", self.offset, self.generation, self.endpoint);
+        let tag = tag(&payload, workspace, key);
+        format!("{payload}~{tag}")
     }
 
-    /// Reads an id written by [`EventId::seal`]; `None` if forged, damaged or of another workspace.
+    /// Decodes an id from [`EventId::seal`]; `None` if forged, damaged or from another workspace.
     pub fn open(text: &str, workspace: &WorkspaceId, key: &[u8; 32]) -> Option<Self> {
-        let (place, found) = text.rsplit_once('~')?;
-        if !same(&tag(place, workspace, key), found) {
+        let (payload, claimed) = text.rsplit_once('~')?;
+        if !tags_equal(&tag(payload, workspace, key), claimed) {
             return None;
         }
-        let mut parts = place.splitn(3, '~');
+        let mut parts = payload.splitn(3, '~');
         let offset = parts.next()?;
-        let last = offset.ends_with(LAST);
-        let offset = offset.trim_end_matches(LAST).parse().ok()?;
+        let last = offset.ends_with(LAST_TOKEN_SUFFIX);
+        let offset = offset.trim_end_matches(LAST_TOKEN_SUFFIX).parse().ok()?;
         let generation = GenerationId::parse(parts.next()?)?;
         let endpoint = EndpointId::new(parts.next()?).ok()?;
         Some(Self { endpoint, generation, offset, last })
     }
 }
 
-fn tag(place: &str, workspace: &WorkspaceId, key: &[u8; 32]) -> String {
-    let text = format!("{workspace}~{place}");
-    let hash = blake3::keyed_hash(key, text.as_bytes());
-    hash.to_hex()[..TAG_LEN].to_owned()
+fn tag(payload: &str, workspace: &WorkspaceId, key: &[u8; 32]) -> String {
+    let message = format!("{workspace}~{payload}");
+    let hash = blake3::keyed_hash(key, message.as_bytes());
+    hash.to_hex()[..TAG_HEX_DIGITS].to_owned()
 }
 
-fn same(made: &str, found: &str) -> bool {
-    blake3::hash(made.as_bytes()) == blake3::hash(found.as_bytes())
+fn tags_equal(expected: &str, claimed: &str) -> bool {
+    blake3::hash(expected.as_bytes()) == blake3::hash(claimed.as_bytes())
 }
--- a/crates/nutmeggrade-core/src/failure.rs
+++ b/crates/nutmeggrade-core/src/failure.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when its request does not end well.
+//! Failures reported to callers.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,29 +9,29 @@
 use crate::code::Code;
 use crate::run::Run;
 
-/// Header that carries the number of a failed answer's result.
+/// Response header with the number of a failure's result code.
 pub const CODE_HEADER: &str = "nutmeggrade-code";
 
-/// A numbered failure with what is known about the request's effect.
+/// A failure with its result code and whether the request ran.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// The numbered code.
+    /// The numbered result code.
     pub code: Code,
-    /// The code's name, for people.
+    /// Human-readable name of the code.
     pub name: String,
     /// Whether the request ran.
     pub run: Run,
-    /// What happened, in words.
+    /// Human-readable description.
     pub detail: String,
-    /// When to come back; absent if coming back does not help.
+    /// Time to wait before a retry; absent if a retry can't succeed.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "retry_after_ms", skip_serializing_if = "Option::is_none", default)]
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// Makes a failure of a request that did not run.
+    /// Creates a failure of a request that did not run.
     pub fn new(code: Code, detail: &str) -> Self {
         Self {
             code,
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Sets what is known about the request's effect.
+    /// Sets whether the request ran.
     #[must_use]
     pub fn with_run(mut self, run: Run) -> Self {
         self.run = run;
         self
     }
 
-    /// Sets when to come back.
+    /// Sets the time to wait before a retry.
     #[must_use]
-    pub fn with_retry_after(mut self, wait: Duration) -> Self {
-        self.retry_after = Some(wait);
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 }
--- a/crates/nutmeggrade-core/src/id.rs
+++ b/crates/nutmeggrade-core/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things across processes.
+//! Identifiers shared between processes.
 
 mod generation_id;
 mod name;
--- a/crates/nutmeggrade-core/src/id/generation_id.rs
+++ b/crates/nutmeggrade-core/src/id/generation_id.rs
@@ -1,14 +1,14 @@
-//! The id of one generation on one engine.
+//! Ids of generations.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use serde_with::{hex::Hex, serde_as};
 
-/// Identifies one generation; 16 random bytes, written as 32 hex digits.
+/// Identifies one generation on an engine; 16 random bytes, written as 32 hex digits.
 ///
-/// A node draws a new id for every attempt, so two attempts at the same request can never be taken
-/// for one generation.
+/// An instance draws a new id for every attempt, so that two attempts at the same request are never
+/// mistaken for one generation.
 #[serde_as]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
@@ -20,7 +20,7 @@
         Self(bytes)
     }
 
-    /// Reads 32 hex digits; `None` for anything else.
+    /// Parses 32 hex digits; `None` for anything else.
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() != 32 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
             return None;
--- a/crates/nutmeggrade-core/src/lib.rs
+++ b/crates/nutmeggrade-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Types that every package of nutmeggrade shares.
+//! Types shared by all nutmeggrade crates.
 //!
-//! Ids, units, result codes, the configuration, and the messages that cross a process boundary.
-//! Nothing here does I/O or reads a clock; `use nutmeggrade_core::prelude::*` brings the common
+//! Ids, units, result codes, the configuration, and the messages between processes.
+//! This crate does no I/O and reads no clock. `use nutmeggrade_core::prelude::*` brings the common
 //! types into scope.
 
 pub mod audit;
--- a/crates/nutmeggrade-core/src/moment.rs
+++ b/crates/nutmeggrade-core/src/moment.rs
@@ -4,9 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point on one process's monotonic clock, counted from the process's start.
+/// A point on a process's monotonic clock, measured from the process's start.
 ///
-/// Moments of two processes can't be compared; messages carry durations instead.
+/// Moments of different processes can't be compared; messages carry durations instead.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,14 +17,14 @@
     /// The process's start.
     pub const ZERO: Self = Self(Duration::ZERO);
 
-    /// Wraps the time since the process's start.
+    /// Creates a moment from the time since the process's start.
     pub const fn new(since_start: Duration) -> Self {
         Self(since_start)
     }
 
-    /// Makes a moment from whole milliseconds since the start.
-    pub const fn from_millis(ms: u64) -> Self {
-        Self(Duration::from_millis(ms))
+    /// Creates a moment from milliseconds since the process's start.
+    pub const fn from_millis(millis: u64) -> Self {
+        Self(Duration::from_millis(millis))
     }
 
     /// Returns the time since the process's start.
@@ -37,9 +37,9 @@
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Returns the moment `wait` later.
+    /// Returns the moment `delay` later.
     #[must_use]
-    pub fn after(self, wait: Duration) -> Self {
-        Self(self.0.saturating_add(wait))
+    pub fn after(self, delay: Duration) -> Self {
+        Self(self.0.saturating_add(delay))
     }
 }
--- a/crates/nutmeggrade-core/src/object.rs
+++ b/crates/nutmeggrade-core/src/object.rs
@@ -1,23 +1,23 @@
-//! Objects of the platform's API.
+//! Objects in the platform's store.
 
 use serde::{Deserialize, Serialize};
 
-/// One object with the version that a conditional write names.
+/// A stored object with the version that conditional writes compare.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
-    /// Path-like key.
+    /// Key, with segments separated by slashes.
     pub key: String,
-    /// Version of this object; grows with every write.
+    /// Version of the object; increases with every write.
     pub version: u64,
-    /// The value, at most one megabyte of JSON; absent if the object was removed.
+    /// JSON value of at most one megabyte; absent if the object was removed.
     pub value: Option<serde_json::Value>,
 }
 
-/// Objects that changed under a prefix.
+/// Changed objects under a key prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// The store's revision after these changes; the next watch starts here.
+    /// The store's revision after these changes, from which the next watch continues.
     pub revision: u64,
-    /// The changed objects in the order of their writes.
+    /// The changed objects in write order.
     pub objects: Vec<Object>,
 }
--- a/crates/nutmeggrade-core/src/order.rs
+++ b/crates/nutmeggrade-core/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: what operators want of each, and what came of it.
+//! Operators' orders to engines: desired state, progress, and slots for loading weights.
 
 mod desired;
 mod effect;
--- a/crates/nutmeggrade-core/src/order/desired.rs
+++ b/crates/nutmeggrade-core/src/order/desired.rs
@@ -1,4 +1,4 @@
-//! What operators want of an engine.
+//! Desired state of engines.
 
 use std::collections::BTreeMap;
 
@@ -7,46 +7,52 @@
 use super::{Load, Order, Role};
 use crate::id::{ChangeId, EndpointId};
 
-/// Prefix of the platform keys that hold what is wanted, a version an object.
+/// Key prefix of desired states in the platform's object store, one object per version.
 pub const ORDER_PREFIX: &str = "orders/";
 
-/// What operators want of one engine, at one version.
+/// One version of the state that operators want for an engine.
 ///
-/// As with the configuration, version n+1 is an object that is created only if absent. Two operators
-/// who want different things of one engine can't overwrite each other unseen: the platform lets one
-/// win, and the other is shown whose order came first.
+/// As with the configuration, version n+1 is an object that is created only if absent. Operators
+/// with conflicting orders for one engine can't overwrite each other unnoticed: the platform
+/// accepts one, and the other operator is shown whose order came first.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Desired {
-    /// Counts the orders to this engine, from 1.
+    /// Number of orders to this engine, from 1.
     pub version: u64,
-    /// The order's id; tells after a lost answer whose write it was.
+    /// Id of the order; identifies the writer when the response to a write was lost.
     pub id: ChangeId,
-    /// Who gave the order.
+    /// Author of the order.
     pub who: String,
-    /// Why.
+    /// Reason for the order.
     pub why: String,
-    /// Wall time, milliseconds since 1970, for people only.
+    /// Wall time in Unix milliseconds, for display only.
     pub at_ms: u64,
-    /// The order that led here.
+    /// The order that produced this version.
     pub change: Order,
-    /// What must be loaded, or must not; what is not named stays as it is.
+    /// Whether each item must be loaded or unloaded; unlisted items are left unchanged.
     pub loads: BTreeMap<Load, bool>,
-    /// The role; absent as long as nobody ordered one.
+    /// The role; absent until one is ordered.
     pub role: Option<Role>,
 }
 
 impl Desired {
-    /// Makes the version after `before`; the first one without it.
-    pub fn new(before: Option<&Self>, id: ChangeId, who: &str, why: &str, change: &Order) -> Self {
+    /// Creates the version that follows `previous`, or the first version if there is none.
+    pub fn new(
+        previous: Option<&Self>,
+        id: ChangeId,
+        who: &str,
+        why: &str,
+        change: &Order,
+    ) -> Self {
         let mut next = Self {
-            version: before.map_or(0, |d| d.version) + 1,
+            version: previous.map_or(0, |d| d.version) + 1,
             id,
             who: who.to_owned(),
             why: why.to_owned(),
             at_ms: 0,
             change: change.clone(),
-            loads: before.map(|d| d.loads.clone()).unwrap_or_default(),
-            role: before.and_then(|d| d.role),
+            loads: previous.map(|d| d.loads.clone()).unwrap_or_default(),
+            role: previous.and_then(|d| d.role),
         };
         match change {
             Order::Load { load } => drop(next.loads.insert(load.clone(), true)),
@@ -63,7 +69,7 @@
         self
     }
 
-    /// Says whether an order would alter nothing.
+    /// Returns whether an order would have no effect.
     pub fn has(&self, change: &Order) -> bool {
         match change {
             Order::Load { load } => self.loads.get(load) == Some(&true),
@@ -72,17 +78,17 @@
         }
     }
 
-    /// Returns the prefix of an engine's versions.
+    /// Returns the key prefix of an engine's versions.
     pub fn prefix(endpoint: &EndpointId) -> String {
         format!("{ORDER_PREFIX}{endpoint}/")
     }
 
-    /// Returns the platform key of a version; keys sort in the order of the versions.
+    /// Returns the key of a version; keys sort by version.
     pub fn key(endpoint: &EndpointId, version: u64) -> String {
         format!("{ORDER_PREFIX}{endpoint}/{version:09}")
     }
 
-    /// Returns the engine that a key names.
+    /// Returns the engine that a key belongs to.
     pub fn endpoint(key: &str) -> Option<EndpointId> {
         let rest = key.strip_prefix(ORDER_PREFIX)?;
         EndpointId::new(rest.split('/').next()?).ok()
--- a/crates/nutmeggrade-core/src/order/effect.rs
+++ b/crates/nutmeggrade-core/src/order/effect.rs
@@ -1,43 +1,43 @@
-//! What came of an order.
+//! Progress of orders to engines.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{EndpointId, InstanceId};
 
-/// Prefix of the platform keys that hold what came of the orders, an object an engine.
+/// Key prefix of order results in the platform's object store, one object per engine.
 pub const EFFECT_PREFIX: &str = "effects/";
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Progress {
-    /// Waits for a share of the weight store.
+    /// Waiting for a slot of the weight store.
     Waiting,
-    /// Sent; the engine is at it.
+    /// Sent and being carried out by the engine.
     Sent,
-    /// The engine refused it.
+    /// Refused by the engine.
     Refused,
-    /// Read back: the engine has and does what was ordered.
+    /// Confirmed by reading back the engine's state.
     Done,
 }
 
-/// What came of the orders to one engine, as its owner read it back.
+/// Result of the latest orders to one engine, as read back by its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effect {
-    /// Version of what was wanted.
+    /// Version of the desired state.
     pub version: u64,
-    /// The owner's epoch, which is the fencing number of its orders.
+    /// The owner's epoch, which is the fencing token of its orders.
     pub epoch: u64,
-    /// The owner.
+    /// The instance that owns the engine.
     pub instance: InstanceId,
-    /// How far it has come.
+    /// Progress of the orders.
     pub progress: Progress,
-    /// What was last sent or answered.
+    /// The last order sent or response received.
     pub detail: String,
 }
 
 impl Effect {
-    /// Returns the platform key of an engine's effect.
+    /// Returns the key of an engine's object.
     pub fn key(endpoint: &EndpointId) -> String {
         format!("{EFFECT_PREFIX}{endpoint}")
     }
--- a/crates/nutmeggrade-core/src/order/engine_order.rs
+++ b/crates/nutmeggrade-core/src/order/engine_order.rs
@@ -1,4 +1,4 @@
-//! Orders as engines take them.
+//! Orders as sent to engines.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,18 +7,18 @@
 
 use super::Load;
 
-/// Path of an engine's orders: `POST` gives one, `GET` reads the state.
+/// Path of an engine's orders: `POST` sends an order, `GET` reads the engine's state.
 pub const ORDERS_PATH: &str = "/orders";
 
-/// Which part of a generation an engine does.
+/// Phases of a generation that an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Reads prompts.
+    /// Prefill only: processes prompts.
     Prefill,
-    /// Generates tokens.
+    /// Decode only: generates tokens.
     Decode,
-    /// Does both.
+    /// Both prefill and decode.
     #[default]
     Both,
 }
@@ -34,21 +34,21 @@
     }
 }
 
-/// One order.
+/// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum Order {
-    /// Load a model, version or adapter.
+    /// Loads a model, version or adapter.
     Load {
-        /// What to load.
+        /// The item to load.
         load: Load,
     },
-    /// Free the memory of one.
+    /// Unloads a model, version or adapter.
     Unload {
-        /// What to unload.
+        /// The item to unload.
         load: Load,
     },
-    /// Change the role.
+    /// Changes the role.
     Role {
         /// The new role.
         role: Role,
@@ -65,24 +65,24 @@
     }
 }
 
-/// An order with the fencing number of who gives it.
+/// An order with the sender's fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// The owner's epoch; an engine that checks refuses one below the highest it has seen.
+    /// The owner's epoch; an engine that checks fencing refuses one below the highest seen.
     pub fence: u64,
     /// The order.
     #[serde(flatten)]
     pub order: Order,
 }
 
-/// What an engine says it has and does.
+/// State reported by an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Highest fencing number seen; 0 for an engine that does not check.
+    /// Highest fencing token seen; 0 for an engine that does not check fencing.
     pub fence: u64,
-    /// What is loaded.
+    /// Loaded items.
     pub loaded: BTreeSet<Load>,
-    /// What is being loaded.
+    /// Items being loaded.
     pub loading: BTreeSet<Load>,
     /// The role.
     pub role: Role,
--- a/crates/nutmeggrade-core/src/order/load.rs
+++ b/crates/nutmeggrade-core/src/order/load.rs
@@ -1,4 +1,4 @@
-//! What an engine can load.
+//! Models, versions and adapters that an engine can load.
 
 use std::fmt;
 
@@ -6,46 +6,46 @@
 
 use crate::id::{AdapterId, BadName, ModelId, VersionId};
 
-/// Says that a text names nothing that can be loaded.
+/// Error for a text that is not of the form `MODEL[@VERSION][+ADAPTER]`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BadLoad {
     text: String,
-    cause: BadName,
+    source: BadName,
 }
 
 impl fmt::Display for BadLoad {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is not MODEL[@VERSION][+ADAPTER]: {}", self.text, self.cause)
+        write!(f, "{:?} is not MODEL[@VERSION][+ADAPTER]: {}", self.text, self.source)
     }
 }
 
 impl std::error::Error for BadLoad {}
 
-/// A model, one version of it, or an adapter for it; `MODEL[@VERSION][+ADAPTER]` as text.
+/// A model, a version of it, or an adapter for it; written as `MODEL[@VERSION][+ADAPTER]`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Load {
     /// The model.
     pub model: ModelId,
-    /// The version; the engine's usual one if absent.
+    /// The version; the engine's default if absent.
     pub version: Option<VersionId>,
-    /// The adapter; the bare model if absent.
+    /// The adapter; the base model alone if absent.
     pub adapter: Option<AdapterId>,
 }
 
 impl Load {
-    /// Reads `MODEL[@VERSION][+ADAPTER]`.
+    /// Parses `MODEL[@VERSION][+ADAPTER]`.
     pub fn parse(text: &str) -> Result<Self, BadLoad> {
-        let bad = |cause| BadLoad { text: text.to_owned(), cause };
+        let to_error = |source| BadLoad { text: text.to_owned(), source };
         let (rest, adapter) = match text.split_once('+') {
-            Some((rest, name)) => (rest, Some(AdapterId::new(name).map_err(bad)?)),
+            Some((rest, name)) => (rest, Some(AdapterId::new(name).map_err(to_error)?)),
             None => (text, None),
         };
         let (model, version) = match rest.split_once('@') {
-            Some((model, name)) => (model, Some(VersionId::new(name).map_err(bad)?)),
+            Some((model, name)) => (model, Some(VersionId::new(name).map_err(to_error)?)),
             None => (rest, None),
         };
-        let model = ModelId::new(model).map_err(bad)?;
+        let model = ModelId::new(model).map_err(to_error)?;
         Ok(Self { model, version, adapter })
     }
 }
--- a/crates/nutmeggrade-core/src/order/weight_slot.rs
+++ b/crates/nutmeggrade-core/src/order/weight_slot.rs
@@ -1,23 +1,23 @@
-//! Shares of the weight store.
+//! Slots that bound concurrent loads from the weight store.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{EndpointId, InstanceId};
 
-/// Prefix of the platform keys that hold the slots in use.
+/// Key prefix of the slots in use in the platform's object store.
 pub const WEIGHT_PREFIX: &str = "weights/";
 
-/// One load from the weight store that is under way.
+/// A slot held by a load from the weight store.
 ///
-/// The store is rate-limited: a fleet that loads a new version everywhere at once would be served at
-/// a crawl, and engines would stand cold for hours. As many slots exist as the preset lets load at a
-/// time; each is an object created only if absent, so no two owners hold the same one. A slot names
-/// its engine, not its owner: the next owner goes on with it.
+/// The store is rate-limited: if the whole fleet loaded a new version at once, each load would be
+/// very slow and engines would stay cold for hours. The preset sets the number of slots; each is an
+/// object created only if absent, so two owners can't hold the same slot. A slot belongs to its
+/// engine rather than to its owner: after a change of ownership the next owner continues with it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightSlot {
     /// The engine that loads.
     pub endpoint: EndpointId,
-    /// The owner that took it.
+    /// The owner that acquired the slot.
     pub instance: InstanceId,
     /// The owner's epoch.
     pub epoch: u64,
