--- a/crates/nutmeggrade-core/src/peer/beacon.rs
+++ b/crates/nutmeggrade-core/src/peer/beacon.rs
@@ -1,4 +1,4 @@
-//! What an instance tells its peers several times a second.
+//! Heartbeats that instances send to their peers several times a second.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,33 +10,33 @@
 use super::Suspect;
 use crate::id::{DomainId, EndpointId, GenerationId, InstanceId};
 
-/// One instance of the system as others may use it.
+/// Identity and addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The instance.
     pub instance: InstanceId,
-    /// Distinguishes two lives of an instance with the same name; higher is newer.
+    /// Distinguishes restarts of an instance under the same name; higher is newer.
     pub incarnation: u64,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub caller_address: SocketAddr,
-    /// Where peers subscribe.
+    /// Address that peers subscribe to.
     pub peer_address: SocketAddr,
-    /// Where operators and probes connect.
+    /// Address that operators and health probes connect to.
     pub admin_address: SocketAddr,
 }
 
-/// The last heartbeat that an instance heard of a peer.
+/// The last heartbeat that an instance received from a peer.
 ///
-/// Written as a pair without field names: each heartbeat carries one for every peer, so that their
-/// bytes grow with the square of the fleet.
+/// Serialized as a pair without field names: each heartbeat carries one for every peer, so their
+/// total size grows with the square of the number of instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct Echo {
     /// The peer's incarnation.
     pub incarnation: u64,
-    /// The heartbeat's number.
+    /// The heartbeat's sequence number.
     pub sequence: u64,
 }
 
@@ -52,49 +52,49 @@
     }
 }
 
-/// Heartbeats from one that carries the sender's addresses to the next.
-const INTRODUCTIONS: u64 = 8;
+/// Interval, in heartbeats, between heartbeats that carry the sender's addresses.
+const INTRODUCTION_INTERVAL: u64 = 8;
 
-/// Heartbeat of an instance: that it lives, what it has in force and what it has in flight.
+/// Heartbeat of an instance, with its configuration version and its requests in flight.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beacon {
     /// The sender.
     pub instance: InstanceId,
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: u64,
-    /// The sender's addresses, now and then; peers mostly know them from the platform.
+    /// The sender's addresses; sent periodically, as peers usually have them from the platform.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub entry: Option<Entry>,
-    /// Counts the sender's beacons; an older or repeated one is dropped.
+    /// Sequence number of the heartbeat; receivers drop older and repeated ones.
     pub sequence: u64,
     /// Version of the configuration that the sender has in force.
     pub config: u64,
-    /// Whether the sender takes no new callers.
+    /// Whether the sender accepts no new callers.
     pub leaving: bool,
-    /// Requests that the sender has in flight, by endpoint.
+    /// Number of the sender's requests in flight, by endpoint.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub in_flight: BTreeMap<EndpointId, u32>,
-    /// Generations whose callers resumed here lately.
+    /// Generations that callers recently resumed at the sender.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub resumed: BTreeSet<GenerationId>,
-    /// Requests that are suspected of crashing engines.
+    /// Requests suspected of crashing engines.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<Suspect>,
-    /// How long ago the sender last heard the platform.
+    /// Time since the sender last received a response from the platform.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "platform_ms", default)]
     pub platform: Option<Duration>,
-    /// What the sender last heard of each peer. A peer that finds its own heartbeat here knows that
-    /// this one was sent later, however long it lay in a buffer.
+    /// The last heartbeat that the sender received from each peer. A peer that finds its own here
+    /// can tell that this heartbeat was sent after it, regardless of buffering delays.
     #[serde(default)]
     pub echoes: BTreeMap<InstanceId, Echo>,
 }
 
 impl Beacon {
-    /// Says whether the heartbeat of this number carries the sender's addresses: the first one does,
-    /// and every eighth after it for peers that missed it.
+    /// Returns whether the heartbeat with this sequence number carries the sender's addresses: the
+    /// first does, and every eighth after it for peers that missed it.
     pub const fn introduces(sequence: u64) -> bool {
-        sequence % INTRODUCTIONS == 1
+        sequence % INTRODUCTION_INTERVAL == 1
     }
 }
--- a/crates/nutmeggrade-core/src/peer/envelope.rs
+++ b/crates/nutmeggrade-core/src/peer/envelope.rs
@@ -1,30 +1,31 @@
-//! The frame around every message between instances.
+//! Framing and authentication of messages between instances.
 //!
-//! One version byte, a 32-byte tag keyed with the peers' secret, then the message in `MessagePack`
-//! with field names, so that a newer instance may add fields during a rolling restart.
+//! A frame is a version byte, a 32-byte tag keyed with the peers' secret, and the message in
+//! `MessagePack` with field names, so that a newer instance can add fields during a rolling
+//! restart.
 
 use std::fmt;
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Version of the frame; a message of another version is dropped.
+/// Version of the frame format; messages of other versions are dropped.
 pub const WIRE_VERSION: u8 = 1;
-/// Largest message that is read, in bytes.
+/// Maximum size of a frame, in bytes.
 pub const MAX_MESSAGE: usize = 1 << 20;
-const TAG_LEN: usize = 32;
-const HEAD_LEN: usize = 1 + TAG_LEN;
+const TAG_BYTES: usize = 32;
+const HEADER_BYTES: usize = 1 + TAG_BYTES;
 
-/// Why a message was dropped.
+/// Error for a frame that is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadEnvelope {
-    /// Shorter than its head or larger than [`MAX_MESSAGE`].
+    /// The frame is shorter than its header or larger than [`MAX_MESSAGE`].
     Size,
-    /// Of another version.
+    /// The frame has an unsupported version.
     Version,
-    /// Not made with the peers' key.
+    /// The tag does not match the peers' key.
     Tag,
-    /// Authentic but not understood.
+    /// The body is authentic but can't be decoded, or the message can't be encoded.
     Body,
 }
 
@@ -42,29 +43,29 @@
 
 impl std::error::Error for BadEnvelope {}
 
-/// Encodes and authenticates a message.
+/// Encodes a message and adds its authentication tag.
 pub fn seal<T: Serialize>(message: &T, key: &[u8; 32]) -> Result<Vec<u8>, BadEnvelope> {
     let Ok(body) = rmp_serde::to_vec_named(message) else {
         return Err(BadEnvelope::Body);
     };
-    let mut frame = Vec::with_capacity(HEAD_LEN + body.len());
+    let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
     frame.push(WIRE_VERSION);
     frame.extend_from_slice(blake3::keyed_hash(key, &body).as_bytes());
     frame.extend_from_slice(&body);
     Ok(frame)
 }
 
-/// Checks and decodes a message; the tag is checked before a byte of the body is parsed.
+/// Verifies and decodes a message; the tag is verified before any of the body is parsed.
 pub fn open<T: DeserializeOwned>(frame: &[u8], key: &[u8; 32]) -> Result<T, BadEnvelope> {
-    if frame.len() < HEAD_LEN || frame.len() > MAX_MESSAGE {
+    if frame.len() < HEADER_BYTES || frame.len() > MAX_MESSAGE {
         return Err(BadEnvelope::Size);
     }
     if frame[0] != WIRE_VERSION {
         return Err(BadEnvelope::Version);
     }
-    let body = &frame[HEAD_LEN..];
-    let found: [u8; TAG_LEN] = frame[1..HEAD_LEN].try_into().or(Err(BadEnvelope::Size))?;
-    if blake3::keyed_hash(key, body) != found {
+    let body = &frame[HEADER_BYTES..];
+    let tag: [u8; TAG_BYTES] = frame[1..HEADER_BYTES].try_into().or(Err(BadEnvelope::Size))?;
+    if blake3::keyed_hash(key, body) != tag {
         return Err(BadEnvelope::Tag);
     }
     rmp_serde::from_slice(body).or(Err(BadEnvelope::Body))
--- a/crates/nutmeggrade-core/src/peer/fleet_news.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_news.rs
@@ -1,4 +1,4 @@
-//! What an instance that reads the store hands on at once.
+//! Messages between instances that serve routes, and updates that store readers forward to peers.
 
 use std::collections::BTreeMap;
 
@@ -9,57 +9,57 @@
 use crate::rollout::{RolloutNotice, RolloutReport};
 use crate::routing::{EndpointInfo, Placed};
 
-/// One endpoint's new entry, or the news that it is gone.
+/// An endpoint's new entry, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointNews {
     /// The endpoint.
     pub id: EndpointId,
-    /// Its entry; absent once it is gone or can't be read.
+    /// The endpoint's entry; absent if it was removed or can't be parsed.
     pub info: Option<EndpointInfo>,
 }
 
-/// All changes of endpoints between two revisions of the store.
+/// All changes to endpoints between two revisions of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetNews {
-    /// Revision up to which a receiver must have read for the changes to be complete.
+    /// Revision that a receiver must have reached for the changes to be complete.
     pub since: u64,
-    /// Revision that the changes lead to.
+    /// Revision after the changes.
     pub revision: u64,
-    /// Whether entries that are gone may only have lapsed with the store.
+    /// Whether removed entries may merely have expired during a store outage.
     pub lapses: bool,
-    /// The changes, in order.
+    /// The changes, in order of revision.
     pub changes: Vec<EndpointNews>,
 }
 
-/// What the sender has at some endpoints, as of now.
+/// The sender's current load at some endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetPlaced {
     /// The sender.
     pub instance: InstanceId,
-    /// All that it has at each of these endpoints; nothing at those with zeros.
+    /// The sender's total load at each of these endpoints; zeros if it has none.
     pub placed: BTreeMap<EndpointId, Placed>,
 }
 
-/// Tells requests with the same content apart from others, whoever sends them.
+/// Fingerprint of a request's content, independent of the sender.
 pub type Fingerprint = [u8; 16];
 
-/// An endpoint's life that ended under a request.
+/// Death of an endpoint while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crashed {
     /// The request.
     pub request: Fingerprint,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// When that life of the endpoint began, in Unix milliseconds.
+    /// Start time of the endpoint's process, in Unix milliseconds.
     pub born: u64,
 }
 
-/// Answers of endpoints that the sender counted since it last told of them.
+/// Outcomes of requests, by endpoint, since the sender's last such message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetOutcomes {
     /// The sender's failure domain.
     pub domain: DomainId,
-    /// Failures and answers of each endpoint, the failures counted among the answers.
+    /// Number of failures and of all outcomes, failures included, for each endpoint.
     pub answers: BTreeMap<EndpointId, (u32, u32)>,
 }
 
@@ -70,40 +70,40 @@
     Beacon(FleetBeacon),
     /// Changes of endpoints.
     News(FleetNews),
-    /// What instances have just placed. It is forwarded together with what others have.
+    /// Load that instances have just placed; forwarded in batches with that of other instances.
     Placed(Vec<FleetPlaced>),
-    /// The same where the sender begins or ends to copy a generation. It is forwarded at once, as instances
-    /// take turns by it.
+    /// Load of a sender that starts or finishes copying a generation; forwarded immediately,
+    /// because instances use it to take turns in copying.
     Moving(FleetPlaced),
-    /// An endpoint died under a request of the sender.
+    /// An endpoint died while running a request of the sender.
     Crashed(Crashed),
-    /// Endpoints that told the sender themselves that they leave.
+    /// Endpoints that announced to the sender that they are shutting down.
     Leaving(Vec<EndpointId>),
-    /// Endpoints at whose address nobody listened any more when the sender connected.
+    /// Endpoints that refused the sender's connection because nothing listens at their address.
     Gone(Vec<EndpointId>),
-    /// Endpoints failed requests of the sender.
+    /// Outcomes of the sender's requests at endpoints.
     Outcomes(FleetOutcomes),
-    /// A roll-out's phase has changed.
+    /// A change of a roll-out's phase.
     Rollout(RolloutNotice),
-    /// What the sender counted of a roll-out, for those who judge it.
+    /// The sender's counts of a roll-out, for the instances that evaluate it.
     RolloutReport(RolloutReport),
-    /// Where heartbeats of other instances go, for a newcomer that knows few.
+    /// Heartbeat addresses of other instances, for a newly started instance.
     Met(Contacts),
-    /// A message that the receiver hands on to a part of its own failure domain.
+    /// A message that the receiver forwards to a part of its own failure domain.
     HandOn(Box<Self>, Share),
 }
 
-/// One of several equal parts of the instances of a failure domain.
+/// One of several equal parts of a failure domain's instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Share {
-    /// Which part, from 0.
+    /// Index of the part, from 0.
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts.
     pub of: u32,
 }
 
 impl FleetMessage {
-    /// Returns the name used in logs and metrics; a message that is handed on counts as what it holds.
+    /// Returns the name used in logs and metrics; a forwarded message has its inner message's name.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Beacon(_) => "beacon",
--- a/crates/nutmeggrade-core/src/peer/suspect.rs
+++ b/crates/nutmeggrade-core/src/peer/suspect.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other about requests that may crash engines.
+//! Reports between instances about requests that may crash engines.
 
 use std::fmt;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 pub struct PromptHash(#[serde_as(as = "Hex")] [u8; 16]);
 
 impl PromptHash {
-    /// Wraps the first 16 bytes of a hash.
+    /// Creates a prompt hash from the first 16 bytes of a hash.
     pub const fn new(bytes: [u8; 16]) -> Self {
         Self(bytes)
     }
@@ -28,40 +28,40 @@
     }
 }
 
-/// An engine crashed while it ran a request.
+/// A crash of an engine while it ran a request.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The engine.
     pub engine: EndpointId,
-    /// How long ago.
+    /// Time since the crash.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "age_ms")]
     pub age: Duration,
-    /// Whether no token of the request had come.
+    /// Whether the crash came before the request's first token.
     pub first: bool,
-    /// Whether the request was the only suspect that ran anywhere.
+    /// Whether the request was the only suspect running in the fleet.
     pub trial: bool,
 }
 
-/// What one instance knows of one request.
+/// One instance's observations about a suspected request.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request.
+    /// Hash of the request.
     pub request: PromptHash,
-    /// Crashes that this instance saw.
+    /// Crashes that this instance observed.
     pub crashes: Vec<Crash>,
-    /// How long ago its first token came after a crash.
+    /// Time since the request's first token after a crash.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "cleared_ms")]
     pub cleared: Option<Duration>,
-    /// How long ago its answer was whole after a crash.
+    /// Time since the request's answer completed after a crash.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "whole_ms")]
     pub whole: Option<Duration>,
-    /// Whether it waits for a trial here.
+    /// Whether the request waits for a trial run on this instance.
     pub waiting: bool,
-    /// Whether its trial runs here.
+    /// Whether the request's trial run is in progress on this instance.
     pub running: bool,
 }
--- a/crates/nutmeggrade-core/src/peer/sync.rs
+++ b/crates/nutmeggrade-core/src/peer/sync.rs
@@ -1,4 +1,4 @@
-//! What an instance asks of a peer when it can't ask the platform.
+//! State queries to a peer while the platform is unreachable.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,10 +6,10 @@
 use crate::config::Configuration;
 use crate::endpoint::Endpoint;
 
-/// Path of the question on the admin address.
+/// Path of queries on the admin address.
 pub const SYNC_PATH: &str = "/peer/sync";
 
-/// What is asked for; each answer keeps within the limit on a message by itself.
+/// The requested state; separate topics keep each reply below the maximum message size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Topic {
@@ -19,26 +19,26 @@
     Fleet,
 }
 
-/// A question, authenticated with the peers' key.
+/// A query, authenticated with the peers' key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// Who asks; the peer learns of it by this.
+    /// The requesting instance; the peer adds it to its members.
     pub entry: Entry,
-    /// What is asked for.
+    /// The requested state.
     pub topic: Topic,
 }
 
-/// An answer, authenticated with the peers' key. An old one that is played again does no harm: a
-/// lower version of the configuration is never taken, and an assignment gives no right by itself.
+/// A reply, authenticated with the peers' key. Replaying an old reply is harmless: a lower version
+/// of the configuration is never applied, and an assignment alone grants no rights.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SyncReply {
     /// The configuration in force.
     pub config: Option<Configuration>,
-    /// The newest assignment known.
+    /// The newest assignment that the peer has.
     pub assignment: Option<Assignment>,
     /// Instances in service.
     pub entries: Vec<Entry>,
-    /// Endpoints as last listed.
+    /// Endpoints from the platform's last list.
     pub endpoints: Vec<Endpoint>,
 }
--- a/crates/nutmeggrade-core/src/prelude.rs
+++ b/crates/nutmeggrade-core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module uses.
+//! Re-exports of the most commonly used types.
 
 pub use crate::code::Code;
 pub use crate::config::{Configuration, Preset};
--- a/crates/nutmeggrade-core/src/rollout.rs
+++ b/crates/nutmeggrade-core/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Moving a service's traffic to endpoints of another version, and back.
+//! Roll-outs, which move a service's traffic to endpoints of another version, and back if needed.
 
 mod latencies;
 mod notice;
--- a/crates/nutmeggrade-core/src/rollout/notice.rs
+++ b/crates/nutmeggrade-core/src/rollout/notice.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of a roll-out.
+//! Roll-out state shared between instances.
 
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
 
 use super::{RolloutOrder, RolloutPhase};
 
-/// What instances tell each other of a roll-out, with each heartbeat and at once when it changes.
+/// State of a roll-out, sent with each heartbeat and immediately when it changes.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutNotice {
     /// The order.
     #[serde(rename = "o")]
     pub order: RolloutOrder,
-    /// Revision of the store's object that the sender knows.
+    /// Revision of the stored object that the sender has read.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// How far the roll-out is.
+    /// Phase of the roll-out.
     #[serde(rename = "p")]
     pub phase: RolloutPhase,
-    /// Part of the service's requests that may go to the new version for the next moment; only whoever
-    /// judges the roll-out grants any.
+    /// Share of the service's requests that may go to the new version for a short time; only the
+    /// instances that evaluate the roll-out grant any.
     #[serde(rename = "s")]
     pub share: f32,
-    /// Time since the first instance knew of the order.
+    /// Time since the first instance received the order.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "a")]
     pub age: Duration,
--- a/crates/nutmeggrade-core/src/rollout/order.rs
+++ b/crates/nutmeggrade-core/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! An operator's order to move a service to another version.
+//! Roll-out orders from operators.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 
 use crate::id::{ServiceId, VersionId};
 
-/// Tells the orders of one service apart. An order that is written anew, or changed to another version,
-/// is another one.
+/// Distinguishes the orders of a service. An order that is recreated or changed to another version
+/// has a different id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RolloutId {
-    /// Revision of the store at which the object was created.
+    /// Revision of the store at which the order was created.
     #[serde(rename = "c")]
     pub created: u64,
     /// The version that the service moves to.
@@ -26,10 +26,10 @@
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceId,
-    /// Which order of the service it is.
+    /// Id of the order among those of the service.
     #[serde(rename = "i")]
     pub id: RolloutId,
-    /// Time in which it has to be decided.
+    /// Time within which the roll-out must be decided.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "d")]
     pub duration: Duration,
--- a/crates/nutmeggrade-core/src/rollout/outcome.rs
+++ b/crates/nutmeggrade-core/src/rollout/outcome.rs
@@ -1,14 +1,14 @@
-//! What one request tells of the version that served it.
+//! Outcomes of single requests.
 
 use std::time::Duration;
 
-/// What one request tells of the version that served it.
+/// An outcome of a request, attributed to the version that served it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint failed, broke its answer off or sent none.
+    /// The endpoint failed, cut its response off or sent none.
     Failed,
-    /// An answer, or the first event of a stream, came after this time.
+    /// Time to the response, or to the first event of a stream.
     First(Duration),
-    /// A stream's events came this far apart on average.
+    /// Average time between events of a stream.
     Pace(Duration),
 }
--- a/crates/nutmeggrade-core/src/rollout/outcomes.rs
+++ b/crates/nutmeggrade-core/src/rollout/outcomes.rs
@@ -1,25 +1,25 @@
-//! Outcomes of one route's requests.
+//! Aggregated outcomes of requests.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Latencies, Outcome};
 
-/// Outcomes of the requests that one version served.
+/// Outcomes of the requests served by one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcomes {
-    /// Requests that ended with a failure.
+    /// Number of requests that failed.
     #[serde(rename = "f")]
     pub failures: u32,
-    /// Time to the answer or to the first event.
+    /// Time to the response or to the first event.
     #[serde(rename = "l")]
     pub first: Latencies,
-    /// Time between two events of a stream.
+    /// Average time between events of a stream.
     #[serde(rename = "p")]
     pub pace: Latencies,
 }
 
 impl Outcomes {
-    /// Notes one outcome.
+    /// Records an outcome.
     pub fn add(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Failed => self.failures = self.failures.saturating_add(1),
@@ -28,19 +28,19 @@
         }
     }
 
-    /// Counts the requests that were answered or failed.
+    /// Returns the number of requests that were answered or failed.
     pub fn count(&self) -> u32 {
         self.failures.saturating_add(self.first.count())
     }
 
-    /// Adds the counts of others.
+    /// Adds the counts of `other`.
     pub fn merge(&mut self, other: &Self) {
         self.failures = self.failures.saturating_add(other.failures);
         self.first.merge(&other.first);
         self.pace.merge(&other.pace);
     }
 
-    /// Returns the counts since an earlier state of these.
+    /// Returns the counts since the earlier state `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
@@ -54,22 +54,22 @@
 /// Outcomes of one route's requests by version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteOutcomes {
-    /// Those of all other versions.
+    /// Outcomes of all other versions.
     #[serde(rename = "o")]
     pub old: Outcomes,
-    /// Those of the version that the service moves to.
+    /// Outcomes of the version that the service moves to.
     #[serde(rename = "n")]
     pub new: Outcomes,
 }
 
 impl RouteOutcomes {
-    /// Adds the counts of others.
+    /// Adds the counts of `other`.
     pub fn merge(&mut self, other: &Self) {
         self.old.merge(&other.old);
         self.new.merge(&other.new);
     }
 
-    /// Returns the counts since an earlier state of these.
+    /// Returns the counts since the earlier state `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self { old: self.old.since(&earlier.old), new: self.new.since(&earlier.new) }
--- a/crates/nutmeggrade-core/src/rollout/phase.rs
+++ b/crates/nutmeggrade-core/src/rollout/phase.rs
@@ -1,28 +1,30 @@
-//! How far a roll-out is.
+//! Phases of a roll-out.
 
 use serde::{Deserialize, Serialize};
 
-/// How far a roll-out is. Of two phases that instances tell, the later one counts, so that none goes back.
+/// Phase of a roll-out.
+///
+/// If instances report different phases, the later one wins, so that a roll-out never goes back.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[repr(u8)]
 #[serde(into = "u8", try_from = "u8")]
 pub enum RolloutPhase {
-    /// The new version gets nothing yet.
+    /// The new version receives no requests yet.
     #[default]
     Held,
-    /// The new version gets a small part of the requests.
+    /// The new version receives a small share of the requests.
     Canary,
-    /// All new requests go to the new version; what runs at the old one ends or moves.
+    /// All new requests go to the new version; running ones finish or move to it.
     Switching,
-    /// Nothing runs at the old version any more.
+    /// No requests are left at the old version.
     Cleared,
-    /// All requests go to the old version again.
+    /// All new requests go to the old version again.
     Reverting,
-    /// The store says that the new version serves; the old endpoints stop.
+    /// The store records that the new version serves; the old endpoints stop.
     Completed,
-    /// The store says that the old version serves; the new endpoints drain.
+    /// The store records that the old version serves; the new endpoints drain.
     Reverted,
-    /// The operator took the order back before it was decided.
+    /// The operator withdrew the order before it was decided.
     Withdrawn,
 }
 
@@ -38,12 +40,12 @@
         Self::Withdrawn,
     ];
 
-    /// Says whether the roll-out is decided and the store says so, or was taken back.
+    /// Returns whether the roll-out's decision is recorded in the store or its order was withdrawn.
     pub const fn is_over(self) -> bool {
         matches!(self, Self::Completed | Self::Reverted | Self::Withdrawn)
     }
 
-    /// Says whether new requests go to the new version only.
+    /// Returns whether new requests go to the new version only.
     pub const fn is_switched(self) -> bool {
         matches!(self, Self::Switching | Self::Cleared | Self::Completed)
     }
--- a/crates/nutmeggrade-core/src/rollout/state.rs
+++ b/crates/nutmeggrade-core/src/rollout/state.rs
@@ -1,9 +1,9 @@
-//! The state of a roll-out that operators read.
+//! State of a roll-out shown to operators.
 
-/// The state of a roll-out that operators read in the platform's store.
+/// State of a roll-out that operators read in the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RolloutState {
-    /// It is not decided.
+    /// The roll-out is not decided.
     InProgress,
     /// The new version serves.
     Completed,
--- a/crates/nutmeggrade-core/src/rollout/status.rs
+++ b/crates/nutmeggrade-core/src/rollout/status.rs
@@ -1,32 +1,32 @@
-//! A roll-out as an instance shows it to operators.
+//! Status of a roll-out on one instance, for operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{ServiceId, VersionId};
 
-/// Where an instance shows roll-outs, on the address for peers.
+/// Path of the roll-outs' status on the peer address.
 pub const ROLLOUTS_PATH: &str = "/rollouts";
 
-/// A roll-out as an instance shows it to operators.
+/// Status of a roll-out on one instance, for operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutStatus {
     /// The service.
     pub service: ServiceId,
-    /// The version that it moves to.
+    /// The version that the service moves to.
     pub version: VersionId,
-    /// How far it is, by name.
+    /// Name of the phase.
     pub phase: String,
-    /// Part of the requests that go to the new version now.
+    /// Share of the requests that currently go to the new version.
     pub share: f64,
-    /// Milliseconds since the first instance knew of the order.
+    /// Milliseconds since the first instance received the order.
     pub age_ms: u64,
-    /// Milliseconds in which it has to be decided.
+    /// Time within which the roll-out must be decided, in milliseconds.
     pub duration_ms: u64,
-    /// What the evidence says; empty on an instance that does not judge the roll-out.
+    /// Verdict on the new version; empty on an instance that does not evaluate the roll-out.
     pub verdict: String,
-    /// Requests for the service that the instance knows of.
+    /// Number of requests for the service that the instance has counts of.
     pub requests: u32,
-    /// Requests of these that went to the new version.
+    /// Number of these requests that went to the new version.
     pub exposed: u32,
     /// Answers and failures of the new version.
     pub new: [u32; 2],
--- a/crates/nutmeggrade-core/src/rollout/stored.rs
+++ b/crates/nutmeggrade-core/src/rollout/stored.rs
@@ -1,24 +1,24 @@
-//! A roll-out as it lies in the platform's store.
+//! Roll-outs in the platform's store.
 
 use serde::{Deserialize, Serialize};
 
 use super::{RolloutOrder, RolloutPhase, RolloutState};
 
-/// A roll-out as it lies in the platform's store.
+/// A roll-out read from the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRollout {
     /// The order.
     pub order: RolloutOrder,
     /// Revision of the object's last change.
     pub revision: u64,
-    /// The phase that its state stands for.
+    /// The phase that corresponds to the stored state.
     pub phase: RolloutPhase,
-    /// Whether a state of this order was written.
+    /// Whether a state was written for this order.
     pub is_begun: bool,
 }
 
 impl StoredRollout {
-    /// Makes a roll-out with the state that was written for this order, if one was.
+    /// Creates a roll-out with the state that was written for this order, if any.
     pub const fn new(order: RolloutOrder, revision: u64, state: Option<RolloutState>) -> Self {
         let phase = match state {
             None | Some(RolloutState::InProgress) => RolloutPhase::Held,
--- a/crates/nutmeggrade-core/src/rollout/tally.rs
+++ b/crates/nutmeggrade-core/src/rollout/tally.rs
@@ -1,4 +1,4 @@
-//! What is counted of a roll-out.
+//! Counts of requests and outcomes during a roll-out.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,19 @@
 
 use super::{Outcome, RouteOutcomes};
 
-/// Routes that are counted apart; further ones count together. A report has to fit into a datagram.
-const MOST_ROUTES: usize = 12;
-/// Name under which further routes count.
-const OTHERS: &str = "*";
+/// Maximum number of routes counted separately; the others share one entry, so that a report fits
+/// into a datagram.
+const MAX_ROUTES: usize = 12;
+/// Name of the entry that combines the remaining routes.
+const OTHER_ROUTES: &str = "*";
 
-/// What is counted of a roll-out, by one instance or by the fleet.
+/// Counts of a roll-out, of one instance or of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutTally {
-    /// Requests for the service.
+    /// Number of requests for the service.
     #[serde(rename = "q")]
     pub requests: u32,
-    /// Requests sent to the new version.
+    /// Number of requests sent to the new version.
     #[serde(rename = "x")]
     pub exposed: u32,
     /// Outcomes by route.
@@ -26,16 +27,16 @@
 }
 
 impl RolloutTally {
-    /// Notes an outcome of a route's request.
+    /// Records an outcome of a request on a route.
     pub fn add(&mut self, route: &str, is_new: bool, outcome: Outcome) {
-        let is_counted = self.routes.contains_key(route) || self.routes.len() < MOST_ROUTES;
-        let route = if is_counted { route } else { OTHERS };
+        let is_separate = self.routes.contains_key(route) || self.routes.len() < MAX_ROUTES;
+        let route = if is_separate { route } else { OTHER_ROUTES };
         let outcomes = self.routes.entry(route.to_owned()).or_default();
-        let side = if is_new { &mut outcomes.new } else { &mut outcomes.old };
-        side.add(outcome);
+        let version_outcomes = if is_new { &mut outcomes.new } else { &mut outcomes.old };
+        version_outcomes.add(outcome);
     }
 
-    /// Returns the outcomes of all routes together.
+    /// Returns the combined outcomes of all routes.
     pub fn all_routes(&self) -> RouteOutcomes {
         let mut all = RouteOutcomes::default();
         for outcomes in self.routes.values() {
@@ -44,7 +45,7 @@
         all
     }
 
-    /// Adds what another instance counted.
+    /// Adds the counts of another instance.
     pub fn merge(&mut self, other: &Self) {
         self.requests = self.requests.saturating_add(other.requests);
         self.exposed = self.exposed.saturating_add(other.exposed);
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Returns what was counted since an earlier state of this tally.
+    /// Returns the counts since the earlier state `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         let routes = self.routes.iter().map(|(route, outcomes)| {
-            let before = earlier.routes.get(route).copied().unwrap_or_default();
-            (route.clone(), outcomes.since(&before))
+            let earlier_outcomes = earlier.routes.get(route).copied().unwrap_or_default();
+            (route.clone(), outcomes.since(&earlier_outcomes))
         });
         Self {
             requests: self.requests.saturating_sub(earlier.requests),
@@ -67,13 +68,13 @@
         }
     }
 
-    /// Returns what was counted of the new version since an earlier state, beside all of the old one.
+    /// Returns the new version's counts since an earlier state, with the old version's totals.
     #[must_use]
     pub fn with_new_since(&self, earlier: &Self) -> Self {
-        let mut since = self.since(earlier);
-        for (route, outcomes) in &mut since.routes {
+        let mut difference = self.since(earlier);
+        for (route, outcomes) in &mut difference.routes {
             outcomes.old = self.routes.get(route).map(|all| all.old).unwrap_or_default();
         }
-        since
+        difference
     }
 }
