--- a/crates/nutmeggrade-core/src/routing.rs
+++ b/crates/nutmeggrade-core/src/routing.rs
@@ -1,4 +1,4 @@
-//! The routing configuration of a deployment, and the endpoints that serve it.
+//! Routing configuration: routes, services, workspace keys and endpoints.
 
 mod call_limits;
 mod endpoint_info;
--- a/crates/nutmeggrade-core/src/routing/call_limits.rs
+++ b/crates/nutmeggrade-core/src/routing/call_limits.rs
@@ -1,22 +1,22 @@
-//! Bounds on what a client may send.
+//! Limits on clients' requests and connections.
 
 use std::time::Duration;
 
-/// Bounds on what a client may send and how long it may take, set by operators.
+/// Limits on request sizes and on the time that clients take, set by operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallLimits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Most time between the first byte of a head and its end.
+    /// Maximum time from the first byte of a request head to its end.
     pub head_wait: Duration,
-    /// Most time for which a connection may stay without a request.
+    /// Maximum time for which a connection may stay idle.
     pub idle_wait: Duration,
 }
 
 impl Default for CallLimits {
-    /// Limits before the first configuration: small heads, one mebibyte of body, three seconds.
+    /// Returns the limits in force until the first configuration is read.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
--- a/crates/nutmeggrade-core/src/routing/endpoint_info.rs
+++ b/crates/nutmeggrade-core/src/routing/endpoint_info.rs
@@ -1,4 +1,4 @@
-//! An endpoint as it registers itself.
+//! Registration entries of endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,28 +8,28 @@
 
 use crate::id::{DomainId, EndpointId, ServiceId, VersionId};
 
-/// One life of an endpoint as it registers itself.
+/// Registration entry of an endpoint's process.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointInfo {
-    /// The endpoint; mostly new at each start.
+    /// The endpoint; usually a new id at each start.
     pub id: EndpointId,
     /// The service that it serves.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Requests that it works on at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it has said that it will end.
+    /// Whether it has announced its shutdown.
     pub leaving: bool,
-    /// How much longer it stays cold, counted from when it said so.
+    /// Remaining cold start time, counted from when the endpoint reported it.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub cold_left: Duration,
-    /// Version of its software, if it says one.
+    /// Version of its software, if reported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<VersionId>,
-    /// When it started, in Unix milliseconds; tells two lives under one id apart.
+    /// Start time in Unix milliseconds; distinguishes restarts under the same id.
     pub born: u64,
 }
--- a/crates/nutmeggrade-core/src/routing/engine_spec.rs
+++ b/crates/nutmeggrade-core/src/routing/engine_spec.rs
@@ -1,24 +1,24 @@
-//! What all engines of a service have in common.
+//! Common properties of a service's engines.
 
 use std::time::Duration;
 
-/// What all engines of a service have in common.
+/// Common properties of a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineSpec {
-    /// Generations that one engine runs at a time.
+    /// Maximum number of concurrent generations on one engine.
     pub slots: u32,
     /// Key/value memory of one engine, in tokens.
     pub memory: u64,
-    /// Bytes of key/value memory for each token.
+    /// Bytes of key/value memory per token.
     pub token_bytes: u64,
-    /// Rate at which an engine's memory travels to another, in megabits a second.
+    /// Transfer rate of key/value memory between engines, in megabits per second.
     pub link_mbps: f64,
     /// Whether a running generation can move to another engine.
     pub moves: bool,
-    /// Whether an engine can send a running generation's memory ahead to another engine.
+    /// Whether an engine can replicate a running generation's memory to another engine in advance.
     pub replicas: bool,
-    /// Tokens in one event of a stream.
+    /// Number of tokens per event of a stream.
     pub stride: u32,
-    /// How long a copy is kept that nobody takes up.
+    /// Time for which an unused copy is kept.
     pub copy_keep: Duration,
 }
--- a/crates/nutmeggrade-core/src/routing/event_position.rs
+++ b/crates/nutmeggrade-core/src/routing/event_position.rs
@@ -1,5 +1,5 @@
-//! Where a stream stands.
+//! Positions in event streams.
 
-/// The id of the last event that a client has; the next one is higher.
+/// Id of the last event that a client has received; later events have higher ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventPosition(pub u64);
--- a/crates/nutmeggrade-core/src/routing/placed.rs
+++ b/crates/nutmeggrade-core/src/routing/placed.rs
@@ -1,20 +1,20 @@
-//! What instances have at an endpoint.
+//! Load that instances place on an endpoint.
 
 use std::ops::{AddAssign, SubAssign};
 
 use serde::{Deserialize, Serialize};
 
-/// Requests that one or several instances have at an endpoint, and what these take of it.
+/// Requests of one or more instances at an endpoint, and the capacity that they use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u64, u64, u64)", into = "(u32, u64, u64, u64)")]
 pub struct Placed {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Memory that they will probably take in the end, in tokens.
+    /// Expected final memory use of the requests, in tokens.
     pub memory: u64,
-    /// Tokens of prompts that are still being read.
+    /// Prompt tokens that are still to be prefilled.
     pub reading: u64,
-    /// Tokens of generations that are being copied to or from it.
+    /// Tokens of generations being copied to or from the endpoint.
     pub moving: u64,
 }
 
--- a/crates/nutmeggrade-core/src/routing/prompt.rs
+++ b/crates/nutmeggrade-core/src/routing/prompt.rs
@@ -1,33 +1,33 @@
-//! What a client says of its prompt.
+//! Properties of a request's prompt.
 
 use crate::id::ModelId;
 
-/// One part of a prompt; requests that share their first parts share the engine's work on them.
+/// A part of a prompt; requests with the same leading parts share an engine's prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the part's content.
+    /// Id of the part's content.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u64,
 }
 
-/// What a client says of its prompt.
+/// Properties of a request's prompt, as stated by the client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model that is to answer.
+    /// The requested model.
     pub model: ModelId,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub tokens: u64,
-    /// Most tokens of the answer.
+    /// Maximum length of the answer, in tokens.
     pub most: u64,
-    /// The client's own estimate of the answer's length in tokens; right at the median only.
+    /// The client's estimate of the answer's length, in tokens; accurate only at the median.
     pub hint: Option<u64>,
-    /// The parts that the prompt begins with, in order.
+    /// The leading parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// Returns the answer's expected length: the client's estimate, at most the cap.
+    /// Returns the answer's expected length in tokens: the client's estimate, up to the maximum.
     pub fn expected(&self) -> u64 {
         self.hint.unwrap_or(self.most).min(self.most)
     }
--- a/crates/nutmeggrade-core/src/routing/route.rs
+++ b/crates/nutmeggrade-core/src/routing/route.rs
@@ -1,56 +1,56 @@
-//! One route.
+//! Routes.
 
 use std::time::Duration;
 
 use super::RouteKind;
 use crate::id::ServiceId;
 
-/// One of the services that a route's requests are spread over.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Split {
     /// The service.
     pub service: ServiceId,
-    /// Its part of the requests, relative to the others' weights.
+    /// Weight of the service, relative to the other services' weights.
     pub weight: u32,
 }
 
-/// What operators say of the requests to one host and path prefix.
+/// Configuration of the requests to one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// The route's name, for logs and metrics.
     pub name: String,
-    /// Host that clients ask for.
+    /// Host that requests are addressed to.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated and answers are streams.
     pub kind: RouteKind,
-    /// Most time that a request is kept waiting for its whole answer.
+    /// Maximum time from the request to the end of its answer.
     pub timeout: Duration,
-    /// Time to the answer, or to a stream's first event, that users are content with.
+    /// Target time to the answer, or to a stream's first event.
     pub target: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services that serve it.
+    /// Services that serve the route, with their weights.
     pub splits: Vec<Split>,
-    /// Most endpoints that one request is sent to.
+    /// Maximum number of endpoints that a request is sent to.
     pub attempts: u32,
-    /// Whether it is served without a key.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// Whether its requests carry prompts.
+    /// Whether requests carry prompts.
     pub sticky: bool,
-    /// Longest pause between two events that users are content with.
+    /// Target for the longest pause between two events.
     pub gap: Duration,
 }
 
 impl Route {
-    /// Chooses a service by weight; `draw` is between 0 and 1.
+    /// Selects a service by weight; `draw` is a random number between 0 and 1.
     pub fn pick(&self, draw: f64) -> Option<&ServiceId> {
         let total: u64 = self.splits.iter().map(|s| u64::from(s.weight)).sum();
-        let mut left = draw * total as f64;
+        let mut remaining = draw * total as f64;
         for split in &self.splits {
-            left -= f64::from(split.weight);
-            if left < 0.0 {
+            remaining -= f64::from(split.weight);
+            if remaining < 0.0 {
                 return Some(&split.service);
             }
         }
--- a/crates/nutmeggrade-core/src/routing/route_kind.rs
+++ b/crates/nutmeggrade-core/src/routing/route_kind.rs
@@ -1,25 +1,25 @@
-//! What may be repeated on a route.
+//! Kinds of routes.
 
-/// What may be repeated on a route.
+/// Whether a route's requests may be repeated, and whether its answers are streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// Requests may run more than once.
     Idempotent,
     /// Requests run at most once.
     NonIdempotent,
-    /// Answers are streams of events that run at most once.
+    /// Requests run at most once; answers are event streams.
     Streaming,
-    /// Answers are streams of events that may go on at another endpoint.
+    /// Answers are event streams that can be resumed at another endpoint.
     Resumable,
 }
 
 impl RouteKind {
-    /// Says whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run can be sent again.
     pub const fn repeats(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 
-    /// Says whether answers are streams of events.
+    /// Returns whether answers are event streams.
     pub const fn streams(self) -> bool {
         matches!(self, Self::Streaming | Self::Resumable)
     }
--- a/crates/nutmeggrade-core/src/routing/route_map.rs
+++ b/crates/nutmeggrade-core/src/routing/route_map.rs
@@ -1,4 +1,4 @@
-//! The routing configuration in force.
+//! Versions of the routing configuration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use super::{CallLimits, Route, ServiceSpec, WorkspaceKey};
 use crate::id::ServiceId;
 
-/// What a request's key gives it.
+/// Access that a request's API key grants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Access {
     /// The route needs no key, or the deployment has no workspaces.
@@ -20,9 +20,9 @@
 /// One version of the routing configuration.
 #[derive(Debug, Clone, Default)]
 pub struct RouteMap {
-    /// Its version; a higher one replaces a lower one.
+    /// Version number; a higher version replaces a lower one.
     pub version: u64,
-    /// Bounds on what clients may send.
+    /// Limits on clients' requests and connections.
     pub limits: CallLimits,
     services: BTreeMap<ServiceId, ServiceSpec>,
     hosts: BTreeMap<String, Vec<Arc<Route>>>,
@@ -30,12 +30,12 @@
 }
 
 impl RouteMap {
-    /// Makes a version without routes.
+    /// Creates a version without routes.
     pub fn new(version: u64, limits: CallLimits) -> Self {
         Self { version, limits, ..Self::default() }
     }
 
-    /// Adds routes. The longest prefix of a host is tried first.
+    /// Adds routes. Longer prefixes of a host are matched first.
     #[must_use]
     pub fn with_routes(mut self, routes: impl IntoIterator<Item = Route>) -> Self {
         for route in routes {
@@ -54,14 +54,14 @@
         self
     }
 
-    /// Adds the workspaces' keys. A configuration that names no workspace asks for no keys.
+    /// Adds the workspaces' API keys. A configuration without workspaces requires no keys.
     #[must_use]
     pub fn with_keys(mut self, keys: impl IntoIterator<Item = (String, WorkspaceKey)>) -> Self {
         self.keys.extend(keys);
         self
     }
 
-    /// Finds the route of a request; the host may carry a port.
+    /// Returns the route of a request; the host may include a port.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(name) {
@@ -71,27 +71,27 @@
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// Finds what a key gives on a route.
+    /// Returns the access that a key grants on a route.
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access {
-        let found = key.and_then(|k| self.keys.get(k));
-        match found {
+        let workspace = key.and_then(|k| self.keys.get(k));
+        match workspace {
             Some(workspace) => Access::Workspace(workspace.clone()),
             None if route.public || self.keys.is_empty() => Access::Open,
             None => Access::Unknown,
         }
     }
 
-    /// Finds a service.
+    /// Returns a service by name.
     pub fn service(&self, name: &ServiceId) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
 
-    /// Counts the routes.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// Says whether there is no route.
+    /// Returns whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
--- a/crates/nutmeggrade-core/src/routing/service_spec.rs
+++ b/crates/nutmeggrade-core/src/routing/service_spec.rs
@@ -1,23 +1,23 @@
-//! What operators say of a service.
+//! Configuration of services.
 
 use std::time::Duration;
 
 use super::EngineSpec;
 use crate::id::ServiceId;
 
-/// What operators say of a service.
+/// Configuration of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Path at which an endpoint says whether it is well; empty if there is none.
+    /// Path of an endpoint's health check; empty if there is none.
     pub health: String,
-    /// Connections that one endpoint accepts from everybody together.
+    /// Maximum number of connections that one endpoint accepts in total.
     pub connections: u32,
-    /// How long an endpoint stays cold after its start.
+    /// Duration of an endpoint's cold start.
     pub cold_time: Duration,
-    /// Requests a second that a cold endpoint bears; 0 if nothing is bounded.
+    /// Maximum requests per second of a cold endpoint; 0 if unlimited.
     pub cold_rate: f64,
-    /// Set if its endpoints are model engines.
+    /// Engine properties, if the service's endpoints are model engines.
     pub engine: Option<EngineSpec>,
 }
--- a/crates/nutmeggrade-core/src/routing/workspace_key.rs
+++ b/crates/nutmeggrade-core/src/routing/workspace_key.rs
@@ -1,12 +1,12 @@
-//! What a key stands for.
+//! API keys of workspaces.
 
 use crate::id::WorkspaceId;
 
-/// The workspace that a key belongs to.
+/// The workspace that an API key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkspaceKey {
     /// The workspace.
     pub workspace: WorkspaceId,
-    /// Rank of its requests, which goes before the route's.
+    /// Priority of its requests, which overrides the route's.
     pub priority: Option<u8>,
 }
--- a/crates/nutmeggrade-core/src/run.rs
+++ b/crates/nutmeggrade-core/src/run.rs
@@ -1,16 +1,16 @@
-//! What is known about whether a request ran.
+//! Whether a request ran.
 
 use serde::{Deserialize, Serialize};
 
-/// Says whether the work of a request was started at an endpoint.
+/// Whether the work of a request was started at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Run {
-    /// Proved not to have run, and this attempt can never run later.
+    /// Proven not to have run; this attempt can't run later either.
     NotRun,
-    /// Ran, whole or in part.
+    /// Ran, completely or partly.
     Ran,
-    /// May have run; nobody can tell.
+    /// May have run; the outcome can't be determined.
     Unknown,
 }
 
--- a/crates/nutmeggrade-core/src/secret.rs
+++ b/crates/nutmeggrade-core/src/secret.rs
@@ -1,8 +1,8 @@
-//! Keys and tokens that must not reach a log.
+//! Keys and tokens that must not be logged.
 
 use std::fmt;
 
-/// Shortest secret that is accepted, in bytes.
+/// Minimum length of a secret, in bytes.
 pub const MIN_SECRET_LEN: usize = 16;
 
 /// A secret text; its `Debug` form hides it.
@@ -10,7 +10,7 @@
 pub struct Secret(String);
 
 impl Secret {
-    /// Wraps a secret text.
+    /// Creates a secret from its text.
     pub fn new(text: &str) -> Self {
         Self(text.to_owned())
     }
@@ -20,13 +20,13 @@
         &self.0
     }
 
-    /// Derives a 32-byte key for one purpose, so that no two uses share a key.
+    /// Derives a 32-byte key for one purpose, so that each use has its own key.
     pub fn key(&self, purpose: &str) -> [u8; 32] {
         let context = format!("nutmeggrade 2026 {purpose}");
         blake3::derive_key(&context, self.0.as_bytes())
     }
 
-    /// Compares without telling by its duration where the difference is.
+    /// Compares with another text; the timing does not reveal where they differ.
     pub fn matches(&self, other: &str) -> bool {
         blake3::hash(self.0.as_bytes()) == blake3::hash(other.as_bytes())
     }
--- a/crates/nutmeggrade-core/src/settings.rs
+++ b/crates/nutmeggrade-core/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from flags and environment variables, checked as a whole.
+//! Settings from flags and environment variables, validated together.
 
 mod source;
 mod spec;
--- a/crates/nutmeggrade-core/src/settings/source.rs
+++ b/crates/nutmeggrade-core/src/settings/source.rs
@@ -1,8 +1,8 @@
-//! Where a setting's value came from.
+//! Sources of settings.
 
 use std::fmt;
 
-/// Where a setting's value came from; a flag goes before a variable, a variable before the default.
+/// Source of a setting's value; a flag overrides a variable, a variable overrides the default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// Given on the command line.
--- a/crates/nutmeggrade-core/src/settings/spec.rs
+++ b/crates/nutmeggrade-core/src/settings/spec.rs
@@ -1,9 +1,9 @@
-//! The description of one setting.
+//! Specifications of settings.
 
-/// Prefix of every variable.
+/// Prefix of the environment variables.
 pub const VARIABLE_PREFIX: &str = "NUTMEGGRADE_";
 
-/// What values a setting takes.
+/// Type of a setting's values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// Any text.
@@ -16,7 +16,7 @@
     Addresses,
     /// `true` or `false`; the flag alone means `true`.
     Switch,
-    /// A whole number with its unit and range, both ends included.
+    /// An integer with its unit and inclusive range.
     Number {
         /// Unit, such as `ms`, `bytes` or `1`.
         unit: &'static str,
@@ -25,7 +25,7 @@
         /// Largest value.
         max: u64,
     },
-    /// A number that may have a fraction, with its unit and range, both ends included.
+    /// A decimal number with its unit and inclusive range.
     Decimal {
         /// Unit, such as `s` or `1`.
         unit: &'static str,
@@ -34,28 +34,28 @@
         /// Largest value.
         max: u64,
     },
-    /// A secret; only by variable, or by a file that `<variable>_FILE` names.
+    /// A secret; given by a variable, or by a file whose path is in `<variable>_FILE`.
     Secret,
 }
 
-/// One setting: its flag, what it takes and its default.
+/// Specification of a setting: its flag, type and default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Spec {
-    /// Flag without dashes; the variable's name follows from it.
+    /// Flag without dashes; the variable's name is derived from it.
     pub flag: &'static str,
-    /// What values it takes.
+    /// Type of its values.
     pub kind: Kind,
     /// Value if neither flag nor variable is given; `None` makes the setting required unless it is
     /// `optional`.
     pub default: Option<&'static str>,
-    /// Whether it may be left out though it has no default.
+    /// Whether it may be omitted although it has no default.
     pub optional: bool,
-    /// One line of help.
+    /// One-line help text.
     pub help: &'static str,
 }
 
 impl Spec {
-    /// Describes a required setting.
+    /// Creates a required setting.
     pub const fn new(flag: &'static str, kind: Kind, help: &'static str) -> Self {
         Self { flag, kind, default: None, optional: false, help }
     }
@@ -67,7 +67,7 @@
         self
     }
 
-    /// Lets the setting be left out.
+    /// Sets whether the setting may be omitted.
     #[must_use]
     pub const fn with_optional(mut self, optional: bool) -> Self {
         self.optional = optional;
@@ -79,7 +79,7 @@
         format!("{VARIABLE_PREFIX}{}", self.flag.to_uppercase().replace('-', "_"))
     }
 
-    /// Returns the line of help that goes under the flag: variable, default, unit and range.
+    /// Returns the help line: description, variable, type, unit, range and default.
     pub fn describe(&self) -> String {
         let default = self.default.map_or("required".to_owned(), |d| format!("default {d:?}"));
         let kind = match self.kind {
--- a/crates/nutmeggrade-core/src/settings/values.rs
+++ b/crates/nutmeggrade-core/src/settings/values.rs
@@ -1,4 +1,4 @@
-//! Checked values of settings.
+//! Parsing and validation of settings.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,12 +10,12 @@
 use crate::id::InstanceId;
 use crate::secret::{MIN_SECRET_LEN, Secret};
 
-/// One mistake in the settings, with its numbered code.
+/// An invalid setting or argument, with its result code.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Mistake {
-    /// The numbered code.
+    /// The numbered result code.
     pub code: Code,
-    /// What is wrong, with flag and variable.
+    /// Description of the problem, with flag and variable.
     pub detail: String,
 }
 
@@ -32,16 +32,16 @@
     origin: Origin,
 }
 
-/// All settings of a process, each read and found in range.
+/// All settings of a process, parsed and validated.
 #[derive(Debug, Clone)]
 pub struct Values {
     values: BTreeMap<&'static str, Value>,
 }
 
 impl Values {
-    /// Reads flags and variables and checks them all; lists every mistake at once.
+    /// Parses and validates flags and variables; returns all mistakes at once.
     ///
-    /// `variable` looks a name up in the environment and `file` reads a secret's file.
+    /// `variable` looks up an environment variable and `file` reads a secret's file.
     pub fn load(
         specs: &[Spec],
         args: &[String],
@@ -56,8 +56,8 @@
                 return Err(vec![Mistake { code: Code::UnknownSetting, detail }]);
             }
         };
-        for extra in &matches.free {
-            let detail = format!("unexpected argument {extra:?}");
+        for argument in &matches.free {
+            let detail = format!("unexpected argument {argument:?}");
             mistakes.push(Mistake { code: Code::UnknownSetting, detail });
         }
         let mut values = BTreeMap::new();
@@ -67,8 +67,8 @@
                 Kind::Switch => matches.opt_present(spec.flag).then(|| "true".to_owned()),
                 _ => matches.opt_str(spec.flag),
             };
-            match find(spec, flag, &variable, &file)
-                .and_then(|v| check(v.as_ref(), spec).map(|()| v))
+            match resolve(spec, flag, &variable, &file)
+                .and_then(|v| validate(v.as_ref(), spec).map(|()| v))
             {
                 Ok(Some(v)) => {
                     values.insert(spec.flag, v);
@@ -80,7 +80,7 @@
         if mistakes.is_empty() { Ok(Self { values }) } else { Err(mistakes) }
     }
 
-    /// Makes the parser of the command line; its usage text lists every setting.
+    /// Creates the command-line parser; its usage text lists every setting.
     pub fn options(specs: &[Spec]) -> getopts::Options {
         let mut options = getopts::Options::new();
         for spec in specs.iter().filter(|s| s.kind != Kind::Secret) {
@@ -93,27 +93,27 @@
         options
     }
 
-    /// Returns the text of a setting, empty if it has neither value nor default.
+    /// Returns the text of a setting, or an empty text if it has neither value nor default.
     pub fn text(&self, flag: &str) -> &str {
         self.values.get(flag).map_or("", |v| v.text.as_str())
     }
 
-    /// Returns a number setting.
+    /// Returns an integer setting, or 0 if it is not set.
     pub fn number(&self, flag: &str) -> u64 {
         self.text(flag).parse().unwrap_or(0)
     }
 
-    /// Returns a number setting whose unit is milliseconds.
+    /// Returns an integer setting in milliseconds.
     pub fn millis(&self, flag: &str) -> Duration {
         Duration::from_millis(self.number(flag))
     }
 
-    /// Returns a setting that may have a fraction.
+    /// Returns a decimal setting, or 0 if it is not set.
     pub fn decimal(&self, flag: &str) -> f64 {
         self.text(flag).parse().unwrap_or(0.0)
     }
 
-    /// Returns a setting that may have a fraction and whose unit is seconds.
+    /// Returns a decimal setting in seconds.
     pub fn seconds(&self, flag: &str) -> Duration {
         Duration::try_from_secs_f64(self.decimal(flag)).unwrap_or_default()
     }
@@ -138,17 +138,17 @@
         Secret::new(self.text(flag))
     }
 
-    /// Lists the settings in force with their origin, secrets hidden, one line each.
+    /// Returns one line per setting with its value and origin; secrets are hidden.
     pub fn lines(&self) -> Vec<String> {
-        let line = |v: &Value| {
-            let shown = if v.spec.kind == Kind::Secret { "(hidden)" } else { v.text.as_str() };
-            format!("{}={shown} origin={}", v.spec.flag, v.origin)
+        let format_line = |v: &Value| {
+            let text = if v.spec.kind == Kind::Secret { "(hidden)" } else { v.text.as_str() };
+            format!("{}={text} origin={}", v.spec.flag, v.origin)
         };
-        self.values.values().map(line).collect()
+        self.values.values().map(format_line).collect()
     }
 }
 
-fn find(
+fn resolve(
     spec: &Spec,
     flag: Option<String>,
     variable: &impl Fn(&str) -> Option<String>,
@@ -185,44 +185,44 @@
     Err(Mistake { code: Code::SettingMissing, detail })
 }
 
-fn check(value: Option<&Value>, spec: &Spec) -> Result<(), Mistake> {
+fn validate(value: Option<&Value>, spec: &Spec) -> Result<(), Mistake> {
     let Some(value) = value else { return Ok(()) };
     let text = value.text.as_str();
-    let place = format!("--{} ({})", spec.flag, spec.variable());
-    let bad = |detail: String| Err(Mistake { code: Code::BadSetting, detail });
+    let setting = format!("--{} ({})", spec.flag, spec.variable());
+    let invalid = |detail: String| Err(Mistake { code: Code::BadSetting, detail });
     match spec.kind {
         Kind::Name => match InstanceId::new(text) {
             Ok(_) => Ok(()),
-            Err(e) => bad(format!("{place}: {e}")),
+            Err(e) => invalid(format!("{setting}: {e}")),
         },
         Kind::Address => match text.parse::<SocketAddr>() {
             Ok(_) => Ok(()),
-            Err(_) => bad(format!("{place}: {text:?} is not ip:port")),
+            Err(_) => invalid(format!("{setting}: {text:?} is not ip:port")),
         },
         Kind::Addresses => {
-            let listed = text.split(',').map(str::trim).filter(|a| !a.is_empty());
-            match listed.into_iter().find(|a| a.parse::<SocketAddr>().is_err()) {
-                Some(a) => bad(format!("{place}: {a:?} is not ip:port")),
+            let addresses = text.split(',').map(str::trim).filter(|a| !a.is_empty());
+            match addresses.into_iter().find(|a| a.parse::<SocketAddr>().is_err()) {
+                Some(a) => invalid(format!("{setting}: {a:?} is not ip:port")),
                 None => Ok(()),
             }
         }
         Kind::Switch if text == "true" || text == "false" => Ok(()),
-        Kind::Switch => bad(format!("{place}: {text:?} is neither true nor false")),
+        Kind::Switch => invalid(format!("{setting}: {text:?} is neither true nor false")),
         Kind::Number { unit, min, max } => match text.parse::<u64>() {
             Ok(n) if (min..=max).contains(&n) => Ok(()),
             Ok(n) => {
-                let detail = format!("{place}: {n} {unit} is not in {min} to {max}");
+                let detail = format!("{setting}: {n} {unit} is not in {min} to {max}");
                 Err(Mistake { code: Code::SettingRange, detail })
             }
-            Err(_) => bad(format!("{place}: {text:?} is not a whole number of {unit}")),
+            Err(_) => invalid(format!("{setting}: {text:?} is not a whole number of {unit}")),
         },
         Kind::Decimal { unit, min, max } => match text.parse::<f64>() {
             Ok(n) if (min as f64..=max as f64).contains(&n) => Ok(()),
             Ok(n) => {
-                let detail = format!("{place}: {n} {unit} is not in {min} to {max}");
+                let detail = format!("{setting}: {n} {unit} is not in {min} to {max}");
                 Err(Mistake { code: Code::SettingRange, detail })
             }
-            Err(_) => bad(format!("{place}: {text:?} is not a number of {unit}")),
+            Err(_) => invalid(format!("{setting}: {text:?} is not a number of {unit}")),
         },
         Kind::Secret if text.len() < MIN_SECRET_LEN => {
             let detail = format!("{} is shorter than {MIN_SECRET_LEN} bytes", spec.variable());
