--- a/crates/nutmeggrade-platform/src/budget.rs
+++ b/crates/nutmeggrade-platform/src/budget.rs
@@ -1,4 +1,4 @@
-//! The share of the platform's call rate that one process may use.
+//! Counters of calls to the platform.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -6,7 +6,7 @@
 
 use crate::Traffic;
 
-/// Counts calls to the platform by kind, and their bytes.
+/// Counters of calls to the platform by kind, and of their bytes.
 #[derive(Debug, Default)]
 pub struct Budget {
     calls: Mutex<BTreeMap<&'static str, u64>>,
@@ -15,7 +15,7 @@
 }
 
 impl Budget {
-    /// Makes a count of zero.
+    /// Creates counters at zero.
     pub fn new() -> Self {
         Self::default()
     }
@@ -32,18 +32,18 @@
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts the bytes of an answer.
+    /// Counts the bytes of a response.
     pub fn add_received(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Returns the bytes so far.
+    /// Returns the bytes sent and received.
     pub fn traffic(&self) -> Traffic {
         let sent = self.sent.load(Ordering::Relaxed);
         Traffic { sent, received: self.received.load(Ordering::Relaxed) }
     }
 
-    /// Returns the calls made so far, by kind.
+    /// Returns the number of calls by kind.
     pub fn calls(&self) -> BTreeMap<&'static str, u64> {
         self.calls.lock().map(|c| c.clone()).unwrap_or_default()
     }
--- a/crates/nutmeggrade-platform/src/call.rs
+++ b/crates/nutmeggrade-platform/src/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP request over one fresh connection.
+//! HTTP requests that each use a new connection.
 
 use std::fmt;
 use std::io;
@@ -14,22 +14,22 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Why a call brought no response.
+/// Error for a call without a response.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection was made, so not a byte of the request left: it did not run.
+    /// The request was not sent, so it did not run.
     NotSent(anyhow::Error),
-    /// The request was handed to the transport and its fate is unknown.
+    /// The request was passed to the transport; whether it ran is unknown.
     Unknown(anyhow::Error),
 }
 
 impl CallError {
-    /// Says whether it is proved that the request never left this process.
+    /// Returns whether it is proven that the request was not sent.
     pub const fn not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
 
-    /// Says whether the other machine answered that nobody listens at the address.
+    /// Returns whether the connection was refused because nothing listens at the address.
     pub fn is_refused(&self) -> bool {
         let Self::NotSent(error) = self else { return false };
         let is_refusal = |e: &io::Error| e.kind() == io::ErrorKind::ConnectionRefused;
@@ -48,32 +48,33 @@
 
 impl std::error::Error for CallError {}
 
-/// Sends one request over a connection of its own and returns the response's head.
+/// Sends a request over a new connection and returns the response once its head has arrived.
 ///
-/// A pooled connection may be closed by the server just as a request is written to it, and a pool
-/// that then repeats the request runs it twice; one notices double entries in the endpoint's log.
-/// With a fresh connection nothing is ever repeated, and a failed connect proves that nothing ran.
-/// `connect` bounds the connect; the caller bounds the answer.
+/// The server may close a pooled connection just as a request is written to it; a pool that then
+/// repeats the request may run it twice, which shows as duplicate entries in the endpoint's log.
+/// With a new connection nothing is repeated, and a failed connect proves that nothing ran.
+/// `connect_timeout` limits the connect; limiting the time for the response is up to the caller.
 pub async fn call(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    connect: Duration,
+    connect_timeout: Duration,
 ) -> Result<Response<Incoming>, CallError> {
-    call_if(address, request, connect, || Ok(())).await
+    call_if(address, request, connect_timeout, || Ok(())).await
 }
 
-/// Sends one request like [`call`], but asks `may_send` once the connection stands, immediately
-/// before the request is handed over; its error proves that nothing was sent.
+/// Sends a request like [`call`], but first calls `may_send` once the connection is established,
+/// immediately before sending; its error proves that nothing was sent.
 ///
-/// Connecting takes time, and the process may be frozen meanwhile; a right checked before it may be
-/// gone, and one would notice work on an endpoint that this process may not use any more.
+/// Connecting takes time, and the process may be suspended meanwhile. A right checked before the
+/// connect may have expired since, and the request would run at an endpoint that this process may
+/// no longer use.
 pub async fn call_if(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    connect: Duration,
+    connect_timeout: Duration,
     may_send: impl FnOnce() -> anyhow::Result<()>,
 ) -> Result<Response<Incoming>, CallError> {
-    let stream = match timeout(connect, TcpStream::connect(address)).await {
+    let stream = match timeout(connect_timeout, TcpStream::connect(address)).await {
         Ok(Ok(s)) => s,
         Ok(Err(e)) => {
             return Err(CallError::NotSent(
@@ -88,7 +89,7 @@
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|e| CallError::NotSent(e.into()))?;
-    // Ends by itself when the sender and the response body are dropped.
+    // The task ends when the sender and the response body are dropped.
     tokio::spawn(connection);
     may_send().map_err(CallError::NotSent)?;
     sender
@@ -97,17 +98,17 @@
         .map_err(|e| CallError::Unknown(anyhow::Error::new(e).context(format!("call {address}"))))
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 pub async fn body_bytes(body: Incoming, limit: usize) -> anyhow::Result<Bytes> {
-    let whole = Limited::new(body, limit)
+    let collected = Limited::new(body, limit)
         .collect()
         .await
         .map_err(|e| anyhow::anyhow!("{e}"))
         .context("read body")?;
-    Ok(whole.to_bytes())
+    Ok(collected.to_bytes())
 }
 
-/// Makes a request body out of JSON.
+/// Creates a request body from a value encoded as JSON.
 pub fn json_body<T: serde::Serialize>(value: &T) -> anyhow::Result<Full<Bytes>> {
     let bytes = serde_json::to_vec(value).context("encode body")?;
     Ok(Full::new(Bytes::from(bytes)))
--- a/crates/nutmeggrade-platform/src/config_retention.rs
+++ b/crates/nutmeggrade-platform/src/config_retention.rs
@@ -1,23 +1,23 @@
-//! Keeping the old versions of the configuration small.
+//! Retention of old configuration versions.
 
 use nutmeggrade_core::prelude::*;
 
 use crate::{Platform, PlatformError};
 
-/// Versions that are kept whole, the newest included.
+/// Number of versions kept with their presets, including the newest.
 pub const WHOLE_VERSIONS: u64 = 64;
 
-/// Takes the presets out of the version that is no longer among the newest ones.
+/// Removes the presets from the version that just fell out of the newest ones.
 ///
-/// Every version holds all presets, and at thousands of changes a day they would fill the platform.
-/// What remains is the audit trail: the change, who made it, when and why. Nobody puts an old
-/// version in force, since only a higher one is ever taken. Failing is harmless.
+/// Every version contains all presets, which would fill the platform's store at thousands of
+/// changes a day. The audit trail remains: the change, its author, time and reason. Old versions
+/// are never put in force again, since only a higher version is ever applied. A failure is harmless.
 pub async fn thin_out<P: Platform>(platform: &P, newest: u64) -> Result<(), PlatformError> {
-    let old = newest.saturating_sub(WHOLE_VERSIONS);
-    if old == 0 {
+    let old_version = newest.saturating_sub(WHOLE_VERSIONS);
+    if old_version == 0 {
         return Ok(());
     }
-    let key = Configuration::key(old);
+    let key = Configuration::key(old_version);
     let Some(object) = platform.read(&key).await? else { return Ok(()) };
     let mut value = object.value.unwrap_or_default();
     let Some(presets) = value.get_mut("presets").and_then(|p| p.as_object_mut()) else {
--- a/crates/nutmeggrade-platform/src/http_platform.rs
+++ b/crates/nutmeggrade-platform/src/http_platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! HTTP client of the platform's object API.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,42 +19,42 @@
 use crate::traffic::head_size;
 use crate::{Budget, Platform, PlatformError, Traffic};
 
-/// Largest answer that is read: a listing of values of up to a megabyte each.
-const MAX_ANSWER: usize = 64 << 20;
+/// Maximum size of a response, in bytes; lists contain values of up to a megabyte each.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Most changes that one watch returns, the earliest first.
+/// Maximum number of changes that one watch returns, earliest first.
 pub const WATCH_LIMIT: usize = 32;
 
-/// The platform's object API over HTTP.
+/// HTTP client of the platform's object API.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     address: SocketAddr,
-    patience: Duration,
+    call_timeout: Duration,
     budget: Arc<Budget>,
-    list: Arc<Mutex<Option<Tagged>>>,
+    list: Arc<Mutex<Option<TaggedList>>>,
 }
 
-/// The last list of endpoints with the tag that the platform gave it.
+/// The last list of endpoints with its entity tag.
 #[derive(Debug, Clone)]
-struct Tagged {
+struct TaggedList {
     tag: HeaderValue,
     endpoints: Vec<Endpoint>,
 }
 
 impl HttpPlatform {
-    /// Makes a client that waits at most `patience` for each answer.
-    pub fn new(address: SocketAddr, patience: Duration) -> Self {
+    /// Creates a client with a timeout for each call.
+    pub fn new(address: SocketAddr, call_timeout: Duration) -> Self {
         let list = Arc::new(Mutex::new(None));
-        Self { address, patience, budget: Arc::new(Budget::new()), list }
+        Self { address, call_timeout, budget: Arc::new(Budget::new()), list }
     }
 
     async fn send(
         &self,
         kind: &'static str,
         request: Request<Full<Bytes>>,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let (head, body) = self.exchange(kind, request, patience).await?.into_parts();
+        let (head, body) = self.exchange(kind, request, call_timeout).await?.into_parts();
         Ok((head.status, body))
     }
 
@@ -62,23 +62,24 @@
         &self,
         kind: &'static str,
         request: Request<Full<Bytes>>,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> Result<Response<Bytes>, PlatformError> {
         self.budget.count(kind);
         let body = usize::try_from(request.body().size_hint().lower()).unwrap_or(0);
         self.budget.add_sent(head_size(request.uri().path(), request.headers()) + body);
         let exchange = async {
-            let response = match call(self.address, request, self.patience).await {
+            let response = match call(self.address, request, self.call_timeout).await {
                 Ok(r) => r,
                 Err(e) if e.not_sent() => return Err(PlatformError::Refused(e.into())),
                 Err(e) => return Err(PlatformError::Unknown(e.into())),
             };
             let (head, body) = response.into_parts();
-            let body = body_bytes(body, MAX_ANSWER).await.map_err(PlatformError::Unknown)?;
+            let body =
+                body_bytes(body, MAX_RESPONSE_BYTES).await.map_err(PlatformError::Unknown)?;
             self.budget.add_received(head_size("", &head.headers) + body.len());
             Ok(Response::from_parts(head, body))
         };
-        match timeout(patience, exchange).await {
+        match timeout(call_timeout, exchange).await {
             Ok(result) => result,
             Err(_) => Err(PlatformError::Unknown(anyhow::anyhow!("{kind}: timeout"))),
         }
@@ -100,19 +101,19 @@
             .header(condition.0, condition.1)
             .body(Full::new(body))
             .map_err(|e| PlatformError::Refused(e.into()))?;
-        let (status, body) = self.send(kind, request, self.patience).await?;
+        let (status, body) = self.send(kind, request, self.call_timeout).await?;
         match status {
             StatusCode::OK | StatusCode::CREATED => {
                 let object: Object = parse(&body)?;
                 Ok(object.version)
             }
             StatusCode::PRECONDITION_FAILED => Err(PlatformError::Conflict),
-            s if refused(s) => Err(PlatformError::Refused(anyhow::anyhow!("{kind}: {s}"))),
+            s if is_refusal(s) => Err(PlatformError::Refused(anyhow::anyhow!("{kind}: {s}"))),
             s => Err(PlatformError::Unknown(anyhow::anyhow!("{kind}: {s}"))),
         }
     }
 
-    fn reading(
+    fn get_request(
         &self,
         path: &str,
         tag: Option<&HeaderValue>,
@@ -125,7 +126,7 @@
         request.body(Full::default()).map_err(|e| PlatformError::Refused(e.into()))
     }
 
-    fn last_list(&self) -> MutexGuard<'_, Option<Tagged>> {
+    fn lock_list(&self) -> MutexGuard<'_, Option<TaggedList>> {
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -133,9 +134,9 @@
         &self,
         kind: &'static str,
         path: &str,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> Result<Option<T>, PlatformError> {
-        let (status, body) = self.send(kind, self.reading(path, None)?, patience).await?;
+        let (status, body) = self.send(kind, self.get_request(path, None)?, call_timeout).await?;
         match status {
             StatusCode::OK => Ok(Some(parse(&body)?)),
             StatusCode::NOT_FOUND => Ok(None),
@@ -143,20 +144,20 @@
         }
     }
 
-    async fn get_some<T: DeserializeOwned>(
+    async fn get_existing<T: DeserializeOwned>(
         &self,
         kind: &'static str,
         path: &str,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> Result<T, PlatformError> {
-        let found = self.get(kind, path, patience).await?;
+        let found = self.get(kind, path, call_timeout).await?;
         found.ok_or_else(|| PlatformError::Refused(anyhow::anyhow!("{kind}: not found")))
     }
 }
 
-/// Says whether a status proves that a write took no effect. A plain 500 or 502 does not: a server
-/// or gateway may send it after the write.
-fn refused(status: StatusCode) -> bool {
+/// Returns whether a status proves that a write had no effect. A plain 500 or 502 does not: a
+/// server or gateway may send it after the write.
+fn is_refusal(status: StatusCode) -> bool {
     status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE
 }
 
@@ -166,26 +167,26 @@
 
 impl Platform for HttpPlatform {
     async fn read(&self, key: &str) -> Result<Option<Object>, PlatformError> {
-        self.get("read", &format!("/objects/{key}"), self.patience).await
+        self.get("read", &format!("/objects/{key}"), self.call_timeout).await
     }
 
     async fn create(&self, key: &str, value: &Value) -> Result<u64, PlatformError> {
-        let absent = (header::IF_NONE_MATCH, "*".to_owned());
-        self.write("create", Method::PUT, key, absent, Some(value)).await
+        let if_none_match = (header::IF_NONE_MATCH, "*".to_owned());
+        self.write("create", Method::PUT, key, if_none_match, Some(value)).await
     }
 
     async fn replace(&self, key: &str, value: &Value, version: u64) -> Result<u64, PlatformError> {
-        let same = (header::IF_MATCH, version.to_string());
-        self.write("replace", Method::PUT, key, same, Some(value)).await
+        let if_match = (header::IF_MATCH, version.to_string());
+        self.write("replace", Method::PUT, key, if_match, Some(value)).await
     }
 
     async fn remove(&self, key: &str, version: u64) -> Result<(), PlatformError> {
-        let same = (header::IF_MATCH, version.to_string());
-        self.write("remove", Method::DELETE, key, same, None).await.map(|_| ())
+        let if_match = (header::IF_MATCH, version.to_string());
+        self.write("remove", Method::DELETE, key, if_match, None).await.map(|_| ())
     }
 
     async fn list(&self, prefix: &str) -> Result<Changes, PlatformError> {
-        self.get_some("list", &format!("/list?prefix={prefix}"), self.patience).await
+        self.get_existing("list", &format!("/list?prefix={prefix}"), self.call_timeout).await
     }
 
     async fn list_after(
@@ -195,7 +196,7 @@
         limit: usize,
     ) -> Result<Changes, PlatformError> {
         let path = format!("/list?prefix={prefix}&after={after}&limit={limit}");
-        self.get_some("list", &path, self.patience).await
+        self.get_existing("list", &path, self.call_timeout).await
     }
 
     async fn watch(
@@ -208,21 +209,21 @@
         let path = format!(
             "/watch?prefix={prefix}&since={revision}&wait_ms={wait_ms}&limit={WATCH_LIMIT}"
         );
-        self.get_some("watch", &path, wait + self.patience).await
+        self.get_existing("watch", &path, wait + self.call_timeout).await
     }
 
     async fn endpoints(&self) -> Result<Vec<Endpoint>, PlatformError> {
-        // The list is read again and again and seldom changes; a platform that tags it sends it
-        // only when it did.
-        let last = self.last_list().clone();
-        let request = self.reading("/endpoints", last.as_ref().map(|l| &l.tag))?;
-        let response = self.exchange("endpoints", request, self.patience).await?;
+        // The list is polled often and changes rarely; a platform that sends an entity tag returns
+        // the list only after a change.
+        let last = self.lock_list().clone();
+        let request = self.get_request("/endpoints", last.as_ref().map(|l| &l.tag))?;
+        let response = self.exchange("endpoints", request, self.call_timeout).await?;
         match (response.status(), last) {
             (StatusCode::OK, _) => {
                 let endpoints: Vec<Endpoint> = parse(response.body())?;
                 let tag = response.headers().get(header::ETAG).cloned();
-                let tagged = tag.map(|tag| Tagged { tag, endpoints: endpoints.clone() });
-                *self.last_list() = tagged;
+                let tagged = tag.map(|tag| TaggedList { tag, endpoints: endpoints.clone() });
+                *self.lock_list() = tagged;
                 Ok(endpoints)
             }
             (StatusCode::NOT_MODIFIED, Some(last)) => Ok(last.endpoints),
--- a/crates/nutmeggrade-platform/src/lib.rs
+++ b/crates/nutmeggrade-platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! Client side of the platform's object API, and the one-connection HTTP call it rests on.
+//! Client of the platform's object API, and the single-request HTTP call that it uses.
 //!
-//! [`Platform`] is the seam: the node and the operators' command work against the trait, and
-//! [`HttpPlatform`] speaks to the real service. [`call`] opens one connection for one request, so
-//! that a failure says exactly whether a byte of the request was handed to the transport.
+//! Instances and the operators' command use the [`Platform`] trait; [`HttpPlatform`] implements it
+//! for the real service. [`call`] opens a new connection for each request, so that a failure shows
+//! whether any byte of the request was passed to the transport.
 
 mod budget;
 mod call;
--- a/crates/nutmeggrade-platform/src/newest_config.rs
+++ b/crates/nutmeggrade-platform/src/newest_config.rs
@@ -1,4 +1,4 @@
-//! Finding the newest version of the configuration among any number.
+//! Lookup of the newest configuration version.
 
 use nutmeggrade_core::config::CONFIG_PREFIX;
 use nutmeggrade_core::object::Object;
@@ -7,60 +7,60 @@
 
 use crate::{Platform, PlatformError};
 
-/// Key of the object that says about where the newest version is.
+/// Key of the hint at the newest version in the platform's object store.
 pub const CONFIG_HEAD: &str = "head/config";
-/// Versions that one listing returns; each may be as large as a value can be.
-const PAGE: usize = 4;
+/// Number of versions per list call; each may have the maximum size of a value.
+const PAGE_SIZE: usize = 4;
 
-/// About where the newest version is.
+/// Hint at the newest version.
 ///
-/// A hint only: it is written after the version itself and may be missing or behind, which costs
-/// further reads. Which version is the newest is decided by the versions alone.
+/// The hint is written after the version itself and may be missing or outdated, which costs more
+/// reads. Only the versions themselves determine which one is the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigHead {
-    /// A version that exists or existed.
+    /// Number of a version that exists or existed.
     pub version: u64,
 }
 
-/// The newest version, and the revision from which to watch for later ones.
+/// The newest version and the revision from which to watch for newer ones.
 #[derive(Debug, Clone, Default)]
 pub struct NewestConfig {
-    /// The newest version; `None` before the first.
+    /// The newest version; `None` if there is none yet.
     pub config: Option<Configuration>,
-    /// Nothing up to this revision of the platform is newer.
+    /// Revision of the platform's store up to which no newer version exists.
     pub revision: u64,
 }
 
-/// Finds the newest version from the hint on, a few versions a call.
+/// Finds the newest version, starting at the hint and listing a few versions per call.
 ///
-/// A listing of all versions grows with every change; at some thousand changes a day it would soon
-/// pass any limit on an answer, and an instance that starts would never become ready.
+/// A list of all versions grows with every change; at some thousand changes a day it would soon
+/// exceed any response limit, and a starting instance would never become ready.
 pub async fn newest_config<P: Platform>(platform: &P) -> Result<NewestConfig, PlatformError> {
     let hint = read_head(platform).await?.map_or(0, |(head, _)| head.version);
     let mut after = Configuration::key(hint.saturating_sub(1));
     let mut newest: Option<Object> = None;
     loop {
-        let page = platform.list_after(CONFIG_PREFIX, &after, PAGE).await?;
+        let page = platform.list_after(CONFIG_PREFIX, &after, PAGE_SIZE).await?;
         let count = page.objects.len();
         if let Some(last) = page.objects.into_iter().next_back() {
             after.clone_from(&last.key);
             newest = Some(last);
         }
-        if count < PAGE {
+        if count < PAGE_SIZE {
             let config = newest.map(decode).transpose()?;
             return Ok(NewestConfig { config, revision: page.revision });
         }
     }
 }
 
-/// Raises the hint after a version was accepted; failing is harmless.
+/// Raises the hint after a version was accepted. A failure is harmless.
 pub async fn raise_head<P: Platform>(platform: &P, version: u64) -> Result<(), PlatformError> {
     let value = serde_json::to_value(ConfigHead { version })
         .map_err(|e| PlatformError::Refused(e.into()))?;
     match read_head(platform).await? {
         None => platform.create(CONFIG_HEAD, &value).await.map(|_| ()),
-        Some((head, at)) if head.version < version => {
-            platform.replace(CONFIG_HEAD, &value, at).await.map(|_| ())
+        Some((head, object_version)) if head.version < version => {
+            platform.replace(CONFIG_HEAD, &value, object_version).await.map(|_| ())
         }
         Some(_) => Ok(()),
     }
--- a/crates/nutmeggrade-platform/src/platform.rs
+++ b/crates/nutmeggrade-platform/src/platform.rs
@@ -1,4 +1,4 @@
-//! The seam to the platform's object API.
+//! Interface to the platform's object API.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 
 use crate::{PlatformError, Traffic};
 
-/// The platform's object API: versions, conditional writes, watches, and the instance list.
+/// The platform's object API: versioned objects, conditional writes, watches and the endpoint list.
 ///
-/// Every method is one counted call. The version of an object that was never written is 0.
+/// Every async method makes one counted call. An object that was never written has version 0.
 pub trait Platform: Send + Sync + 'static {
     /// Reads one object.
     fn read(&self, key: &str)
     -> impl Future<Output = Result<Option<Object>, PlatformError>> + Send;
 
-    /// Creates an object if no object has the key, and returns its version.
+    /// Creates an object if the key does not exist, and returns its version.
     fn create(
         &self,
         key: &str,
         value: &Value,
     ) -> impl Future<Output = Result<u64, PlatformError>> + Send;
 
-    /// Replaces an object if it has `version`, and returns the new version.
+    /// Replaces an object if its version is `version`, and returns the new version.
     fn replace(
         &self,
         key: &str,
@@ -32,17 +32,17 @@
         version: u64,
     ) -> impl Future<Output = Result<u64, PlatformError>> + Send;
 
-    /// Removes an object if it has `version`.
+    /// Removes an object if its version is `version`.
     fn remove(
         &self,
         key: &str,
         version: u64,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// Lists the objects under a prefix in the order of their keys.
+    /// Lists the objects under a key prefix in key order.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Changes, PlatformError>> + Send;
 
-    /// Lists at most `limit` objects under a prefix whose keys come after `after`.
+    /// Lists at most `limit` objects under a key prefix whose keys follow `after`.
     fn list_after(
         &self,
         prefix: &str,
@@ -50,7 +50,7 @@
         limit: usize,
     ) -> impl Future<Output = Result<Changes, PlatformError>> + Send;
 
-    /// Waits at most `wait` for changes under a prefix after `revision`.
+    /// Waits at most `wait` for changes under a key prefix after `revision`.
     fn watch(
         &self,
         prefix: &str,
@@ -58,13 +58,13 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Changes, PlatformError>> + Send;
 
-    /// Reads the lagging list of endpoints.
+    /// Reads the list of endpoints, which lags behind the actual state.
     fn endpoints(&self) -> impl Future<Output = Result<Vec<Endpoint>, PlatformError>> + Send;
 
-    /// Returns the calls made so far, by kind.
+    /// Returns the number of calls by kind.
     fn calls(&self) -> BTreeMap<&'static str, u64>;
 
-    /// Returns the bytes of those calls.
+    /// Returns the bytes sent and received by those calls.
     fn traffic(&self) -> Traffic {
         Traffic::default()
     }
--- a/crates/nutmeggrade-platform/src/platform_error.rs
+++ b/crates/nutmeggrade-platform/src/platform_error.rs
@@ -1,15 +1,15 @@
-//! Why a call to the platform did not succeed.
+//! Errors of calls to the platform.
 
 use std::fmt;
 
-/// Why a call to the platform did not succeed.
+/// Error of a call to the platform.
 #[derive(Debug)]
 pub enum PlatformError {
     /// A conditional write found another version; nothing was written.
     Conflict,
-    /// The platform refused or could not be reached; nothing was written.
+    /// The platform refused the call or was unreachable; nothing was written.
     Refused(anyhow::Error),
-    /// The answer was lost; a write may have taken effect.
+    /// The response was lost; a write may have taken effect.
     Unknown(anyhow::Error),
 }
 
--- a/crates/nutmeggrade-platform/src/traffic.rs
+++ b/crates/nutmeggrade-platform/src/traffic.rs
@@ -1,23 +1,24 @@
-//! Bytes of HTTP between a process and the platform.
+//! HTTP traffic between a process and the platform.
 
 use http::HeaderMap;
 
-/// Bytes of HTTP heads and bodies; what TCP adds is not in it.
+/// Bytes of HTTP heads and bodies, without TCP overhead.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// To the platform.
+    /// Bytes sent to the platform.
     pub sent: u64,
-    /// From the platform.
+    /// Bytes received from the platform.
     pub received: u64,
 }
 
-/// Bytes of a request line or status line beside its path.
-const LINE: usize = 17;
-/// Bytes around a header's name and value.
-const AROUND: usize = 4;
+/// Size of a request line or status line without its path, in bytes.
+const START_LINE_BYTES: usize = 17;
+/// Size of the separators of a header field, in bytes.
+const FIELD_OVERHEAD_BYTES: usize = 4;
 
-/// Returns the size of a head on the wire, its empty line included.
+/// Returns the size of a head on the wire in bytes, including its final empty line.
 pub fn head_size(path: &str, headers: &HeaderMap) -> usize {
-    let fields: usize = headers.iter().map(|(n, v)| n.as_str().len() + v.len() + AROUND).sum();
-    LINE + path.len() + fields
+    let fields: usize =
+        headers.iter().map(|(n, v)| n.as_str().len() + v.len() + FIELD_OVERHEAD_BYTES).sum();
+    START_LINE_BYTES + path.len() + fields
 }
