--- a/crates/nutmeggrade-platform/src/config_retention.rs
+++ b/crates/nutmeggrade-platform/src/config_retention.rs
@@ -11,7 +11,7 @@
 ///
 /// Every version contains all presets, which would fill the platform's store at thousands of
 /// changes a day. The audit trail remains: the change, its author, time and reason. Old versions
-/// are never put in force again, since only a higher version is ever applied. A failure is harmless.
+/// are never put in force again, since only a higher version is ever applied. Failure is harmless.
 pub async fn thin_out<P: Platform>(platform: &P, newest: u64) -> Result<(), PlatformError> {
     let old_version = newest.saturating_sub(WHOLE_VERSIONS);
     if old_version == 0 {
