--- a/crates/nutmeggrade-core/src/config.rs
+++ b/crates/nutmeggrade-core/src/config.rs
@@ -2,7 +2,7 @@
 
 mod change;
 mod configuration;
-mod known;
+mod known_names;
 mod operation_class;
 mod preset;
 mod preset_check;
@@ -12,7 +12,7 @@
 
 pub use change::Change;
 pub use configuration::{CONFIG_PREFIX, Configuration};
-pub use known::Known;
+pub use known_names::Known;
 pub use operation_class::OperationClass;
 pub use preset::{Limits, ModelClass, Preset};
 pub use preset_check::{MAX_CONTEXT, MAX_DEADLINE, MAX_QUEUE};
--- a/crates/nutmeggrade-core/src/engine.rs
+++ b/crates/nutmeggrade-core/src/engine.rs
@@ -1,15 +1,15 @@
 //! Messages between an instance and a model engine.
 
 mod cache_event;
-mod generate;
+mod engine_status;
+mod generate_request;
 mod load_report;
-mod standing;
 mod token;
 
 pub use cache_event::CacheEvent;
-pub use generate::Generate;
+pub use engine_status::Standing;
+pub use generate_request::Generate;
 pub use load_report::LoadReport;
-pub use standing::Standing;
 pub use token::{Finish, Token};
 
 /// Path for starting, resuming and canceling generations on an engine.
--- a/crates/nutmeggrade-core/src/peer.rs
+++ b/crates/nutmeggrade-core/src/peer.rs
@@ -4,7 +4,7 @@
 mod beacon;
 mod envelope;
 mod fleet_beacon;
-mod fleet_news;
+mod fleet_message;
 mod suspect;
 mod sync;
 
@@ -12,7 +12,7 @@
 pub use beacon::{Beacon, Echo, Entry};
 pub use envelope::{BadEnvelope, MAX_MESSAGE, WIRE_VERSION, open, seal};
 pub use fleet_beacon::{Contacts, FleetBeacon, Introduction, Revisions, Seat};
-pub use fleet_news::{
+pub use fleet_message::{
     Crashed, EndpointNews, Fingerprint, FleetMessage, FleetNews, FleetOutcomes, FleetPlaced, Share,
 };
 pub use suspect::{Crash, PromptHash, Suspect};
--- a/crates/nutmeggrade-platform/src/http_platform.rs
+++ b/crates/nutmeggrade-platform/src/http_platform.rs
@@ -30,7 +30,7 @@
 pub struct HttpPlatform {
     address: SocketAddr,
     call_timeout: Duration,
-    budget: Arc<Budget>,
+    counters: Arc<Budget>,
     list: Arc<Mutex<Option<TaggedList>>>,
 }
 
@@ -45,7 +45,7 @@
     /// Creates a client with a timeout for each call.
     pub fn new(address: SocketAddr, call_timeout: Duration) -> Self {
         let list = Arc::new(Mutex::new(None));
-        Self { address, call_timeout, budget: Arc::new(Budget::new()), list }
+        Self { address, call_timeout, counters: Arc::new(Budget::new()), list }
     }
 
     async fn send(
@@ -64,9 +64,9 @@
         request: Request<Full<Bytes>>,
         call_timeout: Duration,
     ) -> Result<Response<Bytes>, PlatformError> {
-        self.budget.count(kind);
+        self.counters.count(kind);
         let body = usize::try_from(request.body().size_hint().lower()).unwrap_or(0);
-        self.budget.add_sent(head_size(request.uri().path(), request.headers()) + body);
+        self.counters.add_sent(head_size(request.uri().path(), request.headers()) + body);
         let exchange = async {
             let response = match call(self.address, request, self.call_timeout).await {
                 Ok(r) => r,
@@ -76,7 +76,7 @@
             let (head, body) = response.into_parts();
             let body =
                 body_bytes(body, MAX_RESPONSE_BYTES).await.map_err(PlatformError::Unknown)?;
-            self.budget.add_received(head_size("", &head.headers) + body.len());
+            self.counters.add_received(head_size("", &head.headers) + body.len());
             Ok(Response::from_parts(head, body))
         };
         match timeout(call_timeout, exchange).await {
@@ -232,10 +232,10 @@
     }
 
     fn calls(&self) -> BTreeMap<&'static str, u64> {
-        self.budget.calls()
+        self.counters.calls()
     }
 
     fn traffic(&self) -> Traffic {
-        self.budget.traffic()
+        self.counters.traffic()
     }
 }
--- a/crates/nutmeggrade-platform/src/lib.rs
+++ b/crates/nutmeggrade-platform/src/lib.rs
@@ -4,8 +4,8 @@
 //! for the real service. [`call`] opens a new connection for each request, so that a failure shows
 //! whether any byte of the request was passed to the transport.
 
-mod budget;
 mod call;
+mod call_counters;
 mod config_retention;
 mod http_platform;
 mod newest_config;
@@ -13,8 +13,8 @@
 mod platform_error;
 mod traffic;
 
-pub use budget::Budget;
 pub use call::{CallError, body_bytes, call, call_if, json_body};
+pub use call_counters::Budget;
 pub use config_retention::{WHOLE_VERSIONS, thin_out};
 pub use http_platform::{HttpPlatform, WATCH_LIMIT};
 pub use newest_config::{CONFIG_HEAD, ConfigHead, NewestConfig, newest_config, raise_head};
