--- a/crates/nutmegctl/src/change.rs
+++ b/crates/nutmegctl/src/change.rs
@@ -6,7 +6,9 @@
 use http::Method;
 use nutmeggrade_core::config::{CONFIG_PREFIX, Change, Known};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_platform::{HttpPlatform, Platform, newest_config, raise_head, thin_out};
+use nutmeggrade_platform::{
+    HttpPlatform, Platform, advance_config_head, newest_config, strip_old_presets,
+};
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
@@ -78,11 +80,11 @@
     write(&platform, &Configuration::key(next.version), &next, &later).await?;
     let line = Line::new("accepted").with("version", next.version);
     line.with("change", next.id.as_str()).print(settings);
-    if let Err(error) = raise_head(&platform, next.version).await {
+    if let Err(error) = advance_config_head(&platform, next.version).await {
         // The hint only saves reads.
         eprintln!("hint not raised: {error}");
     }
-    if let Err(error) = thin_out(&platform, next.version).await {
+    if let Err(error) = strip_old_presets(&platform, next.version).await {
         eprintln!("old version not thinned out: {error}");
     }
     in_force(settings, &platform, &next).await
--- a/crates/nutmegctl/src/order_change.rs
+++ b/crates/nutmegctl/src/order_change.rs
@@ -1,7 +1,7 @@
 //! Giving an order: write version n+1 of what is wanted, then see its effect read back.
 
 use anyhow::Context;
-use nutmeggrade_core::order::{Desired, Effect, Order, Progress};
+use nutmeggrade_core::order::{DesiredState, Order, OrderStatus, Progress};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::{HttpPlatform, Platform};
 use serde_json::Value;
@@ -20,8 +20,8 @@
 pub async fn history(
     platform: &HttpPlatform,
     endpoint: &EndpointId,
-) -> anyhow::Result<Vec<Desired>> {
-    let listed = platform.list(&Desired::prefix(endpoint)).await.map_err(|e| down(&e))?;
+) -> anyhow::Result<Vec<DesiredState>> {
+    let listed = platform.list(&DesiredState::prefix(endpoint)).await.map_err(|e| down(&e))?;
     let decode = |value: Value| serde_json::from_value(value).context("decode order");
     listed.objects.into_iter().filter_map(|o| o.value).map(decode).collect()
 }
@@ -30,8 +30,8 @@
 pub async fn effect(
     platform: &HttpPlatform,
     endpoint: &EndpointId,
-) -> anyhow::Result<Option<Effect>> {
-    let found = platform.read(&Effect::key(endpoint)).await.map_err(|e| down(&e))?;
+) -> anyhow::Result<Option<OrderStatus>> {
+    let found = platform.read(&OrderStatus::key(endpoint)).await.map_err(|e| down(&e))?;
     let value = found.and_then(|o| o.value);
     value.map(|v| serde_json::from_value(v).context("decode effect")).transpose()
 }
@@ -54,7 +54,7 @@
         };
     }
     let id = ChangeId::new(&GenerationId::new(rand::random()).to_string())?;
-    let next = Desired::new(before.as_ref(), id, &settings.who, &settings.why, order);
+    let next = DesiredState::new(before.as_ref(), id, &settings.who, &settings.why, order);
     let next = next.with_time(wall_ms());
     let name = if settings.dry_run { "would_accept" } else { "accepted" };
     let line = Line::new(name).with("version", next.version).with("order", order.to_string());
@@ -63,7 +63,7 @@
         return Ok(());
     }
     let later = format!("ask `nutmegctl order show {endpoint}` later for {}", next.id);
-    write(&platform, &Desired::key(endpoint, next.version), &next, &later).await?;
+    write(&platform, &DesiredState::key(endpoint, next.version), &next, &later).await?;
     line.print(settings);
     forget_old(&platform, endpoint, next.version).await;
     seen(settings, &platform, endpoint, &next).await
@@ -81,7 +81,7 @@
 
 async fn forget_old(platform: &HttpPlatform, endpoint: &EndpointId, version: u64) {
     let Some(old) = version.checked_sub(KEPT) else { return };
-    let key = Desired::key(endpoint, old);
+    let key = DesiredState::key(endpoint, old);
     let Ok(Some(object)) = platform.read(&key).await else { return };
     if let Err(error) = platform.remove(&key, object.version).await {
         eprintln!("nutmegctl: {key} was not removed: {error}");
@@ -93,7 +93,7 @@
     settings: &Settings,
     platform: &HttpPlatform,
     endpoint: &EndpointId,
-    wanted: &Desired,
+    wanted: &DesiredState,
 ) -> anyhow::Result<()> {
     let start = Instant::now();
     loop {
@@ -115,7 +115,7 @@
 }
 
 /// Prints what came of the orders.
-pub fn print(settings: &Settings, name: &'static str, effect: &Effect) -> anyhow::Result<()> {
+pub fn print(settings: &Settings, name: &'static str, effect: &OrderStatus) -> anyhow::Result<()> {
     let line = Line::new(name).with("version", effect.version).with("epoch", effect.epoch);
     let line = line.with("instance", effect.instance.as_str());
     let line = line.with("progress", serde_json::to_value(effect.progress)?);
--- a/crates/nutmegctl/src/settings.rs
+++ b/crates/nutmegctl/src/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::{Kind, Mistake, Spec, Values};
+use nutmeggrade_core::settings::{Kind, SettingError, Spec, Values};
 
 const SPECS: &[Spec] = &[
     Spec::new("platform", Kind::Address, "address of the platform's object API"),
@@ -71,7 +71,7 @@
 impl Settings {
     /// Reads flags and environment variables; lists every mistake at once. `is_offline` says that neither the
     /// platform nor the operators' token is needed.
-    pub fn load(args: &[String], is_offline: bool) -> Result<Self, Vec<Mistake>> {
+    pub fn load(args: &[String], is_offline: bool) -> Result<Self, Vec<SettingError>> {
         let variable = |name: &str| std::env::var(name).ok();
         let file = |path: &str| std::fs::read_to_string(path).map_err(|e| e.to_string());
         // Whoever has logs needs neither the platform nor the operators' token to read them.
--- a/crates/nutmegctl/src/versioned.rs
+++ b/crates/nutmegctl/src/versioned.rs
@@ -1,7 +1,7 @@
 //! Writing the next version of an object that operators race for.
 
 use anyhow::Context;
-use nutmeggrade_core::order::Desired;
+use nutmeggrade_core::order::DesiredState;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::{HttpPlatform, Platform, PlatformError};
 use serde::Serialize;
@@ -41,7 +41,7 @@
     }
 }
 
-impl Versioned for Desired {
+impl Versioned for DesiredState {
     fn version(&self) -> u64 {
         self.version
     }
--- a/crates/nutmeggrade-core/src/config/preset.rs
+++ b/crates/nutmeggrade-core/src/config/preset.rs
@@ -59,7 +59,7 @@
 
 impl Preset {
     /// Returns whether an engine may serve a model.
-    pub fn lets_serve(&self, model: &ModelId, engine: &EndpointId) -> bool {
+    pub fn allows_engine(&self, model: &ModelId, engine: &EndpointId) -> bool {
         let Some(class) = self.models.get(model) else { return false };
         class.endpoints.is_empty() || class.endpoints.contains(engine)
     }
--- a/crates/nutmeggrade-core/src/engine.rs
+++ b/crates/nutmeggrade-core/src/engine.rs
@@ -8,7 +8,7 @@
 
 pub use cache_event::CacheEvent;
 pub use engine_status::Standing;
-pub use generate_request::Generate;
+pub use generate_request::GenerateRequest;
 pub use load_report::LoadReport;
 pub use token::{Finish, Token};
 
--- a/crates/nutmeggrade-core/src/engine/generate_request.rs
+++ b/crates/nutmeggrade-core/src/engine/generate_request.rs
@@ -6,7 +6,7 @@
 
 /// A request to start one generation on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Generate {
+pub struct GenerateRequest {
     /// Random id that the instance assigns to this attempt.
     pub generation: GenerationId,
     /// The model to run.
--- a/crates/nutmeggrade-core/src/id.rs
+++ b/crates/nutmeggrade-core/src/id.rs
@@ -5,6 +5,6 @@
 
 pub use generation_id::GenerationId;
 pub use name::{
-    AdapterId, BadName, ChangeId, DomainId, EndpointId, InstanceId, ModelId, PresetId, RequestId,
-    ServiceId, TaskId, VersionId, WorkspaceId,
+    AdapterId, ChangeId, DomainId, EndpointId, InstanceId, ModelId, ParseIdError, PresetId,
+    RequestId, ServiceId, TaskId, VersionId, WorkspaceId,
 };
--- a/crates/nutmeggrade-core/src/id/name.rs
+++ b/crates/nutmeggrade-core/src/id/name.rs
@@ -12,23 +12,23 @@
 
 /// Error for a text that is not a valid id.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadName {
+pub struct ParseIdError {
     text: String,
 }
 
-impl fmt::Display for BadName {
+impl fmt::Display for ParseIdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "id {:?} must be 1 to {MAX_ID_BYTES} of a-z A-Z 0-9 . _ -", self.text)
     }
 }
 
-impl std::error::Error for BadName {}
+impl std::error::Error for ParseIdError {}
 
-fn validate(text: &str) -> Result<(), BadName> {
+fn validate(text: &str) -> Result<(), ParseIdError> {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
     if text.is_empty() || text.len() > MAX_ID_BYTES || !text.bytes().all(is_allowed) {
         let text = text.chars().take(MAX_ID_BYTES).collect();
-        return Err(BadName { text });
+        return Err(ParseIdError { text });
     }
     Ok(())
 }
@@ -42,7 +42,7 @@
 
         impl $name {
             /// Creates an id, or returns an error if the text is not valid.
-            pub fn new(text: &str) -> Result<Self, BadName> {
+            pub fn new(text: &str) -> Result<Self, ParseIdError> {
                 validate(text)?;
                 Ok(Self(text.to_owned()))
             }
@@ -60,9 +60,9 @@
         }
 
         impl TryFrom<String> for $name {
-            type Error = BadName;
+            type Error = ParseIdError;
 
-            fn try_from(text: String) -> Result<Self, BadName> {
+            fn try_from(text: String) -> Result<Self, ParseIdError> {
                 validate(&text)?;
                 Ok(Self(text))
             }
--- a/crates/nutmeggrade-core/src/order.rs
+++ b/crates/nutmeggrade-core/src/order.rs
@@ -6,8 +6,8 @@
 mod order_status;
 mod weight_slot;
 
-pub use desired_state::{Desired, ORDER_PREFIX};
+pub use desired_state::{DesiredState, ORDER_PREFIX};
 pub use engine_order::{EngineState, FencedOrder, ORDERS_PATH, Order, Role};
-pub use load::{BadLoad, Load};
-pub use order_status::{EFFECT_PREFIX, Effect, Progress};
+pub use load::{Load, ParseModelRefError};
+pub use order_status::{ORDER_STATUS_PREFIX, OrderStatus, Progress};
 pub use weight_slot::{WEIGHT_PREFIX, WeightSlot};
--- a/crates/nutmeggrade-core/src/order/desired_state.rs
+++ b/crates/nutmeggrade-core/src/order/desired_state.rs
@@ -16,7 +16,7 @@
 /// with conflicting orders for one engine can't overwrite each other unnoticed: the platform
 /// accepts one, and the other operator is shown whose order came first.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Desired {
+pub struct DesiredState {
     /// Number of orders to this engine, from 1.
     pub version: u64,
     /// Id of the order; identifies the writer when the response to a write was lost.
@@ -35,7 +35,7 @@
     pub role: Option<Role>,
 }
 
-impl Desired {
+impl DesiredState {
     /// Creates the version that follows `previous`, or the first version if there is none.
     pub fn new(
         previous: Option<&Self>,
--- a/crates/nutmeggrade-core/src/order/load.rs
+++ b/crates/nutmeggrade-core/src/order/load.rs
@@ -4,22 +4,22 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::id::{AdapterId, BadName, ModelId, VersionId};
+use crate::id::{AdapterId, ModelId, ParseIdError, VersionId};
 
 /// Error for a text that is not of the form `MODEL[@VERSION][+ADAPTER]`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadLoad {
+pub struct ParseModelRefError {
     text: String,
-    source: BadName,
+    source: ParseIdError,
 }
 
-impl fmt::Display for BadLoad {
+impl fmt::Display for ParseModelRefError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?} is not MODEL[@VERSION][+ADAPTER]: {}", self.text, self.source)
     }
 }
 
-impl std::error::Error for BadLoad {}
+impl std::error::Error for ParseModelRefError {}
 
 /// A model, a version of it, or an adapter for it; written as `MODEL[@VERSION][+ADAPTER]`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -35,8 +35,8 @@
 
 impl Load {
     /// Parses `MODEL[@VERSION][+ADAPTER]`.
-    pub fn parse(text: &str) -> Result<Self, BadLoad> {
-        let to_error = |source| BadLoad { text: text.to_owned(), source };
+    pub fn parse(text: &str) -> Result<Self, ParseModelRefError> {
+        let to_error = |source| ParseModelRefError { text: text.to_owned(), source };
         let (rest, adapter) = match text.split_once('+') {
             Some((rest, name)) => (rest, Some(AdapterId::new(name).map_err(to_error)?)),
             None => (text, None),
@@ -64,9 +64,9 @@
 }
 
 impl TryFrom<String> for Load {
-    type Error = BadLoad;
+    type Error = ParseModelRefError;
 
-    fn try_from(text: String) -> Result<Self, BadLoad> {
+    fn try_from(text: String) -> Result<Self, ParseModelRefError> {
         Self::parse(&text)
     }
 }
--- a/crates/nutmeggrade-core/src/order/order_status.rs
+++ b/crates/nutmeggrade-core/src/order/order_status.rs
@@ -5,7 +5,7 @@
 use crate::id::{EndpointId, InstanceId};
 
 /// Key prefix of order results in the platform's object store, one object per engine.
-pub const EFFECT_PREFIX: &str = "effects/";
+pub const ORDER_STATUS_PREFIX: &str = "effects/";
 
 /// Progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 
 /// Result of the latest orders to one engine, as read back by its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Effect {
+pub struct OrderStatus {
     /// Version of the desired state.
     pub version: u64,
     /// The owner's epoch, which is the fencing token of its orders.
@@ -36,9 +36,9 @@
     pub detail: String,
 }
 
-impl Effect {
+impl OrderStatus {
     /// Returns the key of an engine's object.
     pub fn key(endpoint: &EndpointId) -> String {
-        format!("{EFFECT_PREFIX}{endpoint}")
+        format!("{ORDER_STATUS_PREFIX}{endpoint}")
     }
 }
--- a/crates/nutmeggrade-core/src/peer.rs
+++ b/crates/nutmeggrade-core/src/peer.rs
@@ -10,10 +10,11 @@
 
 pub use assignment::{ASSIGNMENT_KEY, Assignment};
 pub use beacon::{Beacon, Echo, Entry};
-pub use envelope::{BadEnvelope, MAX_MESSAGE, WIRE_VERSION, open, seal};
-pub use fleet_beacon::{Contacts, FleetBeacon, Introduction, Revisions, Seat};
+pub use envelope::{EnvelopeError, MAX_FRAME_BYTES, WIRE_VERSION, open, seal};
+pub use fleet_beacon::{Contacts, FleetBeacon, InstanceAddresses, Introduction, Revisions};
 pub use fleet_message::{
-    Crashed, EndpointNews, Fingerprint, FleetMessage, FleetNews, FleetOutcomes, FleetPlaced, Share,
+    Crashed, DomainPart, EndpointUpdate, EndpointUpdateBatch, Fingerprint, FleetMessage,
+    FleetOutcomes, InstanceLoad,
 };
 pub use suspect::{Crash, PromptHash, Suspect};
-pub use sync::{SYNC_PATH, SyncReply, SyncRequest, Topic};
+pub use sync::{SYNC_PATH, SyncReply, SyncRequest, SyncTopic};
--- a/crates/nutmeggrade-core/src/peer/beacon.rs
+++ b/crates/nutmeggrade-core/src/peer/beacon.rs
@@ -94,7 +94,7 @@
 impl Beacon {
     /// Returns whether the heartbeat with this sequence number carries the sender's addresses: the
     /// first does, and every eighth after it for peers that missed it.
-    pub const fn introduces(sequence: u64) -> bool {
+    pub const fn includes_introduction(sequence: u64) -> bool {
         sequence % INTRODUCTION_INTERVAL == 1
     }
 }
--- a/crates/nutmeggrade-core/src/peer/envelope.rs
+++ b/crates/nutmeggrade-core/src/peer/envelope.rs
@@ -12,14 +12,14 @@
 /// Version of the frame format; messages of other versions are dropped.
 pub const WIRE_VERSION: u8 = 1;
 /// Maximum size of a frame, in bytes.
-pub const MAX_MESSAGE: usize = 1 << 20;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 const TAG_BYTES: usize = 32;
 const HEADER_BYTES: usize = 1 + TAG_BYTES;
 
 /// Error for a frame that is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BadEnvelope {
-    /// The frame is shorter than its header or larger than [`MAX_MESSAGE`].
+pub enum EnvelopeError {
+    /// The frame is shorter than its header or larger than [`MAX_FRAME_BYTES`].
     Size,
     /// The frame has an unsupported version.
     Version,
@@ -29,7 +29,7 @@
     Body,
 }
 
-impl fmt::Display for BadEnvelope {
+impl fmt::Display for EnvelopeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
             Self::Size => "size",
@@ -41,12 +41,12 @@
     }
 }
 
-impl std::error::Error for BadEnvelope {}
+impl std::error::Error for EnvelopeError {}
 
 /// Encodes a message and adds its authentication tag.
-pub fn seal<T: Serialize>(message: &T, key: &[u8; 32]) -> Result<Vec<u8>, BadEnvelope> {
+pub fn seal<T: Serialize>(message: &T, key: &[u8; 32]) -> Result<Vec<u8>, EnvelopeError> {
     let Ok(body) = rmp_serde::to_vec_named(message) else {
-        return Err(BadEnvelope::Body);
+        return Err(EnvelopeError::Body);
     };
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
     frame.push(WIRE_VERSION);
@@ -56,17 +56,17 @@
 }
 
 /// Verifies and decodes a message; the tag is verified before any of the body is parsed.
-pub fn open<T: DeserializeOwned>(frame: &[u8], key: &[u8; 32]) -> Result<T, BadEnvelope> {
-    if frame.len() < HEADER_BYTES || frame.len() > MAX_MESSAGE {
-        return Err(BadEnvelope::Size);
+pub fn open<T: DeserializeOwned>(frame: &[u8], key: &[u8; 32]) -> Result<T, EnvelopeError> {
+    if frame.len() < HEADER_BYTES || frame.len() > MAX_FRAME_BYTES {
+        return Err(EnvelopeError::Size);
     }
     if frame[0] != WIRE_VERSION {
-        return Err(BadEnvelope::Version);
+        return Err(EnvelopeError::Version);
     }
     let body = &frame[HEADER_BYTES..];
-    let tag: [u8; TAG_BYTES] = frame[1..HEADER_BYTES].try_into().or(Err(BadEnvelope::Size))?;
+    let tag: [u8; TAG_BYTES] = frame[1..HEADER_BYTES].try_into().or(Err(EnvelopeError::Size))?;
     if blake3::keyed_hash(key, body) != tag {
-        return Err(BadEnvelope::Tag);
+        return Err(EnvelopeError::Tag);
     }
-    rmp_serde::from_slice(body).or(Err(BadEnvelope::Body))
+    rmp_serde::from_slice(body).or(Err(EnvelopeError::Body))
 }
--- a/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
@@ -11,7 +11,7 @@
 
 /// Failure domain and addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
+pub struct InstanceAddresses {
     /// The instance's failure domain.
     pub domain: DomainId,
     /// Address that clients connect to.
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Introduction {
     /// The sender's addresses.
-    pub seat: Seat,
+    pub seat: InstanceAddresses,
     /// Heartbeat addresses of a few other instances that the sender heard from recently.
     pub others: Contacts,
 }
@@ -80,7 +80,7 @@
     pub sequence: u64,
     /// Addresses of the sender and others; sent occasionally, as peers usually have them.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
-    pub intro: Option<Introduction>,
+    pub introduction: Option<Introduction>,
     /// Whether the sender accepts no new clients.
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
@@ -102,7 +102,7 @@
     /// Returns whether the heartbeat with this sequence number carries an introduction: those of
     /// the first seconds do, and some later ones for peers that missed it. `draw` is a random
     /// number between 0 and 1.
-    pub fn introduces(sequence: u64, draw: f64) -> bool {
+    pub fn includes_introduction(sequence: u64, draw: f64) -> bool {
         sequence <= INITIAL_INTRODUCTIONS || draw < INTRODUCTION_PROBABILITY
     }
 }
--- a/crates/nutmeggrade-core/src/peer/fleet_message.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_message.rs
@@ -11,7 +11,7 @@
 
 /// An endpoint's new entry, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointNews {
+pub struct EndpointUpdate {
     /// The endpoint.
     pub id: EndpointId,
     /// The endpoint's entry; absent if it was removed or can't be parsed.
@@ -20,7 +20,7 @@
 
 /// All changes to endpoints between two revisions of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FleetNews {
+pub struct EndpointUpdateBatch {
     /// Revision that a receiver must have reached for the changes to be complete.
     pub since: u64,
     /// Revision after the changes.
@@ -28,12 +28,12 @@
     /// Whether removed entries may merely have expired during a store outage.
     pub lapses: bool,
     /// The changes, in order of revision.
-    pub changes: Vec<EndpointNews>,
+    pub changes: Vec<EndpointUpdate>,
 }
 
 /// The sender's current load at some endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FleetPlaced {
+pub struct InstanceLoad {
     /// The sender.
     pub instance: InstanceId,
     /// The sender's total load at each of these endpoints; zeros if it has none.
@@ -69,12 +69,12 @@
     /// A heartbeat.
     Beacon(FleetBeacon),
     /// Changes of endpoints.
-    News(FleetNews),
+    News(EndpointUpdateBatch),
     /// Load that instances have just placed; forwarded in batches with that of other instances.
-    Placed(Vec<FleetPlaced>),
+    Placed(Vec<InstanceLoad>),
     /// Load of a sender that starts or finishes copying a generation; forwarded immediately,
     /// because instances use it to take turns in copying.
-    Moving(FleetPlaced),
+    Moving(InstanceLoad),
     /// An endpoint died while running a request of the sender.
     Crashed(Crashed),
     /// Endpoints that announced to the sender that they are shutting down.
@@ -90,12 +90,12 @@
     /// Heartbeat addresses of other instances, for a newly started instance.
     Met(Contacts),
     /// A message that the receiver forwards to a part of its own failure domain.
-    HandOn(Box<Self>, Share),
+    HandOn(Box<Self>, DomainPart),
 }
 
 /// One of several equal parts of a failure domain's instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Share {
+pub struct DomainPart {
     /// Index of the part, from 0.
     pub part: u32,
     /// Number of parts.
--- a/crates/nutmeggrade-core/src/peer/sync.rs
+++ b/crates/nutmeggrade-core/src/peer/sync.rs
@@ -12,7 +12,7 @@
 /// The requested state; separate topics keep each reply below the maximum message size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Topic {
+pub enum SyncTopic {
     /// The configuration in force.
     Config,
     /// Instances and endpoints.
@@ -25,7 +25,7 @@
     /// The requesting instance; the peer adds it to its members.
     pub entry: Entry,
     /// The requested state.
-    pub topic: Topic,
+    pub topic: SyncTopic,
 }
 
 /// A reply, authenticated with the peers' key. Replaying an old reply is harmless: a lower version
--- a/crates/nutmeggrade-core/src/rollout/tally.rs
+++ b/crates/nutmeggrade-core/src/rollout/tally.rs
@@ -70,7 +70,7 @@
 
     /// Returns the new version's counts since an earlier state, with the old version's totals.
     #[must_use]
-    pub fn with_new_since(&self, earlier: &Self) -> Self {
+    pub fn with_new_version_since(&self, earlier: &Self) -> Self {
         let mut difference = self.since(earlier);
         for (route, outcomes) in &mut difference.routes {
             outcomes.old = self.routes.get(route).map(|all| all.old).unwrap_or_default();
--- a/crates/nutmeggrade-core/src/routing/call_limits.rs
+++ b/crates/nutmeggrade-core/src/routing/call_limits.rs
@@ -10,9 +10,9 @@
     /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
     /// Maximum time from the first byte of a request head to its end.
-    pub head_wait: Duration,
+    pub head_timeout: Duration,
     /// Maximum time for which a connection may stay idle.
-    pub idle_wait: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallLimits {
@@ -21,8 +21,8 @@
         Self {
             head_bytes: 16 << 10,
             body_bytes: 1 << 20,
-            head_wait: Duration::from_secs(3),
-            idle_wait: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/nutmeggrade-core/src/routing/engine_spec.rs
+++ b/crates/nutmeggrade-core/src/routing/engine_spec.rs
@@ -20,5 +20,5 @@
     /// Number of tokens per event of a stream.
     pub stride: u32,
     /// Time for which an unused copy is kept.
-    pub copy_keep: Duration,
+    pub copy_retention: Duration,
 }
--- a/crates/nutmeggrade-core/src/settings.rs
+++ b/crates/nutmeggrade-core/src/settings.rs
@@ -6,4 +6,4 @@
 
 pub use origin::Origin;
 pub use spec::{Kind, Spec, VARIABLE_PREFIX};
-pub use values::{Mistake, Values};
+pub use values::{SettingError, Values};
--- a/crates/nutmeggrade-core/src/settings/values.rs
+++ b/crates/nutmeggrade-core/src/settings/values.rs
@@ -12,14 +12,14 @@
 
 /// An invalid setting or argument, with its result code.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistake {
+pub struct SettingError {
     /// The numbered result code.
     pub code: Code,
     /// Description of the problem, with flag and variable.
     pub detail: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for SettingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.code, self.detail)
     }
@@ -47,18 +47,18 @@
         args: &[String],
         variable: impl Fn(&str) -> Option<String>,
         file: impl Fn(&str) -> Result<String, String>,
-    ) -> Result<Self, Vec<Mistake>> {
+    ) -> Result<Self, Vec<SettingError>> {
         let mut mistakes = Vec::new();
         let matches = match Self::options(specs).parse(args) {
             Ok(m) => m,
             Err(e) => {
                 let detail = e.to_string();
-                return Err(vec![Mistake { code: Code::UnknownSetting, detail }]);
+                return Err(vec![SettingError { code: Code::UnknownSetting, detail }]);
             }
         };
         for argument in &matches.free {
             let detail = format!("unexpected argument {argument:?}");
-            mistakes.push(Mistake { code: Code::UnknownSetting, detail });
+            mistakes.push(SettingError { code: Code::UnknownSetting, detail });
         }
         let mut values = BTreeMap::new();
         for spec in specs {
@@ -153,7 +153,7 @@
     flag: Option<String>,
     variable: &impl Fn(&str) -> Option<String>,
     file: &impl Fn(&str) -> Result<String, String>,
-) -> Result<Option<Value>, Mistake> {
+) -> Result<Option<Value>, SettingError> {
     let name = spec.variable();
     if let Some(text) = flag {
         return Ok(Some(Value { spec: *spec, text, origin: Origin::Flag }));
@@ -169,7 +169,9 @@
                 let text = text.trim().to_owned();
                 Ok(Some(Value { spec: *spec, text, origin: Origin::File }))
             }
-            Err(e) => Err(Mistake { code: Code::BadSetting, detail: format!("{name}_FILE: {e}") }),
+            Err(e) => {
+                Err(SettingError { code: Code::BadSetting, detail: format!("{name}_FILE: {e}") })
+            }
         };
     }
     if let Some(text) = spec.default {
@@ -182,14 +184,14 @@
         Kind::Secret => format!("{name} or {name}_FILE must be set"),
         _ => format!("--{} or {name} must be set", spec.flag),
     };
-    Err(Mistake { code: Code::SettingMissing, detail })
+    Err(SettingError { code: Code::SettingMissing, detail })
 }
 
-fn validate(value: Option<&Value>, spec: &Spec) -> Result<(), Mistake> {
+fn validate(value: Option<&Value>, spec: &Spec) -> Result<(), SettingError> {
     let Some(value) = value else { return Ok(()) };
     let text = value.text.as_str();
     let setting = format!("--{} ({})", spec.flag, spec.variable());
-    let invalid = |detail: String| Err(Mistake { code: Code::BadSetting, detail });
+    let invalid = |detail: String| Err(SettingError { code: Code::BadSetting, detail });
     match spec.kind {
         Kind::Name => match InstanceId::new(text) {
             Ok(_) => Ok(()),
@@ -212,7 +214,7 @@
             Ok(n) if (min..=max).contains(&n) => Ok(()),
             Ok(n) => {
                 let detail = format!("{setting}: {n} {unit} is not in {min} to {max}");
-                Err(Mistake { code: Code::SettingRange, detail })
+                Err(SettingError { code: Code::SettingRange, detail })
             }
             Err(_) => invalid(format!("{setting}: {text:?} is not a whole number of {unit}")),
         },
@@ -220,13 +222,13 @@
             Ok(n) if (min as f64..=max as f64).contains(&n) => Ok(()),
             Ok(n) => {
                 let detail = format!("{setting}: {n} {unit} is not in {min} to {max}");
-                Err(Mistake { code: Code::SettingRange, detail })
+                Err(SettingError { code: Code::SettingRange, detail })
             }
             Err(_) => invalid(format!("{setting}: {text:?} is not a number of {unit}")),
         },
         Kind::Secret if text.len() < MIN_SECRET_LEN => {
             let detail = format!("{} is shorter than {MIN_SECRET_LEN} bytes", spec.variable());
-            Err(Mistake { code: Code::SettingRange, detail })
+            Err(SettingError { code: Code::SettingRange, detail })
         }
         Kind::Text | Kind::Secret => Ok(()),
     }
--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -10,7 +10,8 @@
 use std::time::Instant;
 
 use nutmeggrade_core::peer::{
-    Contacts, FleetBeacon, FleetMessage, FleetPlaced, Introduction, Revisions, Seat, open, seal,
+    Contacts, FleetBeacon, FleetMessage, InstanceAddresses, InstanceLoad, Introduction, Revisions,
+    open, seal,
 };
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::Placed;
@@ -35,11 +36,11 @@
     Ok(InstanceId::new(&format!("instance-{number}"))?)
 }
 
-fn seat(number: u32) -> anyhow::Result<Seat> {
+fn seat(number: u32) -> anyhow::Result<InstanceAddresses> {
     let [_, _, high, low] = number.to_be_bytes();
     let at = |port| SocketAddr::from(([10, 0, high, low], port));
     let domain = DomainId::new(&format!("domain-{}", number % DOMAINS))?;
-    Ok(Seat { domain, client: at(80), beacon: at(90), control: at(70) })
+    Ok(InstanceAddresses { domain, client: at(80), beacon: at(90), control: at(70) })
 }
 
 fn placed(number: u32) -> anyhow::Result<BTreeMap<EndpointId, Placed>> {
@@ -49,12 +50,12 @@
 }
 
 fn beacon(number: u32, sequence: u64) -> anyhow::Result<FleetBeacon> {
-    let intro = Introduction { seat: seat(number)?, others: Contacts::new() };
+    let introduction = Introduction { seat: seat(number)?, others: Contacts::new() };
     Ok(FleetBeacon {
         instance: name(number)?,
         incarnation: 1,
         sequence,
-        intro: (sequence == 1).then_some(intro),
+        introduction: (sequence == 1).then_some(introduction),
         leaving: false,
         reads: true,
         revisions: Revisions::default(),
@@ -109,14 +110,14 @@
     fn change(&mut self) -> anyhow::Result<f64> {
         let change = |round| {
             let number = 1 + round % (self.size - 1);
-            let placed = FleetPlaced { instance: name(number)?, placed: placed(number)? };
+            let placed = InstanceLoad { instance: name(number)?, placed: placed(number)? };
             Ok(seal(&FleetMessage::Placed(vec![placed]), &KEY).unwrap_or_default())
         };
         let frames: Vec<Vec<u8>> = (0..ROUNDS).map(change).collect::<anyhow::Result<_>>()?;
         let began = Instant::now();
         for frame in &frames {
             if let Ok(FleetMessage::Placed(all)) = open(frame, &KEY) {
-                for FleetPlaced { instance, placed } in all {
+                for InstanceLoad { instance, placed } in all {
                     self.book.change_peer(&instance, &placed);
                 }
             }
--- a/crates/nutmeggrade-fakes/src/engine/job.rs
+++ b/crates/nutmeggrade-fakes/src/engine/job.rs
@@ -1,6 +1,6 @@
 //! One generation inside the engine.
 
-use nutmeggrade_core::engine::Generate;
+use nutmeggrade_core::engine::GenerateRequest;
 use nutmeggrade_core::id::GenerationId;
 
 /// One generation as the engine gets it.
@@ -25,7 +25,7 @@
 impl Job {
     /// Reads the hidden output length, prefix and fault out of the prompt: `len=N`, `prefix=N`,
     /// `crash=now`.
-    pub fn read(order: &Generate) -> Self {
+    pub fn read(order: &GenerateRequest) -> Self {
         let words = order.prompt.split_whitespace();
         let mut output = 20 + order.prompt.len() as u64 % 80;
         let mut poison = false;
--- a/crates/nutmeggrade-fakes/src/engine/server.rs
+++ b/crates/nutmeggrade-fakes/src/engine/server.rs
@@ -6,7 +6,7 @@
 
 use http::StatusCode;
 use nutmeggrade_core::engine::{
-    CACHE_EVENTS_PATH, GENERATIONS_PATH, Generate, LOAD_PATH, LoadReport, Standing,
+    CACHE_EVENTS_PATH, GENERATIONS_PATH, GenerateRequest, LOAD_PATH, LoadReport, Standing,
 };
 use nutmeggrade_core::id::GenerationId;
 use nutmeggrade_core::order::{FencedOrder, ORDERS_PATH};
@@ -64,7 +64,7 @@
 async fn generate(mut req: Request) -> Result<Response> {
     let app = app(&req)?;
     let body = req.bytes_with(None, MAX_BODY).await?;
-    let Ok(order) = serde_json::from_slice::<Generate>(&body) else {
+    let Ok(order) = serde_json::from_slice::<GenerateRequest>(&body) else {
         return Ok(status(StatusCode::BAD_REQUEST));
     };
     let hangs = {
--- a/crates/nutmeggrade-fakes/src/engine/state.rs
+++ b/crates/nutmeggrade-fakes/src/engine/state.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use nutmeggrade_core::engine::{Finish, Generate, LoadReport, Token};
+use nutmeggrade_core::engine::{Finish, GenerateRequest, LoadReport, Token};
 use nutmeggrade_core::id::GenerationId;
 use nutmeggrade_core::moment::Moment;
 use tokio::sync::Notify;
@@ -71,7 +71,7 @@
     }
 
     /// Takes a generation in, unless the engine refuses it.
-    pub fn submit(&self, order: &Generate) -> Result<(), Refusal> {
+    pub fn submit(&self, order: &GenerateRequest) -> Result<(), Refusal> {
         let mut inner = self.lock();
         if inner.refuses() {
             return Err(Refusal::Down);
--- a/crates/nutmeggrade-platform/src/call_counters.rs
+++ b/crates/nutmeggrade-platform/src/call_counters.rs
@@ -8,13 +8,13 @@
 
 /// Counters of calls to the platform by kind, and of their bytes.
 #[derive(Debug, Default)]
-pub struct Budget {
+pub struct CallCounters {
     calls: Mutex<BTreeMap<&'static str, u64>>,
     sent: AtomicU64,
     received: AtomicU64,
 }
 
-impl Budget {
+impl CallCounters {
     /// Creates counters at zero.
     pub fn new() -> Self {
         Self::default()
--- a/crates/nutmeggrade-platform/src/config_retention.rs
+++ b/crates/nutmeggrade-platform/src/config_retention.rs
@@ -5,15 +5,18 @@
 use crate::{Platform, PlatformError};
 
 /// Number of versions kept with their presets, including the newest.
-pub const WHOLE_VERSIONS: u64 = 64;
+pub const VERSIONS_WITH_PRESETS: u64 = 64;
 
 /// Removes the presets from the version that just fell out of the newest ones.
 ///
 /// Every version contains all presets, which would fill the platform's store at thousands of
 /// changes a day. The audit trail remains: the change, its author, time and reason. Old versions
 /// are never put in force again, since only a higher version is ever applied. Failure is harmless.
-pub async fn thin_out<P: Platform>(platform: &P, newest: u64) -> Result<(), PlatformError> {
-    let old_version = newest.saturating_sub(WHOLE_VERSIONS);
+pub async fn strip_old_presets<P: Platform>(
+    platform: &P,
+    newest: u64,
+) -> Result<(), PlatformError> {
+    let old_version = newest.saturating_sub(VERSIONS_WITH_PRESETS);
     if old_version == 0 {
         return Ok(());
     }
--- a/crates/nutmeggrade-platform/src/http_platform.rs
+++ b/crates/nutmeggrade-platform/src/http_platform.rs
@@ -17,20 +17,20 @@
 
 use crate::call::{body_bytes, call};
 use crate::traffic::head_size;
-use crate::{Budget, Platform, PlatformError, Traffic};
+use crate::{CallCounters, Platform, PlatformError, Traffic};
 
 /// Maximum size of a response, in bytes; lists contain values of up to a megabyte each.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Maximum number of changes that one watch returns, earliest first.
-pub const WATCH_LIMIT: usize = 32;
+pub const MAX_WATCH_CHANGES: usize = 32;
 
 /// HTTP client of the platform's object API.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     address: SocketAddr,
     call_timeout: Duration,
-    counters: Arc<Budget>,
+    counters: Arc<CallCounters>,
     list: Arc<Mutex<Option<TaggedList>>>,
 }
 
@@ -45,7 +45,7 @@
     /// Creates a client with a timeout for each call.
     pub fn new(address: SocketAddr, call_timeout: Duration) -> Self {
         let list = Arc::new(Mutex::new(None));
-        Self { address, call_timeout, counters: Arc::new(Budget::new()), list }
+        Self { address, call_timeout, counters: Arc::new(CallCounters::new()), list }
     }
 
     async fn send(
@@ -207,7 +207,7 @@
     ) -> Result<Changes, PlatformError> {
         let wait_ms = wait.as_millis();
         let path = format!(
-            "/watch?prefix={prefix}&since={revision}&wait_ms={wait_ms}&limit={WATCH_LIMIT}"
+            "/watch?prefix={prefix}&since={revision}&wait_ms={wait_ms}&limit={MAX_WATCH_CHANGES}"
         );
         self.get_existing("watch", &path, wait + self.call_timeout).await
     }
--- a/crates/nutmeggrade-platform/src/lib.rs
+++ b/crates/nutmeggrade-platform/src/lib.rs
@@ -14,10 +14,12 @@
 mod traffic;
 
 pub use call::{CallError, body_bytes, call, call_if, json_body};
-pub use call_counters::Budget;
-pub use config_retention::{WHOLE_VERSIONS, thin_out};
-pub use http_platform::{HttpPlatform, WATCH_LIMIT};
-pub use newest_config::{CONFIG_HEAD, ConfigHead, NewestConfig, newest_config, raise_head};
+pub use call_counters::CallCounters;
+pub use config_retention::{VERSIONS_WITH_PRESETS, strip_old_presets};
+pub use http_platform::{HttpPlatform, MAX_WATCH_CHANGES};
+pub use newest_config::{
+    CONFIG_HEAD, ConfigHead, NewestConfig, advance_config_head, newest_config,
+};
 pub use platform::Platform;
 pub use platform_error::PlatformError;
 pub use traffic::Traffic;
--- a/crates/nutmeggrade-platform/src/newest_config.rs
+++ b/crates/nutmeggrade-platform/src/newest_config.rs
@@ -54,7 +54,10 @@
 }
 
 /// Raises the hint after a version was accepted. A failure is harmless.
-pub async fn raise_head<P: Platform>(platform: &P, version: u64) -> Result<(), PlatformError> {
+pub async fn advance_config_head<P: Platform>(
+    platform: &P,
+    version: u64,
+) -> Result<(), PlatformError> {
     let value = serde_json::to_value(ConfigHead { version })
         .map_err(|e| PlatformError::Refused(e.into()))?;
     match read_head(platform).await? {
--- a/crates/nutmeggrade-policy/src/rollout/judge.rs
+++ b/crates/nutmeggrade-policy/src/rollout/judge.rs
@@ -109,7 +109,7 @@
             }
         }
         match &self.switched {
-            Some((_, before)) => compare(&facts.tally.with_new_since(before)),
+            Some((_, before)) => compare(&facts.tally.with_new_version_since(before)),
             None => whole,
         }
     }
--- a/crates/nutmeggrade-relay/src/front/connection.rs
+++ b/crates/nutmeggrade-relay/src/front/connection.rs
@@ -37,7 +37,7 @@
     let mut phases = node.phases();
     let mut is_closing = false;
     loop {
-        let look = node.now().after(limits.head_wait.min(limits.idle_wait));
+        let look = node.now().after(limits.head_timeout.min(limits.idle_timeout));
         tokio::select! {
             ended = connection.as_mut() => {
                 if let Err(error) = ended {
--- a/crates/nutmeggrade-relay/src/front/tap_state.rs
+++ b/crates/nutmeggrade-relay/src/front/tap_state.rs
@@ -57,8 +57,8 @@
         let waited = |since: Moment, most: Duration| now.since(since) >= most;
         match (self.busy, self.head_since) {
             (true, _) => false,
-            (false, Some(since)) => waited(since, limits.head_wait),
-            (false, None) => waited(self.idle_since, limits.idle_wait),
+            (false, Some(since)) => waited(since, limits.head_timeout),
+            (false, None) => waited(self.idle_since, limits.idle_timeout),
         }
     }
 }
--- a/crates/nutmeggrade-relay/src/instance.rs
+++ b/crates/nutmeggrade-relay/src/instance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use nutmeggrade_core::peer::Seat;
+use nutmeggrade_core::peer::InstanceAddresses;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
@@ -74,7 +74,7 @@
             beacon: peers.address()?,
             metrics: admin.metrics()?,
         };
-        let seat = Seat {
+        let seat = InstanceAddresses {
             domain: settings.domain.clone(),
             client: addresses.client,
             beacon: addresses.beacon,
--- a/crates/nutmeggrade-relay/src/node.rs
+++ b/crates/nutmeggrade-relay/src/node.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use nutmeggrade_core::peer::{FleetMessage, Revisions, Seat};
+use nutmeggrade_core::peer::{FleetMessage, InstanceAddresses, Revisions};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::RouteMap;
 use nutmeggrade_policy::Ticket;
@@ -59,7 +59,7 @@
     /// Log lines on their way out.
     pub logs: LogBuffer,
     /// Where this instance is reached.
-    pub seat: Seat,
+    pub seat: InstanceAddresses,
     /// Distinguishes two lives of an instance with the same name.
     pub incarnation: u64,
     /// Wakes whoever tells the peers what is placed.
@@ -87,7 +87,7 @@
     /// Makes an instance that knows nothing yet.
     pub fn new(
         settings: &Settings,
-        seat: &Seat,
+        seat: &InstanceAddresses,
         logs: &LogBuffer,
         incarnation: u64,
     ) -> anyhow::Result<Self> {
--- a/crates/nutmeggrade-relay/src/node/endpoints.rs
+++ b/crates/nutmeggrade-relay/src/node/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use nutmeggrade_core::peer::{FleetMessage, FleetNews, FleetOutcomes};
+use nutmeggrade_core::peer::{EndpointUpdateBatch, FleetMessage, FleetOutcomes};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
 use nutmeggrade_policy::dispatch::Health;
@@ -91,7 +91,7 @@
 
     /// Hands changes of endpoints on to the peers, if this instance reads for all and the changes fit
     /// into a datagram. Peers that don't get them notice by the next heartbeat.
-    pub fn hand_on(&self, news: FleetNews) {
+    pub fn hand_on(&self, news: EndpointUpdateBatch) {
         let is_reader = lock(&self.tables).fleet.is_reader(self.now());
         if is_reader && news.changes.len() <= MOST_CHANGES {
             self.tell(FleetMessage::News(news));
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -12,7 +12,7 @@
 
 use anyhow::Context;
 use nutmeggrade_core::peer::{
-    FleetBeacon, FleetMessage, FleetOutcomes, FleetPlaced, Introduction, Share, open, seal,
+    DomainPart, FleetBeacon, FleetMessage, FleetOutcomes, InstanceLoad, Introduction, open, seal,
 };
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::fleet_view::{Audience, Forwarders, PERIOD};
@@ -129,7 +129,7 @@
                 continue;
             }
             let instance = node.settings().instance.clone();
-            let placed = FleetPlaced { instance, placed: changes.placed };
+            let placed = InstanceLoad { instance, placed: changes.placed };
             let message = if changes.is_urgent {
                 FleetMessage::Moving(placed)
             } else {
@@ -214,7 +214,7 @@
     }
 
     /// Queues a message that is forwarded together with others; says whether it did.
-    fn queue_forward(&self, share: Share, message: &FleetMessage) -> bool {
+    fn queue_forward(&self, share: DomainPart, message: &FleetMessage) -> bool {
         match message {
             FleetMessage::Placed(placed) => {
                 if lock(&self.queue).add(share, placed) {
@@ -234,13 +234,13 @@
         let now = node.now();
         let tables = lock(&node.tables);
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed);
-        let intro = FleetBeacon::introduces(sequence, rand::random::<f64>())
+        let introduction = FleetBeacon::includes_introduction(sequence, rand::random::<f64>())
             .then(|| Introduction { seat: node.seat.clone(), others: tables.fleet.others(now) });
         FleetBeacon {
             instance: node.settings().instance.clone(),
             incarnation: node.incarnation,
             sequence,
-            intro,
+            introduction,
             leaving: node.phase() > Phase::Serving,
             reads: node.follow.is_answered(),
             revisions: node.revisions(),
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -1,6 +1,6 @@
 //! Takes over what peers told.
 
-use nutmeggrade_core::peer::{FleetBeacon, FleetMessage, FleetNews, FleetPlaced};
+use nutmeggrade_core::peer::{EndpointUpdateBatch, FleetBeacon, FleetMessage, InstanceLoad};
 use nutmeggrade_wire::kinds::Kind;
 
 use crate::fleet_sync::revision;
@@ -32,11 +32,11 @@
     }
 }
 
-fn take_placed(node: &Node, all: &[FleetPlaced]) {
+fn take_placed(node: &Node, all: &[InstanceLoad]) {
     let own = &node.settings().instance;
     let mut tables = lock(&node.tables);
     // What this instance told goes round its whole failure domain.
-    for FleetPlaced { instance, placed } in all.iter().filter(|p| p.instance != *own) {
+    for InstanceLoad { instance, placed } in all.iter().filter(|p| p.instance != *own) {
         tables.dispatcher.book.change_peer(instance, placed);
     }
 }
@@ -64,7 +64,7 @@
 /// Takes changes of endpoints that a peer has read.
 ///
 /// Whoever has not read up to their beginning would miss what was before, so it asks the store.
-fn take_news(node: &Node, news: &FleetNews) {
+fn take_news(node: &Node, news: &EndpointUpdateBatch) {
     let track = node.follow.track(Kind::Endpoints);
     let read = track.read();
     if read >= news.revision {
--- a/crates/nutmeggrade-relay/src/settings.rs
+++ b/crates/nutmeggrade-relay/src/settings.rs
@@ -8,7 +8,7 @@
 
 use anyhow::Context;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::{Kind, Mistake, Spec, Values};
+use nutmeggrade_core::settings::{Kind, SettingError, Spec, Values};
 use nutmeggrade_policy::fleet::Allowance;
 use nutmeggrade_policy::rollout::ExposureBound;
 
@@ -131,7 +131,7 @@
     /// # Errors
     ///
     /// Fails with each mistake, its code, and the line of the file if it is there.
-    pub fn load(args: &[String], path: Option<&PathBuf>) -> Result<Self, Vec<Mistake>> {
+    pub fn load(args: &[String], path: Option<&PathBuf>) -> Result<Self, Vec<SettingError>> {
         let file = match path {
             Some(path) => SettingsFile::load(path, SPECS)?,
             None => SettingsFile::default(),
@@ -142,7 +142,7 @@
             mistakes.into_iter().map(|m| file.locate(m, SPECS)).collect::<Vec<_>>()
         })?;
         Self::new(values)
-            .map_err(|e| vec![Mistake { code: Code::BadSetting, detail: format!("{e:#}") }])
+            .map_err(|e| vec![SettingError { code: Code::BadSetting, detail: format!("{e:#}") }])
     }
 
     /// Returns the help text with every setting.
--- a/crates/nutmeggrade-relay/src/settings/file.rs
+++ b/crates/nutmeggrade-relay/src/settings/file.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::{Mistake, Spec};
+use nutmeggrade_core::settings::{SettingError, Spec};
 
 #[derive(Debug, Clone)]
 struct Line {
@@ -22,10 +22,10 @@
 impl SettingsFile {
     /// Reads a file and refuses variables that are not those of a setting: a mistyped one would
     /// leave its setting at the default without a word.
-    pub fn load(path: &Path, specs: &[Spec]) -> Result<Self, Vec<Mistake>> {
+    pub fn load(path: &Path, specs: &[Spec]) -> Result<Self, Vec<SettingError>> {
         let text = std::fs::read_to_string(path).map_err(|e| {
             let detail = format!("{}: {e}", path.display());
-            vec![Mistake { code: Code::BadSetting, detail }]
+            vec![SettingError { code: Code::BadSetting, detail }]
         })?;
         let mut file = Self { path: path.to_owned(), lines: BTreeMap::new() };
         let mut mistakes = Vec::new();
@@ -42,16 +42,16 @@
         if mistakes.is_empty() { Ok(file) } else { Err(mistakes) }
     }
 
-    fn take(&mut self, line: &str, number: usize, specs: &[Spec]) -> Result<(), Mistake> {
+    fn take(&mut self, line: &str, number: usize, specs: &[Spec]) -> Result<(), SettingError> {
         let place = format!("{}:{number}", self.path.display());
         let Some((name, value)) = line.split_once('=') else {
             let detail = format!("{place}: no = in {line:?}");
-            return Err(Mistake { code: Code::BadSetting, detail });
+            return Err(SettingError { code: Code::BadSetting, detail });
         };
         let name = name.trim();
         if !specs.iter().any(|s| s.variable() == name) {
             let detail = format!("{place}: {name} is not a variable of this program");
-            return Err(Mistake { code: Code::UnknownSetting, detail });
+            return Err(SettingError { code: Code::UnknownSetting, detail });
         }
         let value = value.trim().to_owned();
         self.lines.insert(name.to_owned(), Line { number, value });
@@ -64,7 +64,7 @@
     }
 
     /// Adds the line of the file to a mistake in a value that came from it.
-    pub fn locate(&self, mut mistake: Mistake, specs: &[Spec]) -> Mistake {
+    pub fn locate(&self, mut mistake: SettingError, specs: &[Spec]) -> SettingError {
         let variables = specs.iter().map(Spec::variable);
         let line = variables
             .filter(|v| mistake.detail.contains(&format!("({v})")))
--- a/crates/nutmeggrade-relay/src/watch/apply.rs
+++ b/crates/nutmeggrade-relay/src/watch/apply.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use bytes::Bytes;
-use nutmeggrade_core::peer::{EndpointNews, FleetNews};
+use nutmeggrade_core::peer::{EndpointUpdate, EndpointUpdateBatch};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::{RolloutNotice, StoredRollout};
 use nutmeggrade_core::routing::EndpointInfo;
@@ -74,13 +74,13 @@
         changes(node, kind, snapshot, 0, after_outage);
         return;
     }
-    let all: Vec<EndpointNews> = snapshot.objects.iter().filter_map(to_news).collect();
+    let all: Vec<EndpointUpdate> = snapshot.objects.iter().filter_map(to_news).collect();
     endpoint_changes(node, &all, after_outage);
 }
 
 /// Takes over changes of endpoints, read here or by a peer. `lapses` says that entries that are gone may
 /// only have lapsed with the store.
-pub fn endpoint_changes(node: &Node, changes: &[EndpointNews], lapses: bool) {
+pub fn endpoint_changes(node: &Node, changes: &[EndpointUpdate], lapses: bool) {
     if lapses {
         node.follow.note_lapses(node.now());
     }
@@ -112,12 +112,12 @@
 }
 
 fn take_endpoints(node: &Node, snapshot: &Snapshot, since: u64, lapses: bool) {
-    let changes: Vec<EndpointNews> = snapshot.objects.iter().filter_map(to_news).collect();
+    let changes: Vec<EndpointUpdate> = snapshot.objects.iter().filter_map(to_news).collect();
     if changes.is_empty() {
         return;
     }
     endpoint_changes(node, &changes, lapses);
-    node.hand_on(FleetNews { since, revision: snapshot.revision, lapses, changes });
+    node.hand_on(EndpointUpdateBatch { since, revision: snapshot.revision, lapses, changes });
 }
 
 fn take_config(node: &Node, objects: &[StoredObject]) {
@@ -133,7 +133,7 @@
 
 fn change(
     registry: &mut Registry,
-    news: &EndpointNews,
+    news: &EndpointUpdate,
     lapses: bool,
     now: Moment,
 ) -> Option<Change> {
@@ -147,10 +147,10 @@
 
 /// Reads what a changed object says of an endpoint; `None` if it names none. Another program's bytes
 /// in the place of an endpoint's entry count as no entry.
-fn to_news(object: &StoredObject) -> Option<EndpointNews> {
+fn to_news(object: &StoredObject) -> Option<EndpointUpdate> {
     let id = EndpointId::new(&object.name).ok()?;
     let info = if object.is_gone { None } else { read(object) };
-    Some(EndpointNews { id, info })
+    Some(EndpointUpdate { id, info })
 }
 
 fn read(object: &StoredObject) -> Option<EndpointInfo> {
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Contacts, FleetBeacon, Revisions, Seat};
+use nutmeggrade_core::peer::{Contacts, FleetBeacon, InstanceAddresses, Revisions};
 use nutmeggrade_core::prelude::*;
 
 pub use reach::{Audience, Forwarders};
@@ -48,7 +48,7 @@
 
 #[derive(Debug, Clone)]
 struct Peer {
-    seat: Seat,
+    seat: InstanceAddresses,
     incarnation: u64,
     sequence: u64,
     heard: Moment,
@@ -85,7 +85,7 @@
     own: InstanceId,
     turn_key: u64,
     place_key: u64,
-    seat: Seat,
+    seat: InstanceAddresses,
     peers: BTreeMap<InstanceId, Peer>,
     contacts: BTreeMap<SocketAddr, Contact>,
     seeds: BTreeSet<SocketAddr>,
@@ -98,7 +98,7 @@
 
 impl FleetView {
     /// Makes the view of an instance that knows only where to begin.
-    pub fn new(own: &InstanceId, seat: &Seat, seeds: &[SocketAddr]) -> Self {
+    pub fn new(own: &InstanceId, seat: &InstanceAddresses, seeds: &[SocketAddr]) -> Self {
         let seeds: BTreeSet<SocketAddr> =
             seeds.iter().copied().filter(|a| *a != seat.beacon).collect();
         let seed = |a: &SocketAddr| (*a, Contact::new(*a, None, Moment::ZERO));
@@ -122,8 +122,8 @@
         if beacon.instance == self.own {
             return false;
         }
-        if let Some(intro) = &beacon.intro {
-            self.meet_all(&intro.others, now);
+        if let Some(introduction) = &beacon.introduction {
+            self.meet_all(&introduction.others, now);
         }
         let old = self.peers.get(&beacon.instance);
         // Incarnations come from the time of day, which may have been set back before the peer's new
@@ -135,10 +135,10 @@
         if is_old {
             return false;
         }
-        let intro = beacon.intro.as_ref().map(|intro| &intro.seat);
+        let introduction = beacon.introduction.as_ref().map(|introduction| &introduction.seat);
         let same_life = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.seat);
         // A peer that was never introduced is not reached yet; its next introduction comes soon.
-        let Some(seat) = intro.or(same_life).cloned() else { return false };
+        let Some(seat) = introduction.or(same_life).cloned() else { return false };
         let peer = Peer {
             seat,
             incarnation: beacon.incarnation,
@@ -297,8 +297,8 @@
     ) -> Vec<SocketAddr> {
         let own = (!is_leaving).then_some(&self.seat);
         let live = self.peers.values().filter(|p| self.is_heard(p, now) && !p.leaving);
-        let all: Vec<&Seat> = own.into_iter().chain(live.map(|p| &p.seat)).collect();
-        let is_near = |seat: &&&Seat| near == Some(&seat.domain);
+        let all: Vec<&InstanceAddresses> = own.into_iter().chain(live.map(|p| &p.seat)).collect();
+        let is_near = |seat: &&&InstanceAddresses| near == Some(&seat.domain);
         let near_by: Vec<SocketAddr> = all.iter().filter(is_near).map(|s| s.client).collect();
         if near_by.len() >= ENOUGH { near_by } else { all.iter().map(|s| s.client).collect() }
     }
@@ -335,7 +335,7 @@
     /// Lists where a few peers are reached that were heard lately.
     pub fn others(&self, now: Moment) -> Contacts {
         let live = self.peers.values().filter(|p| self.is_heard(p, now));
-        let all: Vec<&Seat> = live.map(|p| &p.seat).collect();
+        let all: Vec<&InstanceAddresses> = live.map(|p| &p.seat).collect();
         let mut others = Contacts::new();
         for i in 0..all.len().min(HANDED_ON) {
             let seat = all[(self.far_turn + i) % all.len()];
--- a/crates/nutmeggrade-state/src/fleet_view/reach.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/reach.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Contacts, FleetBeacon, Share};
+use nutmeggrade_core::peer::{Contacts, DomainPart, FleetBeacon};
 use nutmeggrade_core::prelude::*;
 
 use super::{Contact, FleetView, PERIOD, Peer};
@@ -54,7 +54,7 @@
     /// Those that get it from this instance.
     pub direct: Vec<SocketAddr>,
     /// Those that hand it on, each to a part of its failure domain.
-    pub relays: Vec<(SocketAddr, Share)>,
+    pub relays: Vec<(SocketAddr, DomainPart)>,
 }
 
 impl FleetView {
@@ -103,7 +103,7 @@
                 continue;
             }
             let of = u32::try_from(relays.len()).unwrap_or(1);
-            let parts = (0..of).map(|part| Share { part, of });
+            let parts = (0..of).map(|part| DomainPart { part, of });
             audience.relays.extend(relays.into_iter().zip(parts));
         }
         audience
@@ -136,12 +136,12 @@
     /// that read the store for all; meanwhile most read for themselves, and at 88 instances that was a
     /// third of a quiet minute's calls.
     pub fn welcome(&mut self, beacon: &FleetBeacon) -> Option<(SocketAddr, Contacts)> {
-        let intro = beacon.intro.as_ref()?;
-        let told = intro.others.values().map(Vec::len).sum::<usize>();
+        let introduction = beacon.introduction.as_ref()?;
+        let told = introduction.others.values().map(Vec::len).sum::<usize>();
         if self.contacts.len() <= FANOUT || told >= super::HANDED_ON {
             return None;
         }
-        let newcomer = intro.seat.beacon;
+        let newcomer = introduction.seat.beacon;
         let known = |(a, c): (&SocketAddr, &Contact)| c.domain.clone().map(|d| (*a, d));
         let all: Vec<(SocketAddr, DomainId)> =
             self.contacts.iter().filter(|(a, _)| **a != newcomer).filter_map(known).collect();
@@ -154,7 +154,7 @@
     }
 
     /// Lists the peers of the same failure domain that are in a part of it, to hand a message on to.
-    pub fn part_of_neighbours(&self, share: Share) -> Vec<SocketAddr> {
+    pub fn part_of_neighbours(&self, share: DomainPart) -> Vec<SocketAddr> {
         let is_in = |address: &SocketAddr| lot(address) % share.of.max(1) == share.part;
         self.near.iter().copied().filter(is_in).collect()
     }
--- a/crates/nutmeggrade-state/src/forward_queue.rs
+++ b/crates/nutmeggrade-state/src/forward_queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use nutmeggrade_core::peer::{FleetPlaced, Share};
+use nutmeggrade_core::peer::{DomainPart, InstanceLoad};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::Placed;
 
@@ -18,7 +18,7 @@
 /// datagrams a second.
 #[derive(Debug, Default)]
 pub struct ForwardQueue {
-    waiting: BTreeMap<Share, BTreeMap<InstanceId, ByEndpoint>>,
+    waiting: BTreeMap<DomainPart, BTreeMap<InstanceId, ByEndpoint>>,
 }
 
 impl ForwardQueue {
@@ -28,10 +28,10 @@
     }
 
     /// Adds what an instance has placed; says whether nothing waited before.
-    pub fn add(&mut self, share: Share, changes: &[FleetPlaced]) -> bool {
+    pub fn add(&mut self, share: DomainPart, changes: &[InstanceLoad]) -> bool {
         let was_empty = self.waiting.is_empty();
         let of_share = self.waiting.entry(share).or_default();
-        for FleetPlaced { instance, placed } in changes {
+        for InstanceLoad { instance, placed } in changes {
             let of_instance = of_share.entry(instance.clone()).or_default();
             of_instance.extend(placed.iter().map(|(endpoint, placed)| (endpoint.clone(), *placed)));
         }
@@ -39,7 +39,7 @@
     }
 
     /// Drops what waits of an instance at the endpoints of a change that overtakes it.
-    pub fn overtake(&mut self, change: &FleetPlaced) {
+    pub fn overtake(&mut self, change: &InstanceLoad) {
         for instances in self.waiting.values_mut() {
             if let Some(of_instance) = instances.get_mut(&change.instance) {
                 of_instance.retain(|endpoint, _| !change.placed.contains_key(endpoint));
@@ -48,12 +48,12 @@
     }
 
     /// Takes all that waits, in messages that fit into a datagram each.
-    pub fn take(&mut self) -> Vec<(Share, Vec<FleetPlaced>)> {
+    pub fn take(&mut self) -> Vec<(DomainPart, Vec<InstanceLoad>)> {
         let mut messages = Vec::new();
         for (share, instances) in std::mem::take(&mut self.waiting) {
             let placed = instances.into_iter().filter(|(_, placed)| !placed.is_empty());
-            let all: Vec<FleetPlaced> =
-                placed.map(|(instance, placed)| FleetPlaced { instance, placed }).collect();
+            let all: Vec<InstanceLoad> =
+                placed.map(|(instance, placed)| InstanceLoad { instance, placed }).collect();
             messages.extend(all.chunks(MOST_INSTANCES).map(|part| (share, part.to_vec())));
         }
         messages
--- a/crates/nutmeggrade-state/src/order_plan.rs
+++ b/crates/nutmeggrade-state/src/order_plan.rs
@@ -1,6 +1,6 @@
 //! What an owner does next to bring an engine where operators want it.
 
-use nutmeggrade_core::order::{Desired, EngineState, Order};
+use nutmeggrade_core::order::{DesiredState, EngineState, Order};
 
 /// What an owner does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 /// in the middle repeats nothing that took effect, and an order that was lost, or undone by a late
 /// order of an earlier owner at an engine that does not check fencing numbers, is given again.
 /// Memory is freed before it is needed: what must go goes first.
-pub fn next_step(desired: &Desired, state: &EngineState, epoch: u64) -> NextStep {
+pub fn next_step(desired: &DesiredState, state: &EngineState, epoch: u64) -> NextStep {
     if state.fence > epoch {
         return NextStep::Outdated;
     }
--- a/crates/nutmeggrade-state/src/order_table.rs
+++ b/crates/nutmeggrade-state/src/order_table.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use nutmeggrade_core::order::Desired;
+use nutmeggrade_core::order::DesiredState;
 use nutmeggrade_core::prelude::*;
 
 /// Holds the highest version of what is wanted of each engine.
 #[derive(Debug, Default)]
 pub struct OrderTable {
-    wanted: BTreeMap<EndpointId, Desired>,
+    wanted: BTreeMap<EndpointId, DesiredState>,
 }
 
 impl OrderTable {
@@ -18,7 +18,7 @@
     }
 
     /// Takes a version if it is higher than the one known; a late older one would undo an order.
-    pub fn offer(&mut self, endpoint: &EndpointId, desired: &Desired) {
+    pub fn offer(&mut self, endpoint: &EndpointId, desired: &DesiredState) {
         let known = self.wanted.get(endpoint).map_or(0, |d| d.version);
         if desired.version > known {
             self.wanted.insert(endpoint.clone(), desired.clone());
@@ -26,7 +26,7 @@
     }
 
     /// Lists what is wanted of each engine.
-    pub fn wanted(&self) -> impl Iterator<Item = (&EndpointId, &Desired)> {
+    pub fn wanted(&self) -> impl Iterator<Item = (&EndpointId, &DesiredState)> {
         self.wanted.iter()
     }
 }
--- a/crates/nutmeggrade/src/admin/sync.rs
+++ b/crates/nutmeggrade/src/admin/sync.rs
@@ -1,6 +1,6 @@
 //! `POST /peer/sync`: what a peer asks for when it can't ask the platform.
 
-use nutmeggrade_core::peer::{MAX_MESSAGE, SyncReply, SyncRequest, Topic, open, seal};
+use nutmeggrade_core::peer::{MAX_FRAME_BYTES, SyncReply, SyncRequest, SyncTopic, open, seal};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
 use viz::{Request, RequestLimitsExt, Response};
@@ -12,7 +12,7 @@
 /// Answers a question that carries the peers' key; the asker becomes known here by it.
 pub async fn post<P: Platform>(mut req: Request) -> Reply {
     let node = super::node::<P>(&req)?;
-    let body = match req.bytes_with(None, MAX_MESSAGE as u64).await {
+    let body = match req.bytes_with(None, MAX_FRAME_BYTES as u64).await {
         Ok(body) => body,
         Err(e) => return Ok(failure(&Failure::new(Code::BodyTooLarge, &e.to_string()))),
     };
@@ -32,13 +32,13 @@
     }
 }
 
-fn answer<P: Platform>(node: &Node<P>, topic: Topic) -> SyncReply {
+fn answer<P: Platform>(node: &Node<P>, topic: SyncTopic) -> SyncReply {
     match topic {
-        Topic::Config => {
+        SyncTopic::Config => {
             let config = lock(&node.tables.config).current();
             SyncReply { config: config.map(|c| (*c).clone()), ..SyncReply::default() }
         }
-        Topic::Fleet => {
+        SyncTopic::Fleet => {
             let entries = {
                 let members = lock(&node.tables.members);
                 let live = members.live(node.now()).into_iter().cloned();
--- a/crates/nutmeggrade/src/cmd.rs
+++ b/crates/nutmeggrade/src/cmd.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 
 use nutmeggrade::Settings;
-use nutmeggrade_core::settings::Mistake;
+use nutmeggrade_core::settings::SettingError;
 
 /// Exit code for mistakes in the settings; nothing was started.
 const BAD_SETTINGS: u8 = 2;
@@ -20,7 +20,7 @@
 }
 
 /// Prints every mistake in the settings.
-fn report(mistakes: &[Mistake]) -> ExitCode {
+fn report(mistakes: &[SettingError]) -> ExitCode {
     for mistake in mistakes {
         eprintln!("nutmeggrade: {mistake}");
     }
--- a/crates/nutmeggrade/src/engine_client.rs
+++ b/crates/nutmeggrade/src/engine_client.rs
@@ -13,7 +13,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use nutmeggrade_core::engine::{GENERATIONS_PATH, Generate, LOAD_PATH, Standing, Token};
+use nutmeggrade_core::engine::{GENERATIONS_PATH, GenerateRequest, LOAD_PATH, Standing, Token};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::{body_bytes, call, call_if, json_body};
 use tokio::time::timeout;
@@ -98,7 +98,7 @@
     pub async fn start(
         &self,
         address: SocketAddr,
-        order: &Generate,
+        order: &GenerateRequest,
         may_send: impl FnOnce() -> anyhow::Result<()>,
     ) -> Result<Tokens, StartError> {
         let body = json_body(order).map_err(StartError::NotRun)?;
--- a/crates/nutmeggrade/src/generation/attempt.rs
+++ b/crates/nutmeggrade/src/generation/attempt.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use nutmeggrade_core::engine::Generate;
+use nutmeggrade_core::engine::GenerateRequest;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
 use nutmeggrade_policy::End;
@@ -64,7 +64,7 @@
         placement.set_end(End::Failed);
         return Err((Broken::new(Run::NotRun, "the engine left the list"), trial));
     };
-    let order = Generate {
+    let order = GenerateRequest {
         generation: GenerationId::new(rand::random()),
         model: completion.model.clone(),
         prompt: completion.prompt.clone(),
@@ -102,7 +102,7 @@
     node: &Arc<Node<P>>,
     caller: &Caller,
     address: SocketAddr,
-    order: &Generate,
+    order: &GenerateRequest,
     placement: &Placement<P>,
 ) -> Result<Option<Tokens>, Broken> {
     let generation = order.generation;
--- a/crates/nutmeggrade/src/node.rs
+++ b/crates/nutmeggrade/src/node.rs
@@ -239,7 +239,7 @@
     let EndpointKind::Engine { models, memory } = &endpoint.kind else { return None };
     let mut models = models.clone();
     if let Some(preset) = config.and_then(Configuration::preset) {
-        models.retain(|m| preset.lets_serve(m, &endpoint.id));
+        models.retain(|m| preset.allows_engine(m, &endpoint.id));
     }
     Some(Engine {
         id: endpoint.id.clone(),
--- a/crates/nutmeggrade/src/orders/follow.rs
+++ b/crates/nutmeggrade/src/orders/follow.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nutmeggrade_core::object::Object;
-use nutmeggrade_core::order::{Desired, ORDER_PREFIX};
+use nutmeggrade_core::order::{DesiredState, ORDER_PREFIX};
 use nutmeggrade_platform::Platform;
 use tokio::time::sleep;
 
@@ -37,8 +37,8 @@
 
 fn take<P: Platform>(node: &Node<P>, object: &Object) {
     let Some(value) = object.value.clone() else { return };
-    let Some(endpoint) = Desired::endpoint(&object.key) else { return };
-    match serde_json::from_value::<Desired>(value) {
+    let Some(endpoint) = DesiredState::endpoint(&object.key) else { return };
+    match serde_json::from_value::<DesiredState>(value) {
         Ok(desired) => lock(&node.tables.orders).offer(&endpoint, &desired),
         Err(error) => tracing::error!(event = "order_unreadable", key = object.key, %error),
     }
--- a/crates/nutmeggrade/src/orders/owner.rs
+++ b/crates/nutmeggrade/src/orders/owner.rs
@@ -7,7 +7,7 @@
 
 use anyhow::Context;
 use nutmeggrade_core::audit::AuditEvent;
-use nutmeggrade_core::order::{Desired, Effect, FencedOrder, Order, Progress};
+use nutmeggrade_core::order::{DesiredState, FencedOrder, Order, OrderStatus, Progress};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
 use nutmeggrade_state::order_plan::{NextStep, next_step};
@@ -26,13 +26,13 @@
 const RECHECK: u32 = 20;
 
 /// What this owner wrote last about each engine, to write only what is new.
-type Written = BTreeMap<EndpointId, Effect>;
+type Written = BTreeMap<EndpointId, OrderStatus>;
 
 /// One engine that this instance owns, and what is wanted of it.
 struct Owned {
     endpoint: EndpointId,
     address: SocketAddr,
-    desired: Desired,
+    desired: DesiredState,
     epoch: u64,
 }
 
@@ -56,13 +56,18 @@
     }
 }
 
-fn effect<P: Platform>(node: &Node<P>, owned: &Owned, progress: Progress, detail: &str) -> Effect {
+fn effect<P: Platform>(
+    node: &Node<P>,
+    owned: &Owned,
+    progress: Progress,
+    detail: &str,
+) -> OrderStatus {
     let instance = node.entry.instance.clone();
     let (version, epoch) = (owned.desired.version, owned.epoch);
-    Effect { version, epoch, instance, progress, detail: detail.to_owned() }
+    OrderStatus { version, epoch, instance, progress, detail: detail.to_owned() }
 }
 
-fn done<P: Platform>(node: &Node<P>, owned: &Owned) -> Effect {
+fn done<P: Platform>(node: &Node<P>, owned: &Owned) -> OrderStatus {
     effect(node, owned, Progress::Done, "read back")
 }
 
@@ -71,7 +76,7 @@
     let rights = lock(&node.tables.rights);
     let orders = lock(&node.tables.orders);
     let now = node.now();
-    let one = |(endpoint, desired): (&EndpointId, &Desired)| {
+    let one = |(endpoint, desired): (&EndpointId, &DesiredState)| {
         let address = endpoints.get(endpoint)?.address;
         let epoch = rights.owner_epoch(endpoint, now)?;
         Some(Owned { endpoint: endpoint.clone(), address, desired: desired.clone(), epoch })
@@ -159,18 +164,18 @@
 async fn write<P: Platform>(
     node: &Node<P>,
     owned: &Owned,
-    effect: Effect,
+    effect: OrderStatus,
     written: &mut Written,
 ) -> anyhow::Result<()> {
     if written.get(&owned.endpoint) == Some(&effect) {
         return Ok(());
     }
-    let key = Effect::key(&owned.endpoint);
+    let key = OrderStatus::key(&owned.endpoint);
     let value = serde_json::to_value(&effect).context("encode effect")?;
     match node.platform.read(&key).await? {
         None => node.platform.create(&key, &value).await?,
         Some(object) => {
-            let found: Effect = serde_json::from_value(object.value.unwrap_or_default())?;
+            let found: OrderStatus = serde_json::from_value(object.value.unwrap_or_default())?;
             anyhow::ensure!(
                 found.epoch <= owned.epoch,
                 "a later owner wrote epoch {}",
--- a/crates/nutmeggrade/src/peers.rs
+++ b/crates/nutmeggrade/src/peers.rs
@@ -14,7 +14,7 @@
     LocalAddr, Options, ReconnectMaxTime, ReconnectMinTime, RecvMaxSize, SendTimeout,
 };
 use nng::{Dialer, Listener, Pipe, PipeEvent, Protocol, Socket, SocketAddr as NngAddr};
-use nutmeggrade_core::peer::{BadEnvelope, Beacon, Entry, MAX_MESSAGE, open, seal};
+use nutmeggrade_core::peer::{Beacon, Entry, EnvelopeError, MAX_FRAME_BYTES, open, seal};
 use nutmeggrade_core::prelude::*;
 
 use crate::tables::lock;
@@ -43,7 +43,7 @@
         out.set_opt::<SendTimeout>(Some(SEND_WAIT)).context("send timeout")?;
         // Subscribers send nothing, but nng reads what comes, and without a limit takes memory for a
         // message of any size that a stranger announces: one connection could take it all.
-        out.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("message limit")?;
+        out.set_opt::<RecvMaxSize>(MAX_FRAME_BYTES).context("message limit")?;
         let subscribers = Arc::new(Mutex::new(BTreeSet::new()));
         let seen = Arc::clone(&subscribers);
         out.pipe_notify(move |pipe, event| bound(&seen, pipe, event))
@@ -52,7 +52,7 @@
             .with_context(|| format!("listen for peers on {address}"))?;
         let inward = Socket::new(Protocol::Sub0).context("open subscriber")?;
         inward.set_opt::<Subscribe>(Vec::new()).context("subscribe")?;
-        inward.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("message limit")?;
+        inward.set_opt::<RecvMaxSize>(MAX_FRAME_BYTES).context("message limit")?;
         inward.set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN)).context("reconnect")?;
         inward.set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX)).context("reconnect")?;
         let dialers = Mutex::new(BTreeMap::new());
@@ -98,7 +98,7 @@
 
     /// Waits for the next message and returns its size and its heartbeat; `None` once the sockets are
     /// closed. Blocks its thread.
-    pub fn next(&self) -> Option<(usize, Result<Beacon, BadEnvelope>)> {
+    pub fn next(&self) -> Option<(usize, Result<Beacon, EnvelopeError>)> {
         let message = self.inward.recv().ok()?;
         Some((message.len(), open::<Beacon>(&message, &self.key)))
     }
--- a/crates/nutmeggrade/src/settings.rs
+++ b/crates/nutmeggrade/src/settings.rs
@@ -7,7 +7,7 @@
 
 use anyhow::Context;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::{Kind, Mistake, Spec, VARIABLE_PREFIX, Values};
+use nutmeggrade_core::settings::{Kind, SettingError, Spec, VARIABLE_PREFIX, Values};
 
 const MS: &str = "ms";
 
@@ -74,7 +74,7 @@
 ///
 /// A mistyped variable would leave its setting at the default without a word; one would notice it
 /// when the fence that was meant to be short turns out to be long.
-fn unknown_variables() -> Vec<Mistake> {
+fn unknown_variables() -> Vec<SettingError> {
     let known = |name: &str| {
         let of_spec = |s: &Spec| {
             let variable = s.variable();
@@ -85,7 +85,7 @@
     };
     let names = std::env::vars_os().filter_map(|(name, _)| name.into_string().ok());
     let ours = names.filter(|n| n.starts_with(VARIABLE_PREFIX) && !known(n));
-    let mistake = |n| Mistake {
+    let mistake = |n| SettingError {
         code: Code::UnknownSetting,
         detail: format!("{n} is not a variable of this program"),
     };
@@ -156,7 +156,7 @@
 
 impl Settings {
     /// Reads flags and environment variables; lists every mistake at once.
-    pub fn load(args: &[String]) -> Result<Self, Vec<Mistake>> {
+    pub fn load(args: &[String]) -> Result<Self, Vec<SettingError>> {
         let variable = |name: &str| std::env::var(name).ok();
         let file = |path: &str| std::fs::read_to_string(path).map_err(|e| e.to_string());
         let unknown = unknown_variables();
@@ -166,7 +166,7 @@
             Err(mistakes) => return Err([mistakes, unknown].concat()),
         };
         let settings = Self::new(values)
-            .map_err(|e| vec![Mistake { code: Code::BadSetting, detail: format!("{e:#}") }])?;
+            .map_err(|e| vec![SettingError { code: Code::BadSetting, detail: format!("{e:#}") }])?;
         let mistakes = settings.clashes();
         if mistakes.is_empty() { Ok(settings) } else { Err(mistakes) }
     }
--- a/crates/nutmeggrade/src/settings/clashes.rs
+++ b/crates/nutmeggrade/src/settings/clashes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::Mistake;
+use nutmeggrade_core::settings::SettingError;
 use tracing_subscriber::EnvFilter;
 
 use super::Settings;
@@ -13,15 +13,15 @@
 
 impl Settings {
     /// Lists every contradiction.
-    pub(super) fn clashes(&self) -> Vec<Mistake> {
+    pub(super) fn clashes(&self) -> Vec<SettingError> {
         let mut found = Vec::new();
         if let Err(error) = EnvFilter::try_new(&self.log) {
             let detail = format!("--log (NUTMEGGRADE_LOG): {error}");
-            found.push(Mistake { code: Code::BadSetting, detail });
+            found.push(SettingError { code: Code::BadSetting, detail });
         }
         let mut clash = |clashes: bool, detail: &str| {
             if clashes {
-                found.push(Mistake { code: Code::SettingsClash, detail: detail.to_owned() });
+                found.push(SettingError { code: Code::SettingsClash, detail: detail.to_owned() });
             }
         };
         clash(
--- a/crates/nutmeggrade/src/tasks/beacon.rs
+++ b/crates/nutmeggrade/src/tasks/beacon.rs
@@ -47,7 +47,7 @@
     // not work for another reason, would refuse them.
     let leaving = node.phase() > Phase::Serving || node.may_work().is_err();
     let Entry { instance, incarnation, .. } = node.entry.clone();
-    let entry = Beacon::introduces(sequence).then(|| node.entry.clone());
+    let entry = Beacon::includes_introduction(sequence).then(|| node.entry.clone());
     let suspects = lock(&node.tables.suspects).tell(now);
     let resumed = lock(&node.tables.orphans).tell(now);
     Beacon {
--- a/crates/nutmeggrade/src/tasks/catch_up.rs
+++ b/crates/nutmeggrade/src/tasks/catch_up.rs
@@ -8,7 +8,9 @@
 use anyhow::Context;
 use http::{Method, Request, header};
 use http_body_util::Full;
-use nutmeggrade_core::peer::{MAX_MESSAGE, SYNC_PATH, SyncReply, SyncRequest, Topic, open, seal};
+use nutmeggrade_core::peer::{
+    MAX_FRAME_BYTES, SYNC_PATH, SyncReply, SyncRequest, SyncTopic, open, seal,
+};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::{Platform, body_bytes, call};
 use tokio::time::{sleep, timeout};
@@ -51,7 +53,7 @@
     }
     let holders = lock(&node.tables.members).holders(wanted);
     for entry in holders {
-        match ask(node, entry.admin_address, Topic::Config).await {
+        match ask(node, entry.admin_address, SyncTopic::Config).await {
             Ok(reply) => {
                 if let Some(config) = reply.config
                     && node.offer_config(&config, "peer")
@@ -89,7 +91,7 @@
     node: &Node<P>,
     address: SocketAddr,
 ) -> anyhow::Result<Vec<SocketAddr>> {
-    let fleet = ask(node, address, Topic::Fleet).await?;
+    let fleet = ask(node, address, SyncTopic::Fleet).await?;
     for entry in &fleet.entries {
         node.meet(entry);
     }
@@ -98,7 +100,7 @@
     }
     lock(&node.tables.endpoints).start_with(&fleet.endpoints);
     node.sync_engines();
-    if let Some(config) = ask(node, address, Topic::Config).await?.config {
+    if let Some(config) = ask(node, address, SyncTopic::Config).await?.config {
         node.offer_config(&config, "seed");
     }
     Ok(fleet.entries.iter().map(|e| e.admin_address).collect())
@@ -107,7 +109,7 @@
 async fn ask<P: Platform>(
     node: &Node<P>,
     address: SocketAddr,
-    topic: Topic,
+    topic: SyncTopic,
 ) -> anyhow::Result<SyncReply> {
     let question = SyncRequest { entry: node.entry.clone(), topic };
     let frame = seal(&question, &node.peer_key()).context("seal")?;
@@ -121,7 +123,7 @@
         let response = call(address, request, node.settings.connect).await?;
         let status = response.status();
         anyhow::ensure!(status.is_success(), "peer answered {status}");
-        body_bytes(response.into_body(), MAX_MESSAGE).await
+        body_bytes(response.into_body(), MAX_FRAME_BYTES).await
     };
     let frame = timeout(node.settings.platform_wait, exchange).await.context("no answer")??;
     open(&frame, &node.peer_key()).context("open answer")
--- a/crates/nutmeggrade/src/tasks/config_watch.rs
+++ b/crates/nutmeggrade/src/tasks/config_watch.rs
@@ -6,7 +6,7 @@
 use nutmeggrade_core::config::CONFIG_PREFIX;
 use nutmeggrade_core::object::{Changes, Object};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_platform::{Platform, PlatformError, WATCH_LIMIT, newest_config};
+use nutmeggrade_platform::{MAX_WATCH_CHANGES, Platform, PlatformError, newest_config};
 use tokio::time::sleep;
 
 use crate::node::Node;
@@ -56,7 +56,7 @@
 ) -> Result<Option<u64>, PlatformError> {
     let changes = node.platform.watch(CONFIG_PREFIX, since, wait).await?;
     take(node, &changes)?;
-    Ok((changes.objects.len() < WATCH_LIMIT).then_some(changes.revision))
+    Ok((changes.objects.len() < MAX_WATCH_CHANGES).then_some(changes.revision))
 }
 
 /// Puts the newest version in force. One that can't be read is a failure: what it takes out is not
--- a/tests/suite/core/envelope.rs
+++ b/tests/suite/core/envelope.rs
@@ -1,10 +1,10 @@
 //! Messages between instances need the peers' key.
 
-use nutmeggrade_core::peer::{BadEnvelope, MAX_MESSAGE, open, seal};
+use nutmeggrade_core::peer::{EnvelopeError, MAX_FRAME_BYTES, open, seal};
 
 const KEY: [u8; 32] = [9; 32];
 
-fn refuses(frame: &[u8], reason: BadEnvelope) {
+fn refuses(frame: &[u8], reason: EnvelopeError) {
     assert_eq!(open::<String>(frame, &KEY), Err(reason));
 }
 
@@ -19,13 +19,13 @@
 }
 
 cases!(refuses {
-    empty: &[], BadEnvelope::Size;
-    head_only: &[1; 20], BadEnvelope::Size;
-    too_large: &vec![1; MAX_MESSAGE + 1], BadEnvelope::Size;
-    other_version: &changed(0), BadEnvelope::Version;
-    other_key: &sealed([8; 32]), BadEnvelope::Tag;
-    changed_body: &changed(35), BadEnvelope::Tag;
-    other_type: &seal(&7_u8, &KEY).expect("seal"), BadEnvelope::Body;
+    empty: &[], EnvelopeError::Size;
+    head_only: &[1; 20], EnvelopeError::Size;
+    too_large: &vec![1; MAX_FRAME_BYTES + 1], EnvelopeError::Size;
+    other_version: &changed(0), EnvelopeError::Version;
+    other_key: &sealed([8; 32]), EnvelopeError::Tag;
+    changed_body: &changed(35), EnvelopeError::Tag;
+    other_type: &seal(&7_u8, &KEY).expect("seal"), EnvelopeError::Body;
 });
 
 #[rstest::rstest]
--- a/tests/suite/core/fleet_beacon.rs
+++ b/tests/suite/core/fleet_beacon.rs
@@ -19,7 +19,7 @@
         instance: InstanceId::new("edge-veluwe-12").expect("an id"),
         incarnation: 1_768_304_315_009,
         sequence: 4_711,
-        intro: None,
+        introduction: None,
         leaving: false,
         reads: true,
         revisions: Revisions { config: 812, endpoints: 90_817, out: 7, rollouts: 0 },
--- a/tests/suite/core/order.rs
+++ b/tests/suite/core/order.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use nutmeggrade_core::order::{Desired, EngineState, Load, Order, Role};
+use nutmeggrade_core::order::{DesiredState, EngineState, Load, Order, Role};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::order_plan::{NextStep, next_step};
 use nutmeggrade_state::order_table::OrderTable;
@@ -28,10 +28,10 @@
     bad_adapter: "m+a b", None;
 });
 
-fn desired(orders: &[Order]) -> Desired {
+fn desired(orders: &[Order]) -> DesiredState {
     let id = ChangeId::new("c1").expect("id");
-    let next = |before: Option<Desired>, order| {
-        Some(Desired::new(before.as_ref(), id.clone(), "anna", "work", order))
+    let next = |before: Option<DesiredState>, order| {
+        Some(DesiredState::new(before.as_ref(), id.clone(), "anna", "work", order))
     };
     orders.iter().fold(None, next).expect("an order")
 }
--- a/tests/suite/operators/orders.rs
+++ b/tests/suite/operators/orders.rs
@@ -5,7 +5,7 @@
 use anyhow::Context;
 use http::Method;
 use nix::sys::signal::Signal;
-use nutmeggrade_core::order::{Effect, EngineState, Load, ORDERS_PATH, Progress};
+use nutmeggrade_core::order::{EngineState, Load, ORDERS_PATH, OrderStatus, Progress};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_fakes::fleet::{Fleet, Plan};
 use nutmeggrade_fakes::http::{ask, send};
@@ -39,8 +39,8 @@
     log["orders"].as_array().cloned().context("no orders")
 }
 
-async fn effect(fleet: &Fleet, engine: &str) -> anyhow::Result<Option<Effect>> {
-    let key = Effect::key(&EndpointId::new(engine)?);
+async fn effect(fleet: &Fleet, engine: &str) -> anyhow::Result<Option<OrderStatus>> {
+    let key = OrderStatus::key(&EndpointId::new(engine)?);
     let value = fleet.client().read(&key).await?.and_then(|o| o.value);
     Ok(value.map(serde_json::from_value).transpose()?)
 }
--- a/tests/suite/process/config_size.rs
+++ b/tests/suite/process/config_size.rs
@@ -4,7 +4,9 @@
 use nutmeggrade_core::config::Change;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_fakes::fleet::{Fleet, Plan};
-use nutmeggrade_platform::{Platform, WHOLE_VERSIONS, newest_config, raise_head, thin_out};
+use nutmeggrade_platform::{
+    Platform, VERSIONS_WITH_PRESETS, advance_config_head, newest_config, strip_old_presets,
+};
 use rstest::rstest;
 
 use crate::support::{fleet, run};
@@ -31,7 +33,7 @@
     run(async move {
         let mut held = fleet(&Plan::default().with_nodes(0).with_engines(1)).await?;
         write(&held.fleet, last, size).await?;
-        raise_head(&held.fleet.client(), hint).await?;
+        advance_config_head(&held.fleet.client(), hint).await?;
         held.fleet.start_node(0)?;
         held.fleet.ready().await?;
         let status = held.fleet.status("node-0").await?;
@@ -53,10 +55,10 @@
     run(async {
         let held = fleet(&Plan::default().with_nodes(0).with_engines(0).with_services(0)).await?;
         let platform = held.fleet.client();
-        let last = WHOLE_VERSIONS + 2;
+        let last = VERSIONS_WITH_PRESETS + 2;
         write(&held.fleet, last, 10).await?;
-        thin_out(&platform, last).await?;
-        thin_out(&platform, last).await?;
+        strip_old_presets(&platform, last).await?;
+        strip_old_presets(&platform, last).await?;
         let read = async |version: u64| {
             let object = platform.read(&Configuration::key(version)).await?.context("gone")?;
             anyhow::Ok(serde_json::from_value::<Configuration>(object.value.unwrap_or_default())?)
--- a/tests/suite/random/config.rs
+++ b/tests/suite/random/config.rs
@@ -207,7 +207,7 @@
         let beacon = Beacon {
             instance: node.entry.instance.clone(),
             incarnation: node.entry.incarnation,
-            entry: Beacon::introduces(node.sequence).then(|| node.entry.clone()),
+            entry: Beacon::includes_introduction(node.sequence).then(|| node.entry.clone()),
             sequence: node.sequence,
             config: node.config.version(),
             leaving: false,
--- a/tests/suite/relay/settings.rs
+++ b/tests/suite/relay/settings.rs
@@ -12,7 +12,7 @@
     NUTMEGGRADE_CONTROL_ADDRESS=127.0.0.1:0\nNUTMEGGRADE_BEACON_ADDRESS=127.0.0.1:7000\n\
     NUTMEGGRADE_METRICS_ADDRESS=127.0.0.1:0\nNUTMEGGRADE_SEEDS=\n";
 
-fn load(name: &str, text: &str) -> Result<Settings, Vec<nutmeggrade_core::settings::Mistake>> {
+fn load(name: &str, text: &str) -> Result<Settings, Vec<nutmeggrade_core::settings::SettingError>> {
     let path: PathBuf =
         std::env::temp_dir().join(format!("nutmeggrade-{}-{name}.env", std::process::id()));
     let mut file = std::fs::File::create(&path).expect("a file");
--- a/tests/suite/stand_ins.rs
+++ b/tests/suite/stand_ins.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use nutmeggrade_core::engine::{CacheEvent, Generate};
+use nutmeggrade_core::engine::{CacheEvent, GenerateRequest};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_fakes::engine::{CacheChange, CacheLog, Engine, Job, Model, Refusal, Spec};
 use rstest::rstest;
@@ -38,8 +38,8 @@
     assert_eq!(rest, [CacheEvent { number: EVENTS, prefix: EVENTS, kept: true }]);
 }
 
-fn order(n: u8, prompt: &str) -> Generate {
-    Generate {
+fn order(n: u8, prompt: &str) -> GenerateRequest {
+    GenerateRequest {
         generation: GenerationId::new([n; 16]),
         model: ModelId::new("m").expect("id"),
         prompt: prompt.to_owned(),
--- a/tests/suite/state/fleet_view.rs
+++ b/tests/suite/state/fleet_view.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Contacts, FleetBeacon, Introduction, Seat, Share};
+use nutmeggrade_core::peer::{Contacts, DomainPart, FleetBeacon, InstanceAddresses, Introduction};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::fleet_view::{FleetView, Forwarders};
 
@@ -14,10 +14,10 @@
     InstanceId::new(&format!("i-{number}")).expect("an id")
 }
 
-fn seat(number: u8) -> Seat {
+fn seat(number: u8) -> InstanceAddresses {
     let at = |port| SocketAddr::from(([10, 0, 0, number], port));
     let domain = DomainId::new("veluwe").expect("an id");
-    Seat { domain, client: at(80), beacon: at(90), control: at(70) }
+    InstanceAddresses { domain, client: at(80), beacon: at(90), control: at(70) }
 }
 
 fn beacon(number: u8, sequence: u64) -> FleetBeacon {
@@ -93,8 +93,8 @@
             .zip(1..)
             .map(|(view, number)| {
                 let others = view.others(NOW);
-                let intro = Some(Introduction { seat: seat(number), others });
-                (view.targets(), FleetBeacon { intro, ..beacon(number, round) })
+                let introduction = Some(Introduction { seat: seat(number), others });
+                (view.targets(), FleetBeacon { introduction, ..beacon(number, round) })
             })
             .collect();
         for (targets, beacon) in sent {
@@ -150,7 +150,7 @@
 #[test]
 fn introduction_comes_first() {
     let mut view = view(1);
-    let bare = |sequence| FleetBeacon { intro: None, ..beacon(2, sequence) };
+    let bare = |sequence| FleetBeacon { introduction: None, ..beacon(2, sequence) };
     assert!(!view.hear(&bare(1), NOW));
     assert!(view.hear(&beacon(2, 2), NOW));
     assert!(view.hear(&bare(3), later(200)));
@@ -170,8 +170,8 @@
         if number > 3 {
             seat.domain = far.clone();
         }
-        let intro = Some(Introduction { seat, others: Contacts::new() });
-        view.hear(&FleetBeacon { intro, ..beacon(number, 1) }, NOW);
+        let introduction = Some(Introduction { seat, others: Contacts::new() });
+        view.hear(&FleetBeacon { introduction, ..beacon(number, 1) }, NOW);
     }
     let near = DomainId::new("veluwe").expect("an id");
     assert_eq!(view.entries(Some(&near), false, NOW).len(), 3);
@@ -207,14 +207,14 @@
 
 const DOMAINS: [&str; 3] = ["veluwe", "gooi", "twente"];
 
-fn seat_of(number: u8) -> Seat {
+fn seat_of(number: u8) -> InstanceAddresses {
     let domain = DomainId::new(DOMAINS[usize::from(number) % 3]).expect("an id");
-    Seat { domain, ..seat(number) }
+    InstanceAddresses { domain, ..seat(number) }
 }
 
 fn beacon_of(number: u8, sequence: u64) -> FleetBeacon {
-    let intro = Some(Introduction { seat: seat_of(number), others: Contacts::new() });
-    FleetBeacon { intro, ..beacon(number, sequence) }
+    let introduction = Some(Introduction { seat: seat_of(number), others: Contacts::new() });
+    FleetBeacon { introduction, ..beacon(number, sequence) }
 }
 
 /// Returns the views of sixty instances in three failure domains, each of which has heard all others.
@@ -266,8 +266,8 @@
     assert_eq!(fresh.targets().len(), 12);
     let others = (1..=8).map(|n| seat(n).beacon).collect();
     let others = Contacts::from([(seat(1).domain, others)]);
-    let intro = Some(Introduction { seat: seat(78), others });
-    assert_eq!(views[0].welcome(&FleetBeacon { intro, ..beacon(78, 1) }), None);
+    let introduction = Some(Introduction { seat: seat(78), others });
+    assert_eq!(views[0].welcome(&FleetBeacon { introduction, ..beacon(78, 1) }), None);
     assert_eq!(view(1).welcome(&beacon(77, 1)), None);
 }
 
@@ -290,7 +290,7 @@
     assert_eq!(got, all);
     // The one that was heard last hands it on, unless it has only just started.
     views[0].hear(&beacon_of(6, 11), later(50));
-    let whole = Share { part: 0, of: 1 };
+    let whole = DomainPart { part: 0, of: 1 };
     assert!(
         views[0]
             .everybody(Forwarders::LastHeard, later(50))
--- a/tests/suite/state/forward_queue.rs
+++ b/tests/suite/state/forward_queue.rs
@@ -2,19 +2,19 @@
 
 use std::collections::BTreeMap;
 
-use nutmeggrade_core::peer::{FleetPlaced, Share};
+use nutmeggrade_core::peer::{DomainPart, InstanceLoad};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::Placed;
 use nutmeggrade_state::forward_queue::ForwardQueue;
 
-const WHOLE: Share = Share { part: 0, of: 1 };
-const HALF: Share = Share { part: 1, of: 2 };
+const WHOLE: DomainPart = DomainPart { part: 0, of: 1 };
+const HALF: DomainPart = DomainPart { part: 1, of: 2 };
 
-fn change(instance: u16, endpoint: &str, requests: u32) -> FleetPlaced {
+fn change(instance: u16, endpoint: &str, requests: u32) -> InstanceLoad {
     let endpoint = EndpointId::new(endpoint).expect("an id");
     let placed = Placed { requests, ..Placed::default() };
     let instance = InstanceId::new(&format!("i-{instance}")).expect("an id");
-    FleetPlaced { instance, placed: BTreeMap::from([(endpoint, placed)]) }
+    InstanceLoad { instance, placed: BTreeMap::from([(endpoint, placed)]) }
 }
 
 // A request that ended while changes gathered counts at its endpoint for good.
@@ -36,7 +36,7 @@
     queue.add(HALF, &[change(1, "e-1", 1)]);
     queue.add(WHOLE, &[change(2, "e-1", 1)]);
     queue.overtake(&change(1, "e-1", 2));
-    let left: Vec<FleetPlaced> = queue.take().into_iter().flat_map(|(_, all)| all).collect();
+    let left: Vec<InstanceLoad> = queue.take().into_iter().flat_map(|(_, all)| all).collect();
     assert_eq!(left, [change(1, "e-2", 1), change(2, "e-1", 1)]);
 }
 
@@ -48,7 +48,7 @@
     queue.add(WHOLE, &[change(1, "e-2", 1)]);
     queue.add(HALF, &[change(2, "e-1", 1)]);
     let messages = queue.take();
-    let sizes: Vec<(Share, usize)> = messages.iter().map(|(s, all)| (*s, all.len())).collect();
+    let sizes: Vec<(DomainPart, usize)> = messages.iter().map(|(s, all)| (*s, all.len())).collect();
     assert_eq!(sizes, [(WHOLE, 1), (HALF, 1)]);
     assert_eq!(messages[0].1[0].placed.len(), 2);
 }
--- a/tests/suite/state/heartbeat.rs
+++ b/tests/suite/state/heartbeat.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeMap;
 
-use nutmeggrade_core::peer::{Contacts, FleetBeacon, Introduction, Revisions, Seat};
+use nutmeggrade_core::peer::{Contacts, FleetBeacon, InstanceAddresses, Introduction, Revisions};
 use nutmeggrade_core::prelude::*;
 
 /// Returns a heartbeat of an instance that introduces itself and has placed nothing.
-pub fn heartbeat(instance: &InstanceId, seat: &Seat, sequence: u64) -> FleetBeacon {
+pub fn heartbeat(instance: &InstanceId, seat: &InstanceAddresses, sequence: u64) -> FleetBeacon {
     FleetBeacon {
         instance: instance.clone(),
         incarnation: 100,
         sequence,
-        intro: Some(Introduction { seat: seat.clone(), others: Contacts::new() }),
+        introduction: Some(Introduction { seat: seat.clone(), others: Contacts::new() }),
         leaving: false,
         reads: true,
         revisions: Revisions::default(),
--- a/tests/suite/state/large_fleet.rs
+++ b/tests/suite/state/large_fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Contacts, FleetBeacon, Seat};
+use nutmeggrade_core::peer::{Contacts, FleetBeacon, InstanceAddresses};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::fleet_view::{FleetView, Forwarders};
 
@@ -21,11 +21,11 @@
     InstanceId::new(&format!("i-{number}")).expect("an id")
 }
 
-fn seat(number: u16) -> Seat {
+fn seat(number: u16) -> InstanceAddresses {
     let [high, low] = number.to_be_bytes();
     let at = |port| SocketAddr::from(([10, 0, high, low], port));
     let domain = DomainId::new(&format!("d-{}", number % DOMAINS)).expect("an id");
-    Seat { domain, client: at(80), beacon: at(90), control: at(70) }
+    InstanceAddresses { domain, client: at(80), beacon: at(90), control: at(70) }
 }
 
 fn beacon(number: u16, sequence: u64) -> FleetBeacon {
--- a/tests/suite/state/membership.rs
+++ b/tests/suite/state/membership.rs
@@ -29,7 +29,7 @@
     Beacon {
         instance: entry.instance.clone(),
         incarnation: entry.incarnation,
-        entry: Beacon::introduces(sequence).then(|| entry.clone()),
+        entry: Beacon::includes_introduction(sequence).then(|| entry.clone()),
         sequence,
         config: 1,
         leaving: false,
@@ -59,7 +59,7 @@
     let reborn = entry("node-1", 2);
     assert!(!members.hear(&beacon(&reborn, 2), NOW));
     assert!(members.live(NOW).is_empty());
-    let introduced = (3..=11).find(|n| Beacon::introduces(*n)).expect("one in eight");
+    let introduced = (3..=11).find(|n| Beacon::includes_introduction(*n)).expect("one in eight");
     assert!(members.hear(&beacon(&reborn, introduced), NOW));
     assert_eq!(members.live(NOW), [&reborn]);
 }
--- a/tests/suite/state/sources.rs
+++ b/tests/suite/state/sources.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use nutmeggrade_core::peer::{FleetBeacon, Revisions, Seat};
+use nutmeggrade_core::peer::{FleetBeacon, InstanceAddresses, Revisions};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::fleet_view::{FleetView, Reach};
 
@@ -25,11 +25,11 @@
     number % DOMAINS
 }
 
-fn seat(number: u16) -> Seat {
+fn seat(number: u16) -> InstanceAddresses {
     let [high, low] = number.to_be_bytes();
     let at = |port| SocketAddr::from(([10, 0, high, low], port));
     let domain = DomainId::new(&format!("d-{}", domain(number))).expect("an id");
-    Seat { domain, client: at(80), beacon: at(90), control: at(70) }
+    InstanceAddresses { domain, client: at(80), beacon: at(90), control: at(70) }
 }
 
 /// Returns the view of an instance that has heard all others, and who of them has read the change.
