--- a/crates/nutmegctl/src/change.rs
+++ b/crates/nutmegctl/src/change.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use http::Method;
-use nutmeggrade_core::config::{CONFIG_PREFIX, Change, Known};
+use nutmeggrade_core::config::{CONFIG_PREFIX, Change, KnownNames};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::{
     HttpPlatform, Platform, advance_config_head, newest_config, strip_old_presets,
@@ -99,8 +99,8 @@
 ) -> anyhow::Result<()> {
     let endpoints = platform.endpoints().await.map_err(|e| down(&e))?;
     let instances = admin::instances(platform).await?;
-    let known = Known::new(&endpoints, &instances);
-    Ok(known.judge(now, change, settings.confirm)?)
+    let known = KnownNames::new(&endpoints, &instances);
+    Ok(known.check_change(now, change, settings.confirm)?)
 }
 
 /// Pushes an accepted version to every instance and waits until each has it in force.
--- a/crates/nutmegctl/src/cmd/order.rs
+++ b/crates/nutmegctl/src/cmd/order.rs
@@ -1,6 +1,6 @@
 //! `nutmegctl order show|load|unload|role`.
 
-use nutmeggrade_core::order::{Load, Order, Role};
+use nutmeggrade_core::order::{ModelRef, Order, Role};
 use nutmeggrade_core::prelude::*;
 use serde_json::Value;
 
@@ -44,6 +44,6 @@
     give(settings, &EndpointId::new(endpoint)?, &Order::Role { role }).await
 }
 
-fn parse(text: &str) -> Result<Load, Failure> {
-    Load::parse(text).map_err(|e| Failure::new(Code::BadChange, &e.to_string()))
+fn parse(text: &str) -> Result<ModelRef, Failure> {
+    ModelRef::parse(text).map_err(|e| Failure::new(Code::BadChange, &e.to_string()))
 }
--- a/crates/nutmeggrade-core/src/config.rs
+++ b/crates/nutmeggrade-core/src/config.rs
@@ -12,7 +12,7 @@
 
 pub use change::Change;
 pub use configuration::{CONFIG_PREFIX, Configuration};
-pub use known_names::Known;
+pub use known_names::KnownNames;
 pub use operation_class::OperationClass;
 pub use preset::{Limits, ModelClass, Preset};
 pub use preset_check::{MAX_CONTEXT, MAX_DEADLINE, MAX_QUEUE};
--- a/crates/nutmeggrade-core/src/config/known_names.rs
+++ b/crates/nutmeggrade-core/src/config/known_names.rs
@@ -15,14 +15,14 @@
 /// receiving work. An unlisted name is therefore refused rather than warned about. Because the
 /// lists lag, the operator can override a single refusal by its code.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownNames {
     /// Failure domains of instances and endpoints.
     pub domains: BTreeSet<DomainId>,
     /// Ids of endpoints.
     pub endpoints: BTreeSet<EndpointId>,
 }
 
-impl Known {
+impl KnownNames {
     /// Collects the names from the platform's lists.
     pub fn new(endpoints: &[Endpoint], instances: &[Entry]) -> Self {
         let endpoint_domains = endpoints.iter().map(|e| e.domain.clone());
@@ -36,7 +36,7 @@
     /// Refuses a change that uses an unknown name or leaves no failure domain in service.
     ///
     /// `confirmed` is the number of the result code that the operator overrides.
-    pub fn judge(
+    pub fn check_change(
         &self,
         current: Option<&Configuration>,
         change: &Change,
--- a/crates/nutmeggrade-core/src/engine.rs
+++ b/crates/nutmeggrade-core/src/engine.rs
@@ -7,10 +7,10 @@
 mod token;
 
 pub use cache_event::CacheEvent;
-pub use engine_status::Standing;
+pub use engine_status::EngineStatus;
 pub use generate_request::GenerateRequest;
 pub use load_report::LoadReport;
-pub use token::{Finish, Token};
+pub use token::{FinishReason, Token};
 
 /// Path for starting, resuming and canceling generations on an engine.
 pub const GENERATIONS_PATH: &str = "/v1/generations";
--- a/crates/nutmeggrade-core/src/engine/engine_status.rs
+++ b/crates/nutmeggrade-core/src/engine/engine_status.rs
@@ -6,7 +6,7 @@
 
 /// An engine's load and whether it is shutting down.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct EngineStatus {
     /// The load report.
     #[serde(flatten)]
     pub load: LoadReport,
--- a/crates/nutmeggrade-core/src/engine/token.rs
+++ b/crates/nutmeggrade-core/src/engine/token.rs
@@ -7,7 +7,7 @@
 /// Why a generation ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Finish {
+pub enum FinishReason {
     /// The model ended its answer.
     Stop,
     /// The token limit was reached.
@@ -25,5 +25,5 @@
     pub text: String,
     /// Set on the last token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub finish: Option<Finish>,
+    pub finish: Option<FinishReason>,
 }
--- a/crates/nutmeggrade-core/src/order/desired_state.rs
+++ b/crates/nutmeggrade-core/src/order/desired_state.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Load, Order, Role};
+use super::{ModelRef, Order, Role};
 use crate::id::{ChangeId, EndpointId};
 
 /// Key prefix of desired states in the platform's object store, one object per version.
@@ -30,7 +30,7 @@
     /// The order that produced this version.
     pub change: Order,
     /// Whether each item must be loaded or unloaded; unlisted items are left unchanged.
-    pub loads: BTreeMap<Load, bool>,
+    pub loads: BTreeMap<ModelRef, bool>,
     /// The role; absent until one is ordered.
     pub role: Option<Role>,
 }
--- a/crates/nutmeggrade-core/src/order/engine_order.rs
+++ b/crates/nutmeggrade-core/src/order/engine_order.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Load;
+use super::ModelRef;
 
 /// Path of an engine's orders: `POST` sends an order, `GET` reads the engine's state.
 pub const ORDERS_PATH: &str = "/orders";
@@ -41,12 +41,12 @@
     /// Loads a model, version or adapter.
     Load {
         /// The item to load.
-        load: Load,
+        load: ModelRef,
     },
     /// Unloads a model, version or adapter.
     Unload {
         /// The item to unload.
-        load: Load,
+        load: ModelRef,
     },
     /// Changes the role.
     Role {
@@ -81,9 +81,9 @@
     /// Highest fencing token seen; 0 for an engine that does not check fencing.
     pub fence: u64,
     /// Loaded items.
-    pub loaded: BTreeSet<Load>,
+    pub loaded: BTreeSet<ModelRef>,
     /// Items being loaded.
-    pub loading: BTreeSet<Load>,
+    pub loading: BTreeSet<ModelRef>,
     /// The role.
     pub role: Role,
 }
--- a/crates/nutmeggrade-core/src/order/load.rs
+++ b/crates/nutmeggrade-core/src/order/model_ref.rs
@@ -1,4 +1,4 @@
-//! Models, versions and adapters that an engine can load.
+//! References to models, versions and adapters that an engine can load.
 
 use std::fmt;
 
@@ -21,10 +21,12 @@
 
 impl std::error::Error for ParseModelRefError {}
 
-/// A model, a version of it, or an adapter for it; written as `MODEL[@VERSION][+ADAPTER]`.
+/// Reference to a model, a version of it, or an adapter for it.
+///
+/// Written as `MODEL[@VERSION][+ADAPTER]`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Load {
+pub struct ModelRef {
     /// The model.
     pub model: ModelId,
     /// The version; the engine's default if absent.
@@ -33,7 +35,7 @@
     pub adapter: Option<AdapterId>,
 }
 
-impl Load {
+impl ModelRef {
     /// Parses `MODEL[@VERSION][+ADAPTER]`.
     pub fn parse(text: &str) -> Result<Self, ParseModelRefError> {
         let to_error = |source| ParseModelRefError { text: text.to_owned(), source };
@@ -50,7 +52,7 @@
     }
 }
 
-impl fmt::Display for Load {
+impl fmt::Display for ModelRef {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.model)?;
         if let Some(version) = &self.version {
@@ -63,7 +65,7 @@
     }
 }
 
-impl TryFrom<String> for Load {
+impl TryFrom<String> for ModelRef {
     type Error = ParseModelRefError;
 
     fn try_from(text: String) -> Result<Self, ParseModelRefError> {
@@ -71,8 +73,8 @@
     }
 }
 
-impl From<Load> for String {
-    fn from(load: Load) -> Self {
-        load.to_string()
+impl From<ModelRef> for String {
+    fn from(reference: ModelRef) -> Self {
+        reference.to_string()
     }
 }
--- a/crates/nutmeggrade-core/src/peer.rs
+++ b/crates/nutmeggrade-core/src/peer.rs
@@ -13,7 +13,7 @@
 pub use envelope::{EnvelopeError, MAX_FRAME_BYTES, WIRE_VERSION, open, seal};
 pub use fleet_beacon::{Contacts, FleetBeacon, InstanceAddresses, Introduction, Revisions};
 pub use fleet_message::{
-    Crashed, DomainPart, EndpointUpdate, EndpointUpdateBatch, Fingerprint, FleetMessage,
+    DomainPart, EndpointCrash, EndpointUpdate, EndpointUpdateBatch, Fingerprint, FleetMessage,
     FleetOutcomes, InstanceLoad,
 };
 pub use suspect::{Crash, PromptHash, Suspect};
--- a/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
@@ -29,7 +29,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Introduction {
     /// The sender's addresses.
-    pub seat: InstanceAddresses,
+    #[serde(rename = "seat")]
+    pub sender: InstanceAddresses,
     /// Heartbeat addresses of a few other instances that the sender heard from recently.
     pub others: Contacts,
 }
--- a/crates/nutmeggrade-core/src/peer/fleet_message.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_message.rs
@@ -45,7 +45,7 @@
 
 /// Death of an endpoint while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Crashed {
+pub struct EndpointCrash {
     /// The request.
     pub request: Fingerprint,
     /// The endpoint.
@@ -76,7 +76,7 @@
     /// because instances use it to take turns in copying.
     Moving(InstanceLoad),
     /// An endpoint died while running a request of the sender.
-    Crashed(Crashed),
+    Crashed(EndpointCrash),
     /// Endpoints that announced to the sender that they are shutting down.
     Leaving(Vec<EndpointId>),
     /// Endpoints that refused the sender's connection because nothing listens at their address.
--- a/crates/nutmeggrade-core/src/peer/suspect.rs
+++ b/crates/nutmeggrade-core/src/peer/suspect.rs
@@ -39,7 +39,8 @@
     #[serde(rename = "age_ms")]
     pub age: Duration,
     /// Whether the crash came before the request's first token.
-    pub first: bool,
+    #[serde(rename = "first")]
+    pub before_token: bool,
     /// Whether the request was the only suspect running in the fleet.
     pub trial: bool,
 }
--- a/crates/nutmeggrade-core/src/rollout/latencies.rs
+++ b/crates/nutmeggrade-core/src/rollout/latencies.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns, for each bucket but the first, the number of durations in it or in higher ones.
-    pub fn above(&self) -> impl Iterator<Item = u32> {
+    pub fn cumulative_counts(&self) -> impl Iterator<Item = u32> {
         let count_from = |bucket: usize| self.0[bucket..].iter().sum();
         (1..BUCKET_COUNT).map(count_from)
     }
--- a/crates/nutmeggrade-core/src/rollout/outcome.rs
+++ b/crates/nutmeggrade-core/src/rollout/outcome.rs
@@ -8,7 +8,7 @@
     /// The endpoint failed, cut its response off or sent none.
     Failed,
     /// Time to the response, or to the first event of a stream.
-    First(Duration),
+    FirstResponse(Duration),
     /// Average time between events of a stream.
-    Pace(Duration),
+    EventInterval(Duration),
 }
--- a/crates/nutmeggrade-core/src/rollout/outcomes.rs
+++ b/crates/nutmeggrade-core/src/rollout/outcomes.rs
@@ -12,10 +12,10 @@
     pub failures: u32,
     /// Time to the response or to the first event.
     #[serde(rename = "l")]
-    pub first: Latencies,
+    pub first_response: Latencies,
     /// Average time between events of a stream.
     #[serde(rename = "p")]
-    pub pace: Latencies,
+    pub event_interval: Latencies,
 }
 
 impl Outcomes {
@@ -23,21 +23,21 @@
     pub fn add(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Failed => self.failures = self.failures.saturating_add(1),
-            Outcome::First(time) => self.first.add(time),
-            Outcome::Pace(time) => self.pace.add(time),
+            Outcome::FirstResponse(time) => self.first_response.add(time),
+            Outcome::EventInterval(time) => self.event_interval.add(time),
         }
     }
 
     /// Returns the number of requests that were answered or failed.
     pub fn count(&self) -> u32 {
-        self.failures.saturating_add(self.first.count())
+        self.failures.saturating_add(self.first_response.count())
     }
 
     /// Adds the counts of `other`.
     pub fn merge(&mut self, other: &Self) {
         self.failures = self.failures.saturating_add(other.failures);
-        self.first.merge(&other.first);
-        self.pace.merge(&other.pace);
+        self.first_response.merge(&other.first_response);
+        self.event_interval.merge(&other.event_interval);
     }
 
     /// Returns the counts since the earlier state `earlier`.
@@ -45,8 +45,8 @@
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             failures: self.failures.saturating_sub(earlier.failures),
-            first: self.first.since(&earlier.first),
-            pace: self.pace.since(&earlier.pace),
+            first_response: self.first_response.since(&earlier.first_response),
+            event_interval: self.event_interval.since(&earlier.event_interval),
         }
     }
 }
--- a/crates/nutmeggrade-core/src/routing/engine_spec.rs
+++ b/crates/nutmeggrade-core/src/routing/engine_spec.rs
@@ -14,9 +14,9 @@
     /// Transfer rate of key/value memory between engines, in megabits per second.
     pub link_mbps: f64,
     /// Whether a running generation can move to another engine.
-    pub moves: bool,
+    pub can_move: bool,
     /// Whether an engine can replicate a running generation's memory to another engine in advance.
-    pub replicas: bool,
+    pub can_replicate: bool,
     /// Number of tokens per event of a stream.
     pub stride: u32,
     /// Time for which an unused copy is kept.
--- a/crates/nutmeggrade-core/src/routing/prompt.rs
+++ b/crates/nutmeggrade-core/src/routing/prompt.rs
@@ -19,7 +19,7 @@
     /// Length of the prompt, in tokens.
     pub tokens: u64,
     /// Maximum length of the answer, in tokens.
-    pub most: u64,
+    pub max_tokens: u64,
     /// The client's estimate of the answer's length, in tokens; accurate only at the median.
     pub hint: Option<u64>,
     /// The leading parts of the prompt, in order.
@@ -29,6 +29,6 @@
 impl Prompt {
     /// Returns the answer's expected length in tokens: the client's estimate, up to the maximum.
     pub fn expected(&self) -> u64 {
-        self.hint.unwrap_or(self.most).min(self.most)
+        self.hint.unwrap_or(self.max_tokens).min(self.max_tokens)
     }
 }
--- a/crates/nutmeggrade-core/src/routing/route_kind.rs
+++ b/crates/nutmeggrade-core/src/routing/route_kind.rs
@@ -15,12 +15,12 @@
 
 impl RouteKind {
     /// Returns whether a request that may have run can be sent again.
-    pub const fn repeats(self) -> bool {
+    pub const fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 
     /// Returns whether answers are event streams.
-    pub const fn streams(self) -> bool {
+    pub const fn is_streaming(self) -> bool {
         matches!(self, Self::Streaming | Self::Resumable)
     }
 }
--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -50,7 +50,7 @@
 }
 
 fn beacon(number: u32, sequence: u64) -> anyhow::Result<FleetBeacon> {
-    let introduction = Introduction { seat: seat(number)?, others: Contacts::new() };
+    let introduction = Introduction { sender: seat(number)?, others: Contacts::new() };
     Ok(FleetBeacon {
         instance: name(number)?,
         incarnation: 1,
--- a/crates/nutmeggrade-fakes/src/engine/orders.rs
+++ b/crates/nutmeggrade-fakes/src/engine/orders.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use nutmeggrade_core::order::{EngineState, FencedOrder, Load, Order};
+use nutmeggrade_core::order::{EngineState, FencedOrder, ModelRef, Order};
 use serde::Serialize;
 use tokio::time::Instant;
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct Orders {
     state: EngineState,
-    loading: Option<(Instant, Load)>,
+    loading: Option<(Instant, ModelRef)>,
     /// Time that a load takes.
     pub load_time: Duration,
     /// Whether old fencing numbers are obeyed.
--- a/crates/nutmeggrade-fakes/src/engine/server.rs
+++ b/crates/nutmeggrade-fakes/src/engine/server.rs
@@ -6,7 +6,7 @@
 
 use http::StatusCode;
 use nutmeggrade_core::engine::{
-    CACHE_EVENTS_PATH, GENERATIONS_PATH, GenerateRequest, LOAD_PATH, LoadReport, Standing,
+    CACHE_EVENTS_PATH, EngineStatus, GENERATIONS_PATH, GenerateRequest, LOAD_PATH, LoadReport,
 };
 use nutmeggrade_core::id::GenerationId;
 use nutmeggrade_core::order::{FencedOrder, ORDERS_PATH};
@@ -114,7 +114,7 @@
     };
     let load = LoadReport { age: at.elapsed(), ..report.clone() };
     let leaving = inner.faults.leaving == Some(true);
-    Ok(Response::json(Standing { load, leaving })?)
+    Ok(Response::json(EngineStatus { load, leaving })?)
 }
 
 async fn cache_events(req: Request) -> Result<Response> {
--- a/crates/nutmeggrade-fakes/src/engine/state.rs
+++ b/crates/nutmeggrade-fakes/src/engine/state.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use nutmeggrade_core::engine::{Finish, GenerateRequest, LoadReport, Token};
+use nutmeggrade_core::engine::{FinishReason, GenerateRequest, LoadReport, Token};
 use nutmeggrade_core::id::GenerationId;
 use nutmeggrade_core::moment::Moment;
 use tokio::sync::Notify;
@@ -140,7 +140,7 @@
         match event {
             Event::Token { generation, offset, last } => {
                 let text = format!("w{offset} ");
-                let finish = last.then_some(Finish::Stop);
+                let finish = last.then_some(FinishReason::Stop);
                 let token = Token { generation, offset, text, finish };
                 if let Some(answer) = self.answers.get_mut(&generation) {
                     answer.tokens.push(token);
--- a/crates/nutmeggrade-fakes/src/rollout/world/traffic.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/world/traffic.rs
@@ -108,13 +108,13 @@
             if request.course.fails {
                 note(Outcome::Failed);
             } else if is_warm {
-                note(Outcome::First(request.first.since(request.sent)));
+                note(Outcome::FirstResponse(request.first.since(request.sent)));
             }
         }
         if request.paced_at.is_some_and(|at| now >= at) {
             request.paced_at = None;
             if !request.has_moved && is_warm {
-                note(Outcome::Pace(request.course.pace));
+                note(Outcome::EventInterval(request.course.pace));
             }
         }
         if now >= request.end {
--- a/crates/nutmeggrade-policy/src/rollout/evidence.rs
+++ b/crates/nutmeggrade-policy/src/rollout/evidence.rs
@@ -51,8 +51,8 @@
     let RouteOutcomes { old, new } = outcomes;
     let found = [
         (Complaint::Fails, failures(old, new)),
-        (Complaint::StartsLate, lateness(&old.first, &new.first)),
-        (Complaint::StreamsSlowly, lateness(&old.pace, &new.pace)),
+        (Complaint::StartsLate, lateness(&old.first_response, &new.first_response)),
+        (Complaint::StreamsSlowly, lateness(&old.event_interval, &new.event_interval)),
     ];
     let least = found.into_iter().min_by(|a, b| a.1.total_cmp(&b.1));
     match least {
@@ -82,7 +82,7 @@
     let (old_count, new_count) = (old.count(), new.count());
     let mut least: f64 = 1.0;
     let mut bounds = 0_u32;
-    for (old_above, new_above) in old.above().zip(new.above()) {
+    for (old_above, new_above) in old.cumulative_counts().zip(new.cumulative_counts()) {
         if new_above == 0 || old_above == old_count {
             continue;
         }
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -235,7 +235,7 @@
         let tables = lock(&node.tables);
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed);
         let introduction = FleetBeacon::includes_introduction(sequence, rand::random::<f64>())
-            .then(|| Introduction { seat: node.seat.clone(), others: tables.fleet.others(now) });
+            .then(|| Introduction { sender: node.seat.clone(), others: tables.fleet.others(now) });
         FleetBeacon {
             instance: node.settings().instance.clone(),
             incarnation: node.incarnation,
--- a/crates/nutmeggrade-relay/src/relay/crash.rs
+++ b/crates/nutmeggrade-relay/src/relay/crash.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use http::Uri;
-use nutmeggrade_core::peer::{Crashed, Fingerprint, FleetMessage};
+use nutmeggrade_core::peer::{EndpointCrash, Fingerprint, FleetMessage};
 use nutmeggrade_core::routing::{EndpointInfo, Prompt, WorkspaceKey};
 
 use super::call::Call;
@@ -48,8 +48,11 @@
     let node = Arc::clone(node);
     let id = call.id.clone();
     let endpoint = endpoint.clone();
-    let crashed =
-        Crashed { request: call.fingerprint, endpoint: endpoint.id.clone(), born: endpoint.born };
+    let crashed = EndpointCrash {
+        request: call.fingerprint,
+        endpoint: endpoint.id.clone(),
+        born: endpoint.born,
+    };
     tokio::spawn(async move {
         let Err(error) = dial(endpoint.address).await else {
             probes::start(&node, &endpoint);
--- a/crates/nutmeggrade-relay/src/relay/search.rs
+++ b/crates/nutmeggrade-relay/src/relay/search.rs
@@ -201,7 +201,7 @@
         if is_stream || is_large {
             self.attempt.answer();
             if !is_stream {
-                self.note_outcome(&place.endpoint, Outcome::First(took));
+                self.note_outcome(&place.endpoint, Outcome::FirstResponse(took));
             }
             self.note("answered", &place.endpoint.id);
             return Ok(Step::Done(Found::Begun(Box::new(Begun { answer, place }))));
@@ -230,7 +230,7 @@
             }
         } else {
             self.attempt.answer();
-            self.note_outcome(&place.endpoint, Outcome::First(took));
+            self.note_outcome(&place.endpoint, Outcome::FirstResponse(took));
             self.note("answered", &endpoint);
             self.node.note_health(&endpoint, Health::succeeded);
         }
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -174,7 +174,7 @@
         let mut tables = lock(&self.node.tables);
         if self.began.is_none() {
             self.began = Some(now);
-            let first = Outcome::First(now.since(self.sent));
+            let first = Outcome::FirstResponse(now.since(self.sent));
             tables.note_outcome(&self.place.endpoint, &self.call.route.name, first, now);
             tables.dispatcher.book.has_read(self.place.ticket);
             tables.release(now);
@@ -192,7 +192,7 @@
         let Some(began) = self.began.filter(|_| events >= fewest && !self.is_paced) else { return };
         self.is_paced = true;
         let pace = now.since(began).div_f64(events as f64);
-        self.note_outcome(Outcome::Pace(pace), now);
+        self.note_outcome(Outcome::EventInterval(pace), now);
     }
 
     fn note_outcome(&self, outcome: Outcome, now: Moment) {
@@ -225,7 +225,7 @@
 
     /// Begins to take the generation along if its endpoint leaves.
     fn escape_if_leaving(&self) -> Option<Escape> {
-        self.engine.filter(|e| e.moves)?;
+        self.engine.filter(|e| e.can_move)?;
         let is_parting = lock(&self.node.tables).registry.is_parting(&self.place.endpoint.id);
         is_parting.then(|| Escape::start(self))
     }
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -129,7 +129,7 @@
         let is_warm = self.registry.get(&endpoint.id).is_some_and(|e| e.is_warm(now));
         let counts = match outcome {
             Outcome::Failed => !self.registry.is_parting(&endpoint.id),
-            Outcome::First(_) | Outcome::Pace(_) => is_warm,
+            Outcome::FirstResponse(_) | Outcome::EventInterval(_) => is_warm,
         };
         if counts {
             let version = endpoint.version.as_ref();
@@ -168,7 +168,7 @@
             slots: engine.map_or(info.slots, |e| e.slots),
             running: book.at(&info.id).requests,
             own: book.own().get(&info.id).map_or(0, |p| p.requests),
-            is_movable: engine.is_some_and(|e| e.moves),
+            is_movable: engine.is_some_and(|e| e.can_move),
         };
         Surroundings::new(&self.registry, (service, version), load, now)
     }
--- a/crates/nutmeggrade-state/src/attempt.rs
+++ b/crates/nutmeggrade-state/src/attempt.rs
@@ -43,7 +43,7 @@
     pub fn may_send(&self) -> bool {
         self.stage == Stage::Waiting
             && self.sends < self.most
-            && (self.run == Run::NotRun || self.kind.repeats())
+            && (self.run == Run::NotRun || self.kind.is_repeatable())
     }
 
     /// Notes that the request is handed to an endpoint, before its first byte goes out.
--- a/crates/nutmeggrade-state/src/crash_log.rs
+++ b/crates/nutmeggrade-state/src/crash_log.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Crashed, Fingerprint};
+use nutmeggrade_core::peer::{EndpointCrash, Fingerprint};
 use nutmeggrade_core::prelude::*;
 
 /// Endpoints that a request must have taken down before it is held back. One that was merely beside
@@ -39,7 +39,7 @@
     }
 
     /// Notes that an endpoint died under a request.
-    pub fn note(&mut self, crashed: &Crashed, now: Moment) {
+    pub fn note(&mut self, crashed: &EndpointCrash, now: Moment) {
         self.forget(now);
         if self.marks.len() >= MOST && !self.marks.contains_key(&crashed.request) {
             return;
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -135,7 +135,7 @@
         if is_old {
             return false;
         }
-        let introduction = beacon.introduction.as_ref().map(|introduction| &introduction.seat);
+        let introduction = beacon.introduction.as_ref().map(|introduction| &introduction.sender);
         let same_life = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.seat);
         // A peer that was never introduced is not reached yet; its next introduction comes soon.
         let Some(seat) = introduction.or(same_life).cloned() else { return false };
--- a/crates/nutmeggrade-state/src/fleet_view/reach.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/reach.rs
@@ -141,7 +141,7 @@
         if self.contacts.len() <= FANOUT || told >= super::HANDED_ON {
             return None;
         }
-        let newcomer = introduction.seat.beacon;
+        let newcomer = introduction.sender.beacon;
         let known = |(a, c): (&SocketAddr, &Contact)| c.domain.clone().map(|d| (*a, d));
         let all: Vec<(SocketAddr, DomainId)> =
             self.contacts.iter().filter(|(a, _)| **a != newcomer).filter_map(known).collect();
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -164,7 +164,7 @@
             let seen = |c: &Crash| Seen {
                 engine: c.engine.clone(),
                 at: before(now, c.age),
-                first: c.first,
+                first: c.before_token,
                 trial: c.trial,
             };
             Mark {
@@ -193,7 +193,7 @@
             let crash = |c: &Seen| Crash {
                 engine: c.engine.clone(),
                 age: now.since(c.at),
-                first: c.first,
+                before_token: c.first,
                 trial: c.trial,
             };
             Suspect {
--- a/crates/nutmeggrade/src/engine_client.rs
+++ b/crates/nutmeggrade/src/engine_client.rs
@@ -13,7 +13,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use nutmeggrade_core::engine::{GENERATIONS_PATH, GenerateRequest, LOAD_PATH, Standing, Token};
+use nutmeggrade_core::engine::{EngineStatus, GENERATIONS_PATH, GenerateRequest, LOAD_PATH, Token};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::{body_bytes, call, call_if, json_body};
 use tokio::time::timeout;
@@ -159,7 +159,11 @@
     }
 
     /// Asks for the load and whether the engine stays; `wait` bounds the whole exchange.
-    pub async fn standing(&self, address: SocketAddr, wait: Duration) -> anyhow::Result<Standing> {
+    pub async fn standing(
+        &self,
+        address: SocketAddr,
+        wait: Duration,
+    ) -> anyhow::Result<EngineStatus> {
         let uri = format!("http://{address}{LOAD_PATH}");
         let request = Request::builder().uri(uri).body(Full::default()).context("build request")?;
         let exchange = async {
--- a/crates/nutmeggrade/src/generation/chunk.rs
+++ b/crates/nutmeggrade/src/generation/chunk.rs
@@ -1,6 +1,6 @@
 //! The usual completion API's answer objects.
 
-use nutmeggrade_core::engine::{Finish, Token};
+use nutmeggrade_core::engine::{FinishReason, Token};
 use nutmeggrade_core::prelude::*;
 use serde::Serialize;
 
@@ -8,7 +8,7 @@
 struct Choice<'a> {
     index: u32,
     text: &'a str,
-    finish_reason: Option<Finish>,
+    finish_reason: Option<FinishReason>,
 }
 
 /// One `text_completion` object, as a stream's chunk or as the whole answer.
@@ -30,7 +30,7 @@
         model: &'a ModelId,
         generation: GenerationId,
         text: &'a str,
-        finish: Option<Finish>,
+        finish: Option<FinishReason>,
     ) -> Self {
         let choice = Choice { index: 0, text, finish_reason: finish };
         Self {
@@ -47,7 +47,7 @@
     model: &'a ModelId,
     generation: GenerationId,
     text: &'a str,
-    finish: Option<Finish>,
+    finish: Option<FinishReason>,
 ) -> Chunk<'a> {
     Chunk::with_text(model, generation, text, finish)
 }
--- a/tests/suite/core/order.rs
+++ b/tests/suite/core/order.rs
@@ -2,18 +2,18 @@
 
 use std::collections::BTreeSet;
 
-use nutmeggrade_core::order::{DesiredState, EngineState, Load, Order, Role};
+use nutmeggrade_core::order::{DesiredState, EngineState, ModelRef, Order, Role};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::order_plan::{NextStep, next_step};
 use nutmeggrade_state::order_table::OrderTable;
 use rstest::rstest;
 
-fn load(text: &str) -> Load {
-    Load::parse(text).expect("load")
+fn load(text: &str) -> ModelRef {
+    ModelRef::parse(text).expect("load")
 }
 
 fn reads(text: &str, expected: Option<&str>) {
-    let read = Load::parse(text).ok().map(|l| l.to_string());
+    let read = ModelRef::parse(text).ok().map(|l| l.to_string());
     assert_eq!(read.as_deref(), expected);
 }
 
@@ -49,7 +49,7 @@
 }
 
 fn state(fence: u64, loaded: &[&str], loading: &[&str], role: Role) -> EngineState {
-    let set = |names: &[&str]| -> BTreeSet<Load> { names.iter().map(|n| load(n)).collect() };
+    let set = |names: &[&str]| -> BTreeSet<ModelRef> { names.iter().map(|n| load(n)).collect() };
     EngineState { fence, loaded: set(loaded), loading: set(loading), role }
 }
 
--- a/tests/suite/core/preset.rs
+++ b/tests/suite/core/preset.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::Path;
 
-use nutmeggrade_core::config::{Change, Known};
+use nutmeggrade_core::config::{Change, KnownNames};
 use nutmeggrade_core::prelude::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -73,8 +73,8 @@
     let out = Change::DomainOut { domain: domain("gooi") };
     let now = first.next(id, "anna", "work", &out).expect("next");
     let endpoints = [EndpointId::new("engine-0").expect("id")].into();
-    let known = Known { domains: [domain("gooi"), domain("veluwe")].into(), endpoints };
-    assert_eq!(known.judge(Some(&now), change, confirmed).err().map(|f| f.code), expected);
+    let known = KnownNames { domains: [domain("gooi"), domain("veluwe")].into(), endpoints };
+    assert_eq!(known.check_change(Some(&now), change, confirmed).err().map(|f| f.code), expected);
 }
 
 fn out(name: &str) -> Change {
--- a/tests/suite/core/rollouts.rs
+++ b/tests/suite/core/rollouts.rs
@@ -77,8 +77,8 @@
             for is_new in [false, true] {
                 let time = Duration::from_millis(ms);
                 let name = format!("r-long-name-of-route-{route}");
-                tally.add(&name, is_new, Outcome::First(time));
-                tally.add(&name, is_new, Outcome::Pace(time));
+                tally.add(&name, is_new, Outcome::FirstResponse(time));
+                tally.add(&name, is_new, Outcome::EventInterval(time));
             }
         }
     }
--- a/tests/suite/operators/orders.rs
+++ b/tests/suite/operators/orders.rs
@@ -5,7 +5,7 @@
 use anyhow::Context;
 use http::Method;
 use nix::sys::signal::Signal;
-use nutmeggrade_core::order::{EngineState, Load, ORDERS_PATH, OrderStatus, Progress};
+use nutmeggrade_core::order::{EngineState, ModelRef, ORDERS_PATH, OrderStatus, Progress};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_fakes::fleet::{Fleet, Plan};
 use nutmeggrade_fakes::http::{ask, send};
@@ -160,7 +160,7 @@
             async move { ask::<EngineState>(address, Method::GET, ORDERS_PATH, None).await }
         };
         for engine in ["engine-0", "engine-1"] {
-            assert!(state(engine).await?.loaded.contains(&Load::parse("m@2")?), "{engine}");
+            assert!(state(engine).await?.loaded.contains(&ModelRef::parse("m@2")?), "{engine}");
         }
         Ok(())
     });
--- a/tests/suite/policy/rollouts.rs
+++ b/tests/suite/policy/rollouts.rs
@@ -19,7 +19,7 @@
             Outcome::Failed
         } else {
             let times = if number < failed + slow { 4 } else { 1 };
-            Outcome::First(Duration::from_millis(u64::from(40 + number % 50) * times))
+            Outcome::FirstResponse(Duration::from_millis(u64::from(40 + number % 50) * times))
         };
         tally.add(route, is_new, outcome);
     }
@@ -66,7 +66,7 @@
     for number in 0..240_u64 {
         let times = if number >= 200 && number % 2 == 0 { 4 } else { 1 };
         let pace = Duration::from_millis((20 + number % 20) * times);
-        tally.add("lookups", number >= 200, Outcome::Pace(pace));
+        tally.add("lookups", number >= 200, Outcome::EventInterval(pace));
     }
     assert_eq!(compare(&tally).as_str(), "bad");
 }
--- a/tests/suite/random/attempts.rs
+++ b/tests/suite/random/attempts.rs
@@ -67,7 +67,7 @@
                 truth = Truth { most: *most, ..Truth::default() };
             }
             Step::Send if attempt.may_send() => {
-                if truth.may_have_run() && !kind.repeats() {
+                if truth.may_have_run() && !kind.is_repeatable() {
                     return Err("sent again what may have run".to_owned());
                 }
                 attempt.send();
@@ -82,7 +82,7 @@
             Step::Lost if truth.answering => {
                 attempt.lost();
                 truth.answering = false;
-                if !attempt.may_send() && kind.repeats() && truth.handed < truth.most {
+                if !attempt.may_send() && kind.is_repeatable() && truth.handed < truth.most {
                     return Err("an answer that broke off can't go on elsewhere".to_owned());
                 }
             }
--- a/tests/suite/random/generations.rs
+++ b/tests/suite/random/generations.rs
@@ -1,6 +1,6 @@
 //! Streams of generations, cut, repeated, crossed and resumed at any instance.
 
-use nutmeggrade_core::engine::{Finish, Token};
+use nutmeggrade_core::engine::{FinishReason, Token};
 use nutmeggrade_core::event_id::EventId;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::delivery::{Delivery, Step};
@@ -87,7 +87,7 @@
         let offset = self.decoded.len() as u64;
         let generation = self.delivery.generation();
         let text = format!("{generation} {offset}");
-        let finish = last.then_some(Finish::Stop);
+        let finish = last.then_some(FinishReason::Stop);
         self.decoded.push(Token { generation, offset, text, finish });
     }
 
--- a/tests/suite/state/crash_log.rs
+++ b/tests/suite/state/crash_log.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use nutmeggrade_core::peer::Crashed;
+use nutmeggrade_core::peer::EndpointCrash;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::crash_log::CrashLog;
 
-fn crashed(request: u8, endpoint: u8, born: u64) -> Crashed {
+fn crashed(request: u8, endpoint: u8, born: u64) -> EndpointCrash {
     let endpoint = EndpointId::new(&format!("e-{endpoint}")).expect("an id");
-    Crashed { request: [request; 16], endpoint, born }
+    EndpointCrash { request: [request; 16], endpoint, born }
 }
 
 const NOW: Moment = Moment::from_millis(1_000);
--- a/tests/suite/state/fleet_view.rs
+++ b/tests/suite/state/fleet_view.rs
@@ -93,7 +93,7 @@
             .zip(1..)
             .map(|(view, number)| {
                 let others = view.others(NOW);
-                let introduction = Some(Introduction { seat: seat(number), others });
+                let introduction = Some(Introduction { sender: seat(number), others });
                 (view.targets(), FleetBeacon { introduction, ..beacon(number, round) })
             })
             .collect();
@@ -170,7 +170,7 @@
         if number > 3 {
             seat.domain = far.clone();
         }
-        let introduction = Some(Introduction { seat, others: Contacts::new() });
+        let introduction = Some(Introduction { sender: seat, others: Contacts::new() });
         view.hear(&FleetBeacon { introduction, ..beacon(number, 1) }, NOW);
     }
     let near = DomainId::new("veluwe").expect("an id");
@@ -213,7 +213,7 @@
 }
 
 fn beacon_of(number: u8, sequence: u64) -> FleetBeacon {
-    let introduction = Some(Introduction { seat: seat_of(number), others: Contacts::new() });
+    let introduction = Some(Introduction { sender: seat_of(number), others: Contacts::new() });
     FleetBeacon { introduction, ..beacon(number, sequence) }
 }
 
@@ -266,7 +266,7 @@
     assert_eq!(fresh.targets().len(), 12);
     let others = (1..=8).map(|n| seat(n).beacon).collect();
     let others = Contacts::from([(seat(1).domain, others)]);
-    let introduction = Some(Introduction { seat: seat(78), others });
+    let introduction = Some(Introduction { sender: seat(78), others });
     assert_eq!(views[0].welcome(&FleetBeacon { introduction, ..beacon(78, 1) }), None);
     assert_eq!(view(1).welcome(&beacon(77, 1)), None);
 }
--- a/tests/suite/state/heartbeat.rs
+++ b/tests/suite/state/heartbeat.rs
@@ -11,7 +11,7 @@
         instance: instance.clone(),
         incarnation: 100,
         sequence,
-        introduction: Some(Introduction { seat: seat.clone(), others: Contacts::new() }),
+        introduction: Some(Introduction { sender: seat.clone(), others: Contacts::new() }),
         leaving: false,
         reads: true,
         revisions: Revisions::default(),
