--- a/crates/nutmegctl/src/change.rs
+++ b/crates/nutmegctl/src/change.rs
@@ -4,9 +4,11 @@
 
 use anyhow::Context;
 use http::Method;
-use nutmeggrade_core::config::{CONFIG_PREFIX, Change, Known};
+use nutmeggrade_core::config::{CONFIG_PREFIX, Change, KnownNames};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_platform::{HttpPlatform, Platform, newest_config, raise_head, thin_out};
+use nutmeggrade_platform::{
+    HttpPlatform, Platform, advance_config_head, newest_config, strip_old_presets,
+};
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
@@ -78,11 +80,11 @@
     write(&platform, &Configuration::key(next.version), &next, &later).await?;
     let line = Line::new("accepted").with("version", next.version);
     line.with("change", next.id.as_str()).print(settings);
-    if let Err(error) = raise_head(&platform, next.version).await {
+    if let Err(error) = advance_config_head(&platform, next.version).await {
         // The hint only saves reads.
         eprintln!("hint not raised: {error}");
     }
-    if let Err(error) = thin_out(&platform, next.version).await {
+    if let Err(error) = strip_old_presets(&platform, next.version).await {
         eprintln!("old version not thinned out: {error}");
     }
     in_force(settings, &platform, &next).await
@@ -97,8 +99,8 @@
 ) -> anyhow::Result<()> {
     let endpoints = platform.endpoints().await.map_err(|e| down(&e))?;
     let instances = admin::instances(platform).await?;
-    let known = Known::new(&endpoints, &instances);
-    Ok(known.judge(now, change, settings.confirm)?)
+    let known = KnownNames::new(&endpoints, &instances);
+    Ok(known.check_change(now, change, settings.confirm)?)
 }
 
 /// Pushes an accepted version to every instance and waits until each has it in force.
--- a/crates/nutmeggrade-core/src/engine/token.rs
+++ b/crates/nutmeggrade-core/src/engine/token.rs
@@ -1,4 +1,4 @@
-//! One generated token.
+//! Tokens on an engine's stream.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 /// Why a generation ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Finish {
+pub enum FinishReason {
     /// The model ended its answer.
     Stop,
     /// The token limit was reached.
@@ -19,11 +19,11 @@
 pub struct Token {
     /// The generation it belongs to.
     pub generation: GenerationId,
-    /// Place in the answer, from 0.
+    /// Position in the answer, from 0.
     pub offset: u64,
-    /// The text.
+    /// Text of the token.
     pub text: String,
     /// Set on the last token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub finish: Option<Finish>,
+    pub finish: Option<FinishReason>,
 }
--- a/crates/nutmeggrade-core/src/id.rs
+++ b/crates/nutmeggrade-core/src/id.rs
@@ -1,10 +1,10 @@
-//! Names and numbers that identify things across processes.
+//! Identifiers shared between processes.
 
 mod generation_id;
 mod name;
 
 pub use generation_id::GenerationId;
 pub use name::{
-    AdapterId, BadName, ChangeId, DomainId, EndpointId, InstanceId, ModelId, PresetId, RequestId,
-    ServiceId, TaskId, VersionId, WorkspaceId,
+    AdapterId, ChangeId, DomainId, EndpointId, InstanceId, ModelId, ParseIdError, PresetId,
+    RequestId, ServiceId, TaskId, VersionId, WorkspaceId,
 };
--- a/crates/nutmeggrade-core/src/order/load.rs
+++ b/crates/nutmeggrade-core/src/order/model_ref.rs
@@ -1,56 +1,58 @@
-//! What an engine can load.
+//! References to models, versions and adapters that an engine can load.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-use crate::id::{AdapterId, BadName, ModelId, VersionId};
+use crate::id::{AdapterId, ModelId, ParseIdError, VersionId};
 
-/// Says that a text names nothing that can be loaded.
+/// Error for a text that is not of the form `MODEL[@VERSION][+ADAPTER]`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadLoad {
+pub struct ParseModelRefError {
     text: String,
-    cause: BadName,
+    source: ParseIdError,
 }
 
-impl fmt::Display for BadLoad {
+impl fmt::Display for ParseModelRefError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is not MODEL[@VERSION][+ADAPTER]: {}", self.text, self.cause)
+        write!(f, "{:?} is not MODEL[@VERSION][+ADAPTER]: {}", self.text, self.source)
     }
 }
 
-impl std::error::Error for BadLoad {}
+impl std::error::Error for ParseModelRefError {}
 
-/// A model, one version of it, or an adapter for it; `MODEL[@VERSION][+ADAPTER]` as text.
+/// Reference to a model, a version of it, or an adapter for it.
+///
+/// Written as `MODEL[@VERSION][+ADAPTER]`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Load {
+pub struct ModelRef {
     /// The model.
     pub model: ModelId,
-    /// The version; the engine's usual one if absent.
+    /// The version; the engine's default if absent.
     pub version: Option<VersionId>,
-    /// The adapter; the bare model if absent.
+    /// The adapter; the base model alone if absent.
     pub adapter: Option<AdapterId>,
 }
 
-impl Load {
-    /// Reads `MODEL[@VERSION][+ADAPTER]`.
-    pub fn parse(text: &str) -> Result<Self, BadLoad> {
-        let bad = |cause| BadLoad { text: text.to_owned(), cause };
+impl ModelRef {
+    /// Parses `MODEL[@VERSION][+ADAPTER]`.
+    pub fn parse(text: &str) -> Result<Self, ParseModelRefError> {
+        let to_error = |source| ParseModelRefError { text: text.to_owned(), source };
         let (rest, adapter) = match text.split_once('+') {
-            Some((rest, name)) => (rest, Some(AdapterId::new(name).map_err(bad)?)),
+            Some((rest, name)) => (rest, Some(AdapterId::new(name).map_err(to_error)?)),
             None => (text, None),
         };
         let (model, version) = match rest.split_once('@') {
-            Some((model, name)) => (model, Some(VersionId::new(name).map_err(bad)?)),
+            Some((model, name)) => (model, Some(VersionId::new(name).map_err(to_error)?)),
             None => (rest, None),
         };
-        let model = ModelId::new(model).map_err(bad)?;
+        let model = ModelId::new(model).map_err(to_error)?;
         Ok(Self { model, version, adapter })
     }
 }
 
-impl fmt::Display for Load {
+impl fmt::Display for ModelRef {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.model)?;
         if let Some(version) = &self.version {
@@ -63,16 +65,16 @@
     }
 }
 
-impl TryFrom<String> for Load {
-    type Error = BadLoad;
+impl TryFrom<String> for ModelRef {
+    type Error = ParseModelRefError;
 
-    fn try_from(text: String) -> Result<Self, BadLoad> {
+    fn try_from(text: String) -> Result<Self, ParseModelRefError> {
         Self::parse(&text)
     }
 }
 
-impl From<Load> for String {
-    fn from(load: Load) -> Self {
-        load.to_string()
+impl From<ModelRef> for String {
+    fn from(reference: ModelRef) -> Self {
+        reference.to_string()
     }
 }
--- /dev/null
+++ b/crates/nutmeggrade-core/src/peer/fleet_message.rs
@@ -0,0 +1,123 @@
+//! Messages between instances that serve routes, and updates that store readers forward to peers.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use super::{Contacts, FleetBeacon};
+use crate::id::{DomainId, EndpointId, InstanceId};
+use crate::rollout::{RolloutNotice, RolloutReport};
+use crate::routing::{EndpointInfo, Placed};
+
+/// An endpoint's new entry, or its removal.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EndpointUpdate {
+    /// The endpoint.
+    pub id: EndpointId,
+    /// The endpoint's entry; absent if it was removed or can't be parsed.
+    pub info: Option<EndpointInfo>,
+}
+
+/// All changes to endpoints between two revisions of the store.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EndpointUpdateBatch {
+    /// Revision that a receiver must have reached for the changes to be complete.
+    pub since: u64,
+    /// Revision after the changes.
+    pub revision: u64,
+    /// Whether removed entries may merely have expired during a store outage.
+    pub lapses: bool,
+    /// The changes, in order of revision.
+    pub changes: Vec<EndpointUpdate>,
+}
+
+/// The sender's current load at some endpoints.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct InstanceLoad {
+    /// The sender.
+    pub instance: InstanceId,
+    /// The sender's total load at each of these endpoints; zeros if it has none.
+    pub placed: BTreeMap<EndpointId, Placed>,
+}
+
+/// Fingerprint of a request's content, independent of the sender.
+pub type Fingerprint = [u8; 16];
+
+/// Death of an endpoint while it ran a request.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EndpointCrash {
+    /// The request.
+    pub request: Fingerprint,
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// Start time of the endpoint's process, in Unix milliseconds.
+    pub born: u64,
+}
+
+/// Outcomes of requests, by endpoint, since the sender's last such message.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FleetOutcomes {
+    /// The sender's failure domain.
+    pub domain: DomainId,
+    /// Number of failures and of all outcomes, failures included, for each endpoint.
+    pub answers: BTreeMap<EndpointId, (u32, u32)>,
+}
+
+/// A datagram between instances.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub enum FleetMessage {
+    /// A heartbeat.
+    Beacon(FleetBeacon),
+    /// Changes of endpoints.
+    News(EndpointUpdateBatch),
+    /// Load that instances have just placed; forwarded in batches with that of other instances.
+    Placed(Vec<InstanceLoad>),
+    /// Load of a sender that starts or finishes copying a generation; forwarded immediately,
+    /// because instances use it to take turns in copying.
+    Moving(InstanceLoad),
+    /// An endpoint died while running a request of the sender.
+    Crashed(EndpointCrash),
+    /// Endpoints that announced to the sender that they are shutting down.
+    Leaving(Vec<EndpointId>),
+    /// Endpoints that refused the sender's connection because nothing listens at their address.
+    Gone(Vec<EndpointId>),
+    /// Outcomes of the sender's requests at endpoints.
+    Outcomes(FleetOutcomes),
+    /// A change of a roll-out's phase.
+    Rollout(RolloutNotice),
+    /// The sender's counts of a roll-out, for the instances that evaluate it.
+    RolloutReport(RolloutReport),
+    /// Heartbeat addresses of other instances, for a newly started instance.
+    Met(Contacts),
+    /// A message that the receiver forwards to a part of its own failure domain.
+    HandOn(Box<Self>, DomainPart),
+}
+
+/// One of several equal parts of a failure domain's instances.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct DomainPart {
+    /// Index of the part, from 0.
+    pub part: u32,
+    /// Number of parts.
+    pub of: u32,
+}
+
+impl FleetMessage {
+    /// Returns the name used in logs and metrics; a forwarded message has its inner message's name.
+    pub fn name(&self) -> &'static str {
+        match self {
+            Self::Beacon(_) => "beacon",
+            Self::News(_) => "news",
+            Self::Placed(_) => "placed",
+            Self::Moving(_) => "moving",
+            Self::Crashed(_) => "crashed",
+            Self::Leaving(_) => "leaving",
+            Self::Gone(_) => "gone",
+            Self::Outcomes(_) => "outcomes",
+            Self::Rollout(_) => "rollout",
+            Self::RolloutReport(_) => "rollout_report",
+            Self::Met(_) => "met",
+            Self::HandOn(message, _) => message.name(),
+        }
+    }
+}
--- a/crates/nutmeggrade-core/src/rollout/outcomes.rs
+++ b/crates/nutmeggrade-core/src/rollout/outcomes.rs
@@ -1,52 +1,52 @@
-//! Outcomes of one route's requests.
+//! Aggregated outcomes of requests.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Latencies, Outcome};
 
-/// Outcomes of the requests that one version served.
+/// Outcomes of the requests served by one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcomes {
-    /// Requests that ended with a failure.
+    /// Number of requests that failed.
     #[serde(rename = "f")]
     pub failures: u32,
-    /// Time to the answer or to the first event.
+    /// Time to the response or to the first event.
     #[serde(rename = "l")]
-    pub first: Latencies,
-    /// Time between two events of a stream.
+    pub first_response: Latencies,
+    /// Average time between events of a stream.
     #[serde(rename = "p")]
-    pub pace: Latencies,
+    pub event_interval: Latencies,
 }
 
 impl Outcomes {
-    /// Notes one outcome.
+    /// Records an outcome.
     pub fn add(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Failed => self.failures = self.failures.saturating_add(1),
-            Outcome::First(time) => self.first.add(time),
-            Outcome::Pace(time) => self.pace.add(time),
+            Outcome::FirstResponse(time) => self.first_response.add(time),
+            Outcome::EventInterval(time) => self.event_interval.add(time),
         }
     }
 
-    /// Counts the requests that were answered or failed.
+    /// Returns the number of requests that were answered or failed.
     pub fn count(&self) -> u32 {
-        self.failures.saturating_add(self.first.count())
+        self.failures.saturating_add(self.first_response.count())
     }
 
-    /// Adds the counts of others.
+    /// Adds the counts of `other`.
     pub fn merge(&mut self, other: &Self) {
         self.failures = self.failures.saturating_add(other.failures);
-        self.first.merge(&other.first);
-        self.pace.merge(&other.pace);
+        self.first_response.merge(&other.first_response);
+        self.event_interval.merge(&other.event_interval);
     }
 
-    /// Returns the counts since an earlier state of these.
+    /// Returns the counts since the earlier state `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             failures: self.failures.saturating_sub(earlier.failures),
-            first: self.first.since(&earlier.first),
-            pace: self.pace.since(&earlier.pace),
+            first_response: self.first_response.since(&earlier.first_response),
+            event_interval: self.event_interval.since(&earlier.event_interval),
         }
     }
 }
@@ -54,22 +54,22 @@
 /// Outcomes of one route's requests by version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteOutcomes {
-    /// Those of all other versions.
+    /// Outcomes of all other versions.
     #[serde(rename = "o")]
     pub old: Outcomes,
-    /// Those of the version that the service moves to.
+    /// Outcomes of the version that the service moves to.
     #[serde(rename = "n")]
     pub new: Outcomes,
 }
 
 impl RouteOutcomes {
-    /// Adds the counts of others.
+    /// Adds the counts of `other`.
     pub fn merge(&mut self, other: &Self) {
         self.old.merge(&other.old);
         self.new.merge(&other.new);
     }
 
-    /// Returns the counts since an earlier state of these.
+    /// Returns the counts since the earlier state `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self { old: self.old.since(&earlier.old), new: self.new.since(&earlier.new) }
--- a/crates/nutmeggrade-platform/src/lib.rs
+++ b/crates/nutmeggrade-platform/src/lib.rs
@@ -1,11 +1,11 @@
-//! Client side of the platform's object API, and the one-connection HTTP call it rests on.
+//! Client of the platform's object API, and the single-request HTTP call that it uses.
 //!
-//! [`Platform`] is the seam: the node and the operators' command work against the trait, and
-//! [`HttpPlatform`] speaks to the real service. [`call`] opens one connection for one request, so
-//! that a failure says exactly whether a byte of the request was handed to the transport.
+//! Instances and the operators' command use the [`Platform`] trait; [`HttpPlatform`] implements it
+//! for the real service. [`call`] opens a new connection for each request, so that a failure shows
+//! whether any byte of the request was passed to the transport.
 
-mod budget;
 mod call;
+mod call_counters;
 mod config_retention;
 mod http_platform;
 mod newest_config;
@@ -13,11 +13,13 @@
 mod platform_error;
 mod traffic;
 
-pub use budget::Budget;
 pub use call::{CallError, body_bytes, call, call_if, json_body};
-pub use config_retention::{WHOLE_VERSIONS, thin_out};
-pub use http_platform::{HttpPlatform, WATCH_LIMIT};
-pub use newest_config::{CONFIG_HEAD, ConfigHead, NewestConfig, newest_config, raise_head};
+pub use call_counters::CallCounters;
+pub use config_retention::{VERSIONS_WITH_PRESETS, strip_old_presets};
+pub use http_platform::{HttpPlatform, MAX_WATCH_CHANGES};
+pub use newest_config::{
+    CONFIG_HEAD, ConfigHead, NewestConfig, advance_config_head, newest_config,
+};
 pub use platform::Platform;
 pub use platform_error::PlatformError;
 pub use traffic::Traffic;
--- a/crates/nutmeggrade-policy/src/rollout/evidence.rs
+++ b/crates/nutmeggrade-policy/src/rollout/evidence.rs
@@ -54,8 +54,8 @@
     let RouteOutcomes { old, new } = outcomes;
     let probabilities = [
         (Regression::Fails, failure_probability(old, new)),
-        (Regression::StartsLate, latency_probability(&old.first, &new.first)),
-        (Regression::StreamsSlowly, latency_probability(&old.pace, &new.pace)),
+        (Regression::StartsLate, latency_probability(&old.first_response, &new.first_response)),
+        (Regression::StreamsSlowly, latency_probability(&old.event_interval, &new.event_interval)),
     ];
     let lowest = probabilities.into_iter().min_by(|a, b| a.1.total_cmp(&b.1));
     match lowest {
@@ -88,7 +88,7 @@
     let (old_count, new_count) = (old.count(), new.count());
     let mut lowest: f64 = 1.0;
     let mut tested = 0_u32;
-    for (old_above, new_above) in old.above().zip(new.above()) {
+    for (old_above, new_above) in old.cumulative_counts().zip(new.cumulative_counts()) {
         if new_above == 0 || old_above == old_count {
             continue;
         }
--- a/crates/nutmeggrade-relay/src/front/connection.rs
+++ b/crates/nutmeggrade-relay/src/front/connection.rs
@@ -37,7 +37,7 @@
     let mut phases = node.phases();
     let mut is_closing = false;
     loop {
-        let next_check = node.now().after(limits.head_wait.min(limits.idle_wait));
+        let next_check = node.now().after(limits.head_timeout.min(limits.idle_timeout));
         tokio::select! {
             result = connection.as_mut() => {
                 if let Err(error) = result {
--- a/crates/nutmeggrade-relay/src/front/connection_state.rs
+++ b/crates/nutmeggrade-relay/src/front/connection_state.rs
@@ -57,8 +57,8 @@
         let has_passed = |since: Moment, timeout: Duration| now.since(since) >= timeout;
         match (self.is_busy, self.head_since) {
             (true, _) => false,
-            (false, Some(since)) => has_passed(since, limits.head_wait),
-            (false, None) => has_passed(self.idle_since, limits.idle_wait),
+            (false, Some(since)) => has_passed(since, limits.head_timeout),
+            (false, None) => has_passed(self.idle_since, limits.idle_timeout),
         }
     }
 }
--- a/crates/nutmeggrade-relay/src/node.rs
+++ b/crates/nutmeggrade-relay/src/node.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use nutmeggrade_core::peer::{FleetMessage, Revisions, Seat};
+use nutmeggrade_core::peer::{FleetMessage, InstanceAddresses, Revisions};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::RouteMap;
 use nutmeggrade_policy::Ticket;
@@ -59,7 +59,7 @@
     /// Buffered log lines.
     pub logs: LogBuffer,
     /// Failure domain and addresses of this instance.
-    pub seat: Seat,
+    pub seat: InstanceAddresses,
     /// Distinguishes successive runs of an instance with the same name.
     pub incarnation: u64,
     /// Wakes the task that sends changed placements to the peers.
@@ -88,7 +88,7 @@
     /// Creates the state of an instance that has read nothing.
     pub fn new(
         settings: &Settings,
-        seat: &Seat,
+        seat: &InstanceAddresses,
         logs: &LogBuffer,
         incarnation: u64,
     ) -> anyhow::Result<Self> {
--- a/crates/nutmeggrade-relay/src/node/endpoints.rs
+++ b/crates/nutmeggrade-relay/src/node/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use nutmeggrade_core::peer::{FleetMessage, FleetNews, FleetOutcomes};
+use nutmeggrade_core::peer::{EndpointUpdateBatch, FleetMessage, FleetOutcomes};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
 use nutmeggrade_policy::dispatch::Health;
@@ -92,7 +92,7 @@
 
     /// Forwards endpoint changes to the peers if this instance is a reader and the changes fit into
     /// a datagram. Peers that miss them notice by the next heartbeat.
-    pub fn forward_changes(&self, news: FleetNews) {
+    pub fn forward_changes(&self, news: EndpointUpdateBatch) {
         let is_reader = lock(&self.tables).fleet.is_reader(self.now());
         if is_reader && news.changes.len() <= MAX_CHANGES_PER_DATAGRAM {
             self.broadcast(FleetMessage::News(news));
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -1,6 +1,6 @@
 //! Applies messages received from peers.
 
-use nutmeggrade_core::peer::{FleetBeacon, FleetMessage, FleetNews, FleetPlaced};
+use nutmeggrade_core::peer::{EndpointUpdateBatch, FleetBeacon, FleetMessage, InstanceLoad};
 use nutmeggrade_wire::kinds::Kind;
 
 use crate::fleet_sync::revision;
@@ -32,11 +32,11 @@
     }
 }
 
-fn apply_placements(node: &Node, all: &[FleetPlaced]) {
+fn apply_placements(node: &Node, all: &[InstanceLoad]) {
     let own = &node.settings().instance;
     let mut tables = lock(&node.tables);
     // This instance's own placements come back when they are forwarded through its failure domain.
-    for FleetPlaced { instance, placed } in all.iter().filter(|p| p.instance != *own) {
+    for InstanceLoad { instance, placed } in all.iter().filter(|p| p.instance != *own) {
         tables.dispatcher.book.change_peer(instance, placed);
     }
 }
@@ -65,7 +65,7 @@
 ///
 /// If this instance has not read up to the revision that they start from, changes in between are
 /// missing, and the follower is woken instead.
-fn apply_endpoint_news(node: &Node, news: &FleetNews) {
+fn apply_endpoint_news(node: &Node, news: &EndpointUpdateBatch) {
     let state = node.read_state.of(Kind::Endpoints);
     let read = state.read();
     if read >= news.revision {
--- a/crates/nutmeggrade-relay/src/relay/crash.rs
+++ b/crates/nutmeggrade-relay/src/relay/crash.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use http::Uri;
-use nutmeggrade_core::peer::{Crashed, Fingerprint, FleetMessage};
+use nutmeggrade_core::peer::{EndpointCrash, Fingerprint, FleetMessage};
 use nutmeggrade_core::routing::{EndpointInfo, Prompt, WorkspaceKey};
 
 use super::client_request::ClientRequest;
@@ -50,7 +50,7 @@
     let node = Arc::clone(node);
     let request_id = request.id.clone();
     let endpoint = endpoint.clone();
-    let crashed = Crashed {
+    let crashed = EndpointCrash {
         request: request.fingerprint,
         endpoint: endpoint.id.clone(),
         born: endpoint.born,
--- a/crates/nutmeggrade-relay/src/relay/handler.rs
+++ b/crates/nutmeggrade-relay/src/relay/handler.rs
@@ -211,7 +211,7 @@
         if is_stream || is_large {
             self.attempt.answer();
             if !is_stream {
-                self.record_outcome(&reservation.endpoint, Outcome::First(elapsed));
+                self.record_outcome(&reservation.endpoint, Outcome::FirstResponse(elapsed));
             }
             self.record_send("answered", &reservation.endpoint.id);
             return Ok(SendStep::Done(FinalResponse::Open(Box::new(OpenResponse {
@@ -243,7 +243,7 @@
             }
         } else {
             self.attempt.answer();
-            self.record_outcome(&reservation.endpoint, Outcome::First(elapsed));
+            self.record_outcome(&reservation.endpoint, Outcome::FirstResponse(elapsed));
             self.record_send("answered", &endpoint);
             self.node.update_health(&endpoint, Health::succeeded);
         }
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -180,7 +180,7 @@
         let mut tables = lock(&self.node.tables);
         if self.first_event.is_none() {
             self.first_event = Some(now);
-            let first = Outcome::First(now.since(self.sent_at));
+            let first = Outcome::FirstResponse(now.since(self.sent_at));
             tables.note_outcome(&self.reservation.endpoint, &self.request.route.name, first, now);
             tables.dispatcher.book.record_prompt_read(self.reservation.ticket);
             tables.release(now);
@@ -202,7 +202,7 @@
         };
         self.pace_recorded = true;
         let pace = now.since(first).div_f64(events as f64);
-        self.record_outcome(Outcome::Pace(pace), now);
+        self.record_outcome(Outcome::EventInterval(pace), now);
     }
 
     fn record_outcome(&self, outcome: Outcome, now: Moment) {
@@ -235,7 +235,7 @@
 
     /// Starts to migrate the generation if its endpoint is leaving and its engine supports it.
     fn migrate_if_leaving(&self) -> Option<Migration> {
-        self.engine.filter(|e| e.moves)?;
+        self.engine.filter(|e| e.can_move)?;
         let is_leaving =
             lock(&self.node.tables).registry.should_move_work(&self.reservation.endpoint.id);
         is_leaving.then(|| Migration::start(self))
--- a/crates/nutmeggrade-relay/src/watch/apply.rs
+++ b/crates/nutmeggrade-relay/src/watch/apply.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use bytes::Bytes;
-use nutmeggrade_core::peer::{EndpointNews, FleetNews};
+use nutmeggrade_core::peer::{EndpointUpdate, EndpointUpdateBatch};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::{RolloutNotice, StoredRollout};
 use nutmeggrade_core::routing::EndpointInfo;
@@ -79,13 +79,13 @@
         changes(node, kind, snapshot, 0, after_outage);
         return;
     }
-    let all: Vec<EndpointNews> = snapshot.objects.iter().filter_map(to_news).collect();
+    let all: Vec<EndpointUpdate> = snapshot.objects.iter().filter_map(to_news).collect();
     apply_endpoint_changes(node, &all, after_outage);
 }
 
 /// Applies changes of endpoints, read here or by a peer. `lapses` means that missing entries may
 /// only have expired during an outage.
-pub fn apply_endpoint_changes(node: &Node, changes: &[EndpointNews], lapses: bool) {
+pub fn apply_endpoint_changes(node: &Node, changes: &[EndpointUpdate], lapses: bool) {
     if lapses {
         node.read_state.note_outage(node.now());
     }
@@ -121,12 +121,17 @@
 }
 
 fn apply_endpoints(node: &Node, snapshot: &Snapshot, since: u64, lapses: bool) {
-    let changes: Vec<EndpointNews> = snapshot.objects.iter().filter_map(to_news).collect();
+    let changes: Vec<EndpointUpdate> = snapshot.objects.iter().filter_map(to_news).collect();
     if changes.is_empty() {
         return;
     }
     apply_endpoint_changes(node, &changes, lapses);
-    node.forward_changes(FleetNews { since, revision: snapshot.revision, lapses, changes });
+    node.forward_changes(EndpointUpdateBatch {
+        since,
+        revision: snapshot.revision,
+        lapses,
+        changes,
+    });
 }
 
 fn apply_config(node: &Node, objects: &[StoredObject]) {
@@ -142,7 +147,7 @@
 
 fn apply_change(
     registry: &mut Registry,
-    news: &EndpointNews,
+    news: &EndpointUpdate,
     lapses: bool,
     now: Moment,
 ) -> Option<Change> {
@@ -157,10 +162,10 @@
 
 /// Reads an endpoint's change from an object; `None` if its name is no endpoint's. Content that
 /// can't be read as an endpoint counts as a removed entry.
-fn to_news(object: &StoredObject) -> Option<EndpointNews> {
+fn to_news(object: &StoredObject) -> Option<EndpointUpdate> {
     let id = EndpointId::new(&object.name).ok()?;
     let info = if object.is_gone { None } else { read_endpoint(object) };
-    Some(EndpointNews { id, info })
+    Some(EndpointUpdate { id, info })
 }
 
 fn read_endpoint(object: &StoredObject) -> Option<EndpointInfo> {
--- a/crates/nutmeggrade-state/src/attempt.rs
+++ b/crates/nutmeggrade-state/src/attempt.rs
@@ -43,7 +43,7 @@
     pub fn may_send(&self) -> bool {
         self.stage == Stage::Waiting
             && self.sends < self.max_sends
-            && (self.run == Run::NotRun || self.kind.repeats())
+            && (self.run == Run::NotRun || self.kind.is_repeatable())
     }
 
     /// Records that the request is about to be sent to an endpoint, before its first byte goes out.
--- a/crates/nutmeggrade-state/src/crash_log.rs
+++ b/crates/nutmeggrade-state/src/crash_log.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Crashed, Fingerprint};
+use nutmeggrade_core::peer::{EndpointCrash, Fingerprint};
 use nutmeggrade_core::prelude::*;
 
 /// Number of endpoints that must have crashed under a request before it is blocked. A request that
@@ -40,7 +40,7 @@
     }
 
     /// Records that an endpoint crashed under a request.
-    pub fn note(&mut self, crashed: &Crashed, now: Moment) {
+    pub fn note(&mut self, crashed: &EndpointCrash, now: Moment) {
         self.remove_expired(now);
         if self.records.len() >= MAX_REQUESTS && !self.records.contains_key(&crashed.request) {
             return;
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Contacts, FleetBeacon, Revisions, Seat};
+use nutmeggrade_core::peer::{Contacts, FleetBeacon, InstanceAddresses, Revisions};
 use nutmeggrade_core::prelude::*;
 
 pub use recipients::{BroadcastRecipients, RelayOrder};
@@ -52,7 +52,7 @@
 
 #[derive(Debug, Clone)]
 struct Peer {
-    seat: Seat,
+    seat: InstanceAddresses,
     incarnation: u64,
     sequence: u64,
     heard: Moment,
@@ -89,7 +89,7 @@
     own_id: InstanceId,
     reader_key: u64,
     address_key: u64,
-    seat: Seat,
+    seat: InstanceAddresses,
     peers: BTreeMap<InstanceId, Peer>,
     contacts: BTreeMap<SocketAddr, Contact>,
     seeds: BTreeSet<SocketAddr>,
@@ -102,7 +102,7 @@
 
 impl FleetView {
     /// Creates the view of an instance that has only its seed addresses.
-    pub fn new(own_id: &InstanceId, seat: &Seat, seeds: &[SocketAddr]) -> Self {
+    pub fn new(own_id: &InstanceId, seat: &InstanceAddresses, seeds: &[SocketAddr]) -> Self {
         let seeds: BTreeSet<SocketAddr> =
             seeds.iter().copied().filter(|a| *a != seat.beacon).collect();
         let seed = |a: &SocketAddr| (*a, Contact::new(*a, None, Moment::ZERO));
@@ -126,8 +126,8 @@
         if beacon.instance == self.own_id {
             return false;
         }
-        if let Some(intro) = &beacon.intro {
-            self.add_contacts(&intro.others, now);
+        if let Some(introduction) = &beacon.introduction {
+            self.add_contacts(&introduction.others, now);
         }
         let old = self.peers.get(&beacon.instance);
         // Incarnations are wall-clock times, and the clock may have been set back before the peer
@@ -139,10 +139,10 @@
         if is_stale {
             return false;
         }
-        let intro = beacon.intro.as_ref().map(|intro| &intro.seat);
+        let introduction = beacon.introduction.as_ref().map(|introduction| &introduction.sender);
         let known_seat = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.seat);
         // The addresses of this peer are unknown until its next introduction, which follows soon.
-        let Some(seat) = intro.or(known_seat).cloned() else { return false };
+        let Some(seat) = introduction.or(known_seat).cloned() else { return false };
         let peer = Peer {
             seat,
             incarnation: beacon.incarnation,
@@ -309,8 +309,9 @@
     ) -> Vec<SocketAddr> {
         let own_seat = (!is_leaving).then_some(&self.seat);
         let live = self.peers.values().filter(|p| self.is_heard(p, now) && !p.leaving);
-        let all: Vec<&Seat> = own_seat.into_iter().chain(live.map(|p| &p.seat)).collect();
-        let is_near = |seat: &&&Seat| near == Some(&seat.domain);
+        let all: Vec<&InstanceAddresses> =
+            own_seat.into_iter().chain(live.map(|p| &p.seat)).collect();
+        let is_near = |seat: &&&InstanceAddresses| near == Some(&seat.domain);
         let nearby: Vec<SocketAddr> = all.iter().filter(is_near).map(|s| s.client).collect();
         if nearby.len() >= MIN_NEARBY_ENTRIES {
             nearby
@@ -352,7 +353,7 @@
     /// Returns the addresses of a few recently heard peers for an introduction.
     pub fn others(&self, now: Moment) -> Contacts {
         let live = self.peers.values().filter(|p| self.is_heard(p, now));
-        let all: Vec<&Seat> = live.map(|p| &p.seat).collect();
+        let all: Vec<&InstanceAddresses> = live.map(|p| &p.seat).collect();
         let mut others = Contacts::new();
         for i in 0..all.len().min(MAX_INTRODUCED_PEERS) {
             let seat = all[(self.far_position + i) % all.len()];
--- a/crates/nutmeggrade-state/src/fleet_view/recipients.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/recipients.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Contacts, FleetBeacon, Share};
+use nutmeggrade_core::peer::{Contacts, DomainPart, FleetBeacon};
 use nutmeggrade_core::prelude::*;
 
 use super::{Contact, FleetView, HEARTBEAT_INTERVAL, Peer};
@@ -60,7 +60,7 @@
     /// Addresses that this instance sends to directly.
     pub direct: Vec<SocketAddr>,
     /// Relays, each with the part of its failure domain that it forwards to.
-    pub relays: Vec<(SocketAddr, Share)>,
+    pub relays: Vec<(SocketAddr, DomainPart)>,
 }
 
 impl FleetView {
@@ -116,7 +116,7 @@
                 continue;
             }
             let part_count = u32::try_from(relays.len()).unwrap_or(1);
-            let parts = (0..part_count).map(|part| Share { part, of: part_count });
+            let parts = (0..part_count).map(|part| DomainPart { part, of: part_count });
             recipients.relays.extend(relays.into_iter().zip(parts));
         }
         recipients
@@ -148,12 +148,12 @@
     /// heartbeats, it took four seconds until all had heard from the readers; meanwhile most read
     /// the store themselves, which at 88 instances was a third of the calls of a quiet minute.
     pub fn welcome(&mut self, beacon: &FleetBeacon) -> Option<(SocketAddr, Contacts)> {
-        let intro = beacon.intro.as_ref()?;
-        let announced = intro.others.values().map(Vec::len).sum::<usize>();
+        let introduction = beacon.introduction.as_ref()?;
+        let announced = introduction.others.values().map(Vec::len).sum::<usize>();
         if self.contacts.len() <= MAX_FULL_FANOUT || announced >= super::MAX_INTRODUCED_PEERS {
             return None;
         }
-        let new_peer = intro.seat.beacon;
+        let new_peer = introduction.sender.beacon;
         let known = |(a, c): (&SocketAddr, &Contact)| c.domain.clone().map(|d| (*a, d));
         let all: Vec<(SocketAddr, DomainId)> =
             self.contacts.iter().filter(|(a, _)| **a != new_peer).filter_map(known).collect();
@@ -169,7 +169,7 @@
     }
 
     /// Lists the neighbours in one part of the failure domain, to forward a message to.
-    pub fn neighbours_in_part(&self, share: Share) -> Vec<SocketAddr> {
+    pub fn neighbours_in_part(&self, share: DomainPart) -> Vec<SocketAddr> {
         let is_in_part =
             |address: &SocketAddr| address_hash(address) % share.of.max(1) == share.part;
         self.near.iter().copied().filter(is_in_part).collect()
--- a/crates/nutmeggrade-state/src/forward_queue.rs
+++ b/crates/nutmeggrade-state/src/forward_queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use nutmeggrade_core::peer::{FleetPlaced, Share};
+use nutmeggrade_core::peer::{DomainPart, InstanceLoad};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::Placed;
 
@@ -19,7 +19,7 @@
 /// hundreds of datagrams a second.
 #[derive(Debug, Default)]
 pub struct ForwardQueue {
-    queued: BTreeMap<Share, BTreeMap<InstanceId, PlacedByEndpoint>>,
+    queued: BTreeMap<DomainPart, BTreeMap<InstanceId, PlacedByEndpoint>>,
 }
 
 impl ForwardQueue {
@@ -29,10 +29,10 @@
     }
 
     /// Adds changes of several instances; returns whether the queue was empty before.
-    pub fn add(&mut self, share: Share, changes: &[FleetPlaced]) -> bool {
+    pub fn add(&mut self, share: DomainPart, changes: &[InstanceLoad]) -> bool {
         let was_empty = self.queued.is_empty();
         let by_instance = self.queued.entry(share).or_default();
-        for FleetPlaced { instance, placed } in changes {
+        for InstanceLoad { instance, placed } in changes {
             let by_endpoint = by_instance.entry(instance.clone()).or_default();
             by_endpoint.extend(placed.iter().map(|(endpoint, placed)| (endpoint.clone(), *placed)));
         }
@@ -40,7 +40,7 @@
     }
 
     /// Removes queued changes of an instance at the endpoints of a newer change.
-    pub fn drop_superseded(&mut self, change: &FleetPlaced) {
+    pub fn drop_superseded(&mut self, change: &InstanceLoad) {
         for instances in self.queued.values_mut() {
             if let Some(by_endpoint) = instances.get_mut(&change.instance) {
                 by_endpoint.retain(|endpoint, _| !change.placed.contains_key(endpoint));
@@ -49,12 +49,12 @@
     }
 
     /// Removes and returns all queued changes, in messages that each fit into a datagram.
-    pub fn take(&mut self) -> Vec<(Share, Vec<FleetPlaced>)> {
+    pub fn take(&mut self) -> Vec<(DomainPart, Vec<InstanceLoad>)> {
         let mut messages = Vec::new();
         for (share, instances) in std::mem::take(&mut self.queued) {
             let placed = instances.into_iter().filter(|(_, placed)| !placed.is_empty());
-            let changes: Vec<FleetPlaced> =
-                placed.map(|(instance, placed)| FleetPlaced { instance, placed }).collect();
+            let changes: Vec<InstanceLoad> =
+                placed.map(|(instance, placed)| InstanceLoad { instance, placed }).collect();
             messages.extend(changes.chunks(MAX_INSTANCES).map(|part| (share, part.to_vec())));
         }
         messages
--- a/crates/nutmeggrade-state/src/order_plan.rs
+++ b/crates/nutmeggrade-state/src/order_plan.rs
@@ -1,6 +1,6 @@
 //! Plan of the orders that bring an engine to the state operators want.
 
-use nutmeggrade_core::order::{Desired, EngineState, Order};
+use nutmeggrade_core::order::{DesiredState, EngineState, Order};
 
 /// Next step of an engine's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 /// that takes over midway repeats no completed order, and an order that was lost, or undone by a
 /// late order of an earlier owner at an engine without fencing checks, is sent again. Unloads come
 /// first, to free memory before it is needed.
-pub fn next_step(desired: &Desired, state: &EngineState, epoch: u64) -> NextStep {
+pub fn next_step(desired: &DesiredState, state: &EngineState, epoch: u64) -> NextStep {
     if state.fence > epoch {
         return NextStep::Outdated;
     }
--- a/crates/nutmeggrade-state/src/order_table.rs
+++ b/crates/nutmeggrade-state/src/order_table.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use nutmeggrade_core::order::Desired;
+use nutmeggrade_core::order::DesiredState;
 use nutmeggrade_core::prelude::*;
 
 /// Table of the highest known version of each engine's desired state.
 #[derive(Debug, Default)]
 pub struct OrderTable {
-    wanted: BTreeMap<EndpointId, Desired>,
+    wanted: BTreeMap<EndpointId, DesiredState>,
 }
 
 impl OrderTable {
@@ -19,7 +19,7 @@
 
     /// Stores a version if it is higher than the known one; an older one that arrives late would
     /// undo an order.
-    pub fn offer(&mut self, endpoint: &EndpointId, desired: &Desired) {
+    pub fn offer(&mut self, endpoint: &EndpointId, desired: &DesiredState) {
         let known = self.wanted.get(endpoint).map_or(0, |d| d.version);
         if desired.version > known {
             self.wanted.insert(endpoint.clone(), desired.clone());
@@ -27,7 +27,7 @@
     }
 
     /// Lists the desired state of each engine.
-    pub fn wanted(&self) -> impl Iterator<Item = (&EndpointId, &Desired)> {
+    pub fn wanted(&self) -> impl Iterator<Item = (&EndpointId, &DesiredState)> {
         self.wanted.iter()
     }
 }
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -170,7 +170,7 @@
             let from_crash = |c: &Crash| CrashRecord {
                 engine: c.engine.clone(),
                 at: moment_ago(now, c.age),
-                before_token: c.first,
+                before_token: c.before_token,
                 trial: c.trial,
             };
             RequestRecord {
@@ -200,7 +200,7 @@
             let to_crash = |c: &CrashRecord| Crash {
                 engine: c.engine.clone(),
                 age: now.since(c.at),
-                first: c.before_token,
+                before_token: c.before_token,
                 trial: c.trial,
             };
             Suspect {
