--- a/crates/nutmegctl/src/admin.rs
+++ b/crates/nutmegctl/src/admin.rs
@@ -1,4 +1,4 @@
-//! Calls to the instances' admin addresses.
+//! Calls to the admin API of instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,36 +12,36 @@
 use tokio::time::timeout;
 
 use crate::line::Line;
-use crate::platform::{down, platform};
+use crate::platform::{platform_client, platform_down};
 use crate::settings::Settings;
 
-const PATIENCE: Duration = Duration::from_secs(2);
-const MAX_ANSWER: usize = 4 << 20;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Lists the instances that the platform knows.
-pub async fn instances(platform: &HttpPlatform) -> anyhow::Result<Vec<Entry>> {
-    let listed = platform.list("instances/").await.map_err(|e| down(&e))?;
+/// Returns the instances that are registered at the platform.
+pub async fn list_instances(platform: &HttpPlatform) -> anyhow::Result<Vec<Entry>> {
+    let listed = platform.list("instances/").await.map_err(|e| platform_down(&e))?;
     let decode = |value: Value| serde_json::from_value(value).context("decode instance");
     listed.objects.into_iter().filter_map(|o| o.value).map(decode).collect()
 }
 
-/// Lists the names and admin addresses of the instances.
+/// Returns the names and admin addresses of all instances.
 ///
-/// While the platform is down the addresses come from the settings, so that operators can still see
+/// While the platform is down, the addresses of `--admin` are used, so that operators can still see
 /// what the instances have in force.
-pub async fn reachable(settings: &Settings) -> anyhow::Result<Vec<(String, SocketAddr)>> {
-    match instances(&platform(settings)?).await {
+pub async fn addresses(settings: &Settings) -> anyhow::Result<Vec<(String, SocketAddr)>> {
+    match list_instances(&platform_client(settings)?).await {
         Ok(list) => Ok(list.iter().map(|e| (e.instance.to_string(), e.admin_address)).collect()),
         Err(error) if settings.admin.is_empty() => Err(error),
         Err(error) => {
-            eprintln!("nutmegctl: {error:#}; asking the instances of --admin");
+            eprintln!("nutmegctl: {error:#}; querying the instances of --admin");
             Ok(settings.admin.iter().map(|a| (a.to_string(), *a)).collect())
         }
     }
 }
 
-/// Sends one request with the operators' token; a failure's code comes back as the error.
-pub async fn ask(
+/// Sends a request with the operator token. A failure response is returned as a [`Failure`] error.
+pub async fn send_request(
     address: SocketAddr,
     token: &Secret,
     method: Method,
@@ -56,12 +56,13 @@
         .body(json_body(body)?)
         .context("build request")?;
     let exchange = async {
-        let response = call(address, request, PATIENCE).await?;
+        let response = call(address, request, REQUEST_TIMEOUT).await?;
         let status = response.status();
-        let bytes = body_bytes(response.into_body(), MAX_ANSWER).await?;
+        let bytes = body_bytes(response.into_body(), MAX_RESPONSE_BYTES).await?;
         anyhow::Ok((status, bytes))
     };
-    let (status, bytes) = timeout(PATIENCE, exchange).await.context("no answer in time")??;
+    let (status, bytes) =
+        timeout(REQUEST_TIMEOUT, exchange).await.context("no response in time")??;
     if !status.is_success() {
         let failure: Failure = serde_json::from_slice(&bytes).context("decode failure")?;
         return Err(failure.into());
@@ -69,15 +70,19 @@
     serde_json::from_slice(&bytes).context("decode answer")
 }
 
-/// Says whether an instance answered with this code.
-pub fn is(error: &anyhow::Error, code: Code) -> bool {
+/// Returns whether an error is a failure with this code.
+pub fn has_code(error: &anyhow::Error, code: Code) -> bool {
     error.downcast_ref::<Failure>().is_some_and(|f| f.code == code)
 }
 
-/// Prints that an instance did not answer; a wrong token ends the command, since no other instance
-/// would take it either.
-pub fn unreachable(settings: &Settings, name: &str, error: anyhow::Error) -> anyhow::Result<()> {
-    if is(&error, Code::BadToken) {
+/// Prints that an instance did not respond. A rejected token is returned as an error instead, since
+/// every other instance would reject it too.
+pub fn report_unreachable(
+    settings: &Settings,
+    name: &str,
+    error: anyhow::Error,
+) -> anyhow::Result<()> {
+    if has_code(&error, Code::BadToken) {
         return Err(error);
     }
     let line = Line::new("unreachable").with("instance", name);
--- a/crates/nutmegctl/src/cmd.rs
+++ b/crates/nutmegctl/src/cmd.rs
@@ -15,20 +15,20 @@
 
 use crate::settings::Settings;
 
-pub use help::{exists, help};
+pub use help::{help, is_command};
 
-/// Says whether a subcommand asks instances alone, so that it needs neither the platform nor a token.
-pub fn asks_instances_only(words: &[String]) -> bool {
+/// Returns whether a subcommand queries only instances, so that it needs no platform and no token.
+pub fn needs_only_instances(words: &[String]) -> bool {
     words.first().is_some_and(|word| word == "rollout")
 }
 
-/// Runs the subcommand that the words name.
+/// Runs the subcommand given by the command words.
 pub async fn run(settings: &Settings, words: &[&str]) -> anyhow::Result<()> {
     match words {
         ["preset", "list"] => preset::list(settings).await,
         ["preset", "show", name] => preset::show(settings, name).await,
         ["preset", "put", name, file] => preset::put(settings, name, file).await,
-        ["preset", "use", name] => preset::choose(settings, name).await,
+        ["preset", "use", name] => preset::activate(settings, name).await,
         ["domain", "out", name] => domain::take_out(settings, name).await,
         ["domain", "in", name] => domain::bring_in(settings, name).await,
         ["endpoint", "out", name] => endpoint::take_out(settings, name).await,
--- a/crates/nutmegctl/src/cmd/audit.rs
+++ b/crates/nutmegctl/src/cmd/audit.rs
@@ -8,21 +8,21 @@
 use serde_json::Value;
 
 use crate::admin;
-use crate::change::history;
+use crate::audit_trail::{AuditTrail, Row};
+use crate::change::config_history;
 use crate::line::Line;
-use crate::platform::{down, platform};
+use crate::platform::{platform_client, platform_down};
 use crate::settings::Settings;
-use crate::trail::{Row, Trail};
 
-/// Lists every accepted change and what instances did and refused.
+/// Prints every accepted change, and the actions and refusals of instances.
 ///
-/// While the platform is down the instances of `--admin` are asked for what they keep.
+/// While the platform is down, the trail comes from the instances of `--admin`, which keep a part.
 pub async fn show(settings: &Settings) -> anyhow::Result<()> {
     let (trail, source) = match from_platform(settings).await {
         Ok(trail) => (trail, "platform"),
         Err(error) if settings.admin.is_empty() => return Err(error),
         Err(error) => {
-            eprintln!("nutmegctl: {error:#}; asking the instances of --admin");
+            eprintln!("nutmegctl: {error:#}; querying the instances of --admin");
             (from_instances(settings).await?, "instances")
         }
     };
@@ -32,40 +32,41 @@
     Ok(())
 }
 
-async fn from_platform(settings: &Settings) -> anyhow::Result<Trail> {
-    let platform = platform(settings)?;
-    let mut trail = Trail::new();
-    for config in history(&platform).await? {
+async fn from_platform(settings: &Settings) -> anyhow::Result<AuditTrail> {
+    let platform = platform_client(settings)?;
+    let mut trail = AuditTrail::new();
+    for config in config_history(&platform).await? {
         trail.add_change(AcceptedChange::new(&config));
     }
-    let listed = platform.list(AUDIT_PREFIX).await.map_err(|e| down(&e))?;
+    let listed = platform.list(AUDIT_PREFIX).await.map_err(|e| platform_down(&e))?;
     for value in listed.objects.into_iter().filter_map(|o| o.value) {
         trail.add_entry(serde_json::from_value(value)?);
     }
     Ok(trail)
 }
 
-async fn from_instances(settings: &Settings) -> anyhow::Result<Trail> {
-    let mut trail = Trail::new();
-    let mut answered = false;
+async fn from_instances(settings: &Settings) -> anyhow::Result<AuditTrail> {
+    let mut trail = AuditTrail::new();
+    let mut has_response = false;
     for address in &settings.admin {
-        let asked = admin::ask(*address, &settings.token, Method::GET, "/audit", &Value::Null);
-        match asked.await {
+        let response =
+            admin::send_request(*address, &settings.token, Method::GET, "/audit", &Value::Null);
+        match response.await {
             Ok(list) => {
-                answered = true;
-                take(&mut trail, &list)?;
+                has_response = true;
+                add_rows(&mut trail, &list)?;
             }
             Err(error) => eprintln!("nutmegctl: {address}: {error:#}"),
         }
     }
-    if answered {
+    if has_response {
         return Ok(trail);
     }
-    let detail = "neither the platform nor an instance of --admin answers";
+    let detail = "neither the platform nor any instance of --admin responds";
     Err(Failure::new(Code::PlatformDown, detail).into())
 }
 
-fn take(trail: &mut Trail, list: &Value) -> anyhow::Result<()> {
+fn add_rows(trail: &mut AuditTrail, list: &Value) -> anyhow::Result<()> {
     let rows = |name: &str| list.get(name).cloned().unwrap_or_default();
     let changes: Vec<AcceptedChange> = serde_json::from_value(rows("changes"))?;
     let entries: Vec<AuditEntry> = serde_json::from_value(rows("entries"))?;
--- a/crates/nutmegctl/src/cmd/endpoint.rs
+++ b/crates/nutmegctl/src/cmd/endpoint.rs
@@ -3,15 +3,15 @@
 use nutmeggrade_core::config::Change;
 use nutmeggrade_core::prelude::*;
 
-use crate::change::make;
+use crate::change::apply_change;
 use crate::settings::Settings;
 
 /// Takes an endpoint out of service.
 pub async fn take_out(settings: &Settings, name: &str) -> anyhow::Result<()> {
-    make(settings, &Change::EndpointOut { endpoint: EndpointId::new(name)? }).await
+    apply_change(settings, &Change::EndpointOut { endpoint: EndpointId::new(name)? }).await
 }
 
-/// Brings an endpoint back.
+/// Returns an endpoint to service.
 pub async fn bring_in(settings: &Settings, name: &str) -> anyhow::Result<()> {
-    make(settings, &Change::EndpointIn { endpoint: EndpointId::new(name)? }).await
+    apply_change(settings, &Change::EndpointIn { endpoint: EndpointId::new(name)? }).await
 }
--- a/crates/nutmegctl/src/cmd/order.rs
+++ b/crates/nutmegctl/src/cmd/order.rs
@@ -5,33 +5,35 @@
 use serde_json::Value;
 
 use crate::line::Line;
-use crate::order_change::{effect, give, history, print};
-use crate::platform::platform;
+use crate::order_change::{order_history, print_effect, read_effect, submit_order};
+use crate::platform::platform_client;
 use crate::settings::Settings;
 
-/// Lists the orders to an engine and what came of them.
+/// Prints the orders to an engine and their effect.
 pub async fn show(settings: &Settings, endpoint: &str) -> anyhow::Result<()> {
     let endpoint = EndpointId::new(endpoint)?;
-    let platform = platform(settings)?;
-    for order in history(&platform, &endpoint).await? {
+    let platform = platform_client(settings)?;
+    for order in order_history(&platform, &endpoint).await? {
         let line = Line::new("order").with("version", order.version).with("at_ms", order.at_ms);
         let line = line.with("who", order.who.as_str()).with("why", order.why.as_str());
         line.with("order", order.change.to_string()).print(settings);
     }
-    match effect(&platform, &endpoint).await? {
-        Some(effect) => print(settings, "effect", &effect),
+    match read_effect(&platform, &endpoint).await? {
+        Some(effect) => print_effect(settings, "effect", &effect),
         None => Ok(()),
     }
 }
 
 /// Orders an engine to load a model, version or adapter.
 pub async fn load(settings: &Settings, endpoint: &str, load: &str) -> anyhow::Result<()> {
-    give(settings, &EndpointId::new(endpoint)?, &Order::Load { load: parse(load)? }).await
+    submit_order(settings, &EndpointId::new(endpoint)?, &Order::Load { load: parse_load(load)? })
+        .await
 }
 
-/// Orders an engine to unload one.
+/// Orders an engine to unload a model, version or adapter.
 pub async fn unload(settings: &Settings, endpoint: &str, load: &str) -> anyhow::Result<()> {
-    give(settings, &EndpointId::new(endpoint)?, &Order::Unload { load: parse(load)? }).await
+    submit_order(settings, &EndpointId::new(endpoint)?, &Order::Unload { load: parse_load(load)? })
+        .await
 }
 
 /// Orders an engine to change its role.
@@ -41,9 +43,9 @@
         let detail = format!("role {role:?}: {e}");
         Failure::new(Code::BadChange, &detail)
     })?;
-    give(settings, &EndpointId::new(endpoint)?, &Order::Role { role }).await
+    submit_order(settings, &EndpointId::new(endpoint)?, &Order::Role { role }).await
 }
 
-fn parse(text: &str) -> Result<Load, Failure> {
+fn parse_load(text: &str) -> Result<Load, Failure> {
     Load::parse(text).map_err(|e| Failure::new(Code::BadChange, &e.to_string()))
 }
--- a/crates/nutmegctl/src/cmd/rollout.rs
+++ b/crates/nutmegctl/src/cmd/rollout.rs
@@ -9,25 +9,31 @@
 use crate::line::Line;
 use crate::settings::Settings;
 
-/// Lists the roll-outs as the instances of `--admin` know them.
+/// Lists the roll-outs of each instance of `--admin`.
 pub async fn list(settings: &Settings) -> anyhow::Result<()> {
     if settings.admin.is_empty() {
-        let detail = "--admin names no instance; give the control addresses of some";
+        let detail = "--admin must list the control address of at least one instance";
         return Err(Failure::new(Code::SettingMissing, detail).into());
     }
     for address in &settings.admin {
-        let asked = admin::ask(*address, &settings.token, Method::GET, ROLLOUTS_PATH, &Value::Null);
-        match asked.await {
-            Ok(all) => print(settings, &address.to_string(), all)?,
-            Err(error) => admin::unreachable(settings, &address.to_string(), error)?,
+        let response = admin::send_request(
+            *address,
+            &settings.token,
+            Method::GET,
+            ROLLOUTS_PATH,
+            &Value::Null,
+        );
+        match response.await {
+            Ok(list) => print(settings, &address.to_string(), list)?,
+            Err(error) => admin::report_unreachable(settings, &address.to_string(), error)?,
         }
     }
     Ok(())
 }
 
-fn print(settings: &Settings, instance: &str, all: Value) -> anyhow::Result<()> {
-    let all: Vec<RolloutStatus> = serde_json::from_value(all)?;
-    for rollout in all {
+fn print(settings: &Settings, instance: &str, list: Value) -> anyhow::Result<()> {
+    let statuses: Vec<RolloutStatus> = serde_json::from_value(list)?;
+    for rollout in statuses {
         Line::new("rollout")
             .with("instance", instance)
             .with("service", rollout.service.as_str())
--- a/crates/nutmegctl/src/cmd/status.rs
+++ b/crates/nutmegctl/src/cmd/status.rs
@@ -7,21 +7,22 @@
 use crate::line::Line;
 use crate::settings::Settings;
 
-const FIELDS: [&str; 7] =
+const STATUS_FIELDS: [&str; 7] =
     ["instance", "domain", "config", "preset", "out_domains", "out_endpoints", "waiting"];
 
-/// Shows what each instance has in force.
+/// Prints the status of each instance.
 pub async fn show(settings: &Settings) -> anyhow::Result<()> {
-    for (name, address) in admin::reachable(settings).await? {
-        let asked = admin::ask(address, &settings.token, Method::GET, "/status", &Value::Null);
-        match asked.await {
+    for (name, address) in admin::addresses(settings).await? {
+        let response =
+            admin::send_request(address, &settings.token, Method::GET, "/status", &Value::Null);
+        match response.await {
             Ok(status) => {
-                let with = |line: Line, name: &'static str| {
+                let add_field = |line: Line, name: &'static str| {
                     line.with(name, status.get(name).cloned().unwrap_or_default())
                 };
-                FIELDS.into_iter().fold(Line::new("status"), with).print(settings);
+                STATUS_FIELDS.into_iter().fold(Line::new("status"), add_field).print(settings);
             }
-            Err(error) => admin::unreachable(settings, &name, error)?,
+            Err(error) => admin::report_unreachable(settings, &name, error)?,
         }
     }
     Ok(())
--- a/crates/nutmegctl/src/cmd/watch.rs
+++ b/crates/nutmegctl/src/cmd/watch.rs
@@ -7,30 +7,30 @@
 
 use super::status;
 use crate::admin;
-use crate::line::say;
+use crate::line::print_line;
 use crate::settings::Settings;
 
-const PAUSE: Duration = Duration::from_secs(1);
+const REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Repeats `status` until it was shown as often as asked, or without end.
+/// Repeats `status` as often as `--rounds` says, or without end.
 ///
-/// An outage of the platform is what one watches for, so a failed look does not end the command; its
-/// exit code is that of the last look.
+/// Operators watch during outages of the platform, so a failed round doesn't end the command. The exit
+/// code is that of the last round.
 pub async fn run(settings: &Settings) -> anyhow::Result<()> {
     let mut round = 0;
     loop {
-        let looked = status::show(settings).await;
+        let shown = status::show(settings).await;
         round += 1;
         if round == settings.rounds {
-            return looked;
+            return shown;
         }
-        if let Err(error) = looked {
-            if admin::is(&error, Code::BadToken) {
+        if let Err(error) = shown {
+            if admin::has_code(&error, Code::BadToken) {
                 return Err(error);
             }
             eprintln!("nutmegctl: {error:#}");
         }
-        say("");
-        sleep(PAUSE).await;
+        print_line("");
+        sleep(REPEAT_INTERVAL).await;
     }
 }
--- a/crates/nutmegctl/src/line.rs
+++ b/crates/nutmegctl/src/line.rs
@@ -1,4 +1,4 @@
-//! One line of output, as text or JSON.
+//! Output lines, as text or JSON.
 
 use std::io::{Write, stdout};
 
@@ -6,23 +6,23 @@
 
 use crate::settings::Settings;
 
-/// One line of output: an event with its fields in the order in which they were added.
+/// One line of output: an event and its fields in insertion order.
 #[derive(Debug)]
 pub struct Line {
     event: &'static str,
     fields: Vec<(&'static str, Value)>,
 }
 
-/// Prints one line on the standard output.
+/// Prints a line to standard output and ignores errors.
 ///
-/// A reader such as `head` may close the pipe early. The command must still go on to its end: one
-/// that stopped there would leave a change accepted and unseen, with a wrong exit code.
-pub fn say(text: &str) {
+/// A reader such as `head` may close the pipe early. The command must still complete: otherwise an
+/// accepted change wouldn't be followed until it is in force, and the exit code would be wrong.
+pub fn print_line(text: &str) {
     drop(writeln!(stdout(), "{text}"));
 }
 
 impl Line {
-    /// Starts a line.
+    /// Creates a line without fields.
     pub const fn new(event: &'static str) -> Self {
         Self { event, fields: Vec::new() }
     }
@@ -34,9 +34,9 @@
         self
     }
 
-    /// Prints the line in the form that the settings ask for.
+    /// Prints the line as text, or as JSON with `--json`.
     pub fn print(self, settings: &Settings) {
-        say(&if settings.json { self.json() } else { self.text() });
+        print_line(&if settings.json { self.json() } else { self.text() });
     }
 
     fn json(self) -> String {
@@ -46,12 +46,13 @@
     }
 
     fn text(self) -> String {
-        let shown = |value: &Value| match value {
+        let format_value = |value: &Value| match value {
             Value::String(s) if !s.is_empty() && !s.contains([' ', '"', '=']) => s.clone(),
             other => other.to_string(),
         };
-        let fields = self.fields.iter().map(|(name, value)| format!("{name}={}", shown(value)));
-        let words: Vec<_> = std::iter::once(self.event.to_owned()).chain(fields).collect();
-        words.join(" ")
+        let fields =
+            self.fields.iter().map(|(name, value)| format!("{name}={}", format_value(value)));
+        let parts: Vec<_> = std::iter::once(self.event.to_owned()).chain(fields).collect();
+        parts.join(" ")
     }
 }
--- a/crates/nutmegctl/src/logs.rs
+++ b/crates/nutmegctl/src/logs.rs
@@ -1,12 +1,12 @@
-//! What the instances' log lines say of a request.
+//! Explanation of a request from the instances' log lines.
 //!
-//! [`Record`] is one line, [`LogBook`] all that were collected, [`Cause`] what they come to.
+//! [`Record`] is one line, [`InstanceLogs`] holds all lines, and [`Cause`] is the explanation.
 
 mod cause;
-mod endpoint_fate;
-mod log_book;
+mod endpoint_change;
+mod instance_logs;
 mod record;
 
 pub use cause::Cause;
-pub use log_book::LogBook;
+pub use instance_logs::InstanceLogs;
 pub use record::Record;
--- a/crates/nutmegctl/src/logs/cause.rs
+++ b/crates/nutmegctl/src/logs/cause.rs
@@ -1,24 +1,24 @@
-//! Why a request went as it did.
+//! The cause of a request's outcome.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
 
-use super::endpoint_fate::EndpointFate;
-use super::{LogBook, Record};
+use super::endpoint_change::EndpointChange;
+use super::{InstanceLogs, Record};
 
-/// How long before a refusal the lines count that tell why there was no room.
-const LOOK_BACK: Duration = Duration::from_secs(10);
+/// Time before a refusal in which log lines are considered as its cause.
+const NO_ROOM_WINDOW: Duration = Duration::from_secs(10);
 
-/// Why a request went as it did, with the lines of others that show it.
+/// The cause of a request's outcome, with log lines of other components as evidence.
 #[derive(Debug)]
 pub struct Cause<'a> {
-    /// A short name.
+    /// Short identifier of the cause.
     pub name: &'static str,
-    /// What happened, in words.
+    /// Description for operators.
     pub detail: String,
-    /// Lines that are not the request's own.
+    /// Supporting lines that are not about the request itself.
     pub evidence: Vec<&'a Record>,
 }
 
@@ -32,28 +32,28 @@
         self
     }
 
-    /// Finds the cause from a request's own lines, which must not be empty, and those around them.
-    pub fn find(book: &'a LogBook, own: &[&Record]) -> Self {
-        let Some(last) = own.iter().rev().find(|r| is_end(r)) else {
-            return own.last().map_or_else(
-                || Self::new("not_seen", "no instance wrote a line about it"),
-                |last| unfinished(book, last),
+    /// Determines the cause from a request's own lines and the lines around them.
+    pub fn find(logs: &'a InstanceLogs, request_lines: &[&Record]) -> Self {
+        let Some(last) = request_lines.iter().rev().find(|r| is_final(r)) else {
+            return request_lines.last().map_or_else(
+                || Self::new("not_seen", "no instance logged the request"),
+                |last| explain_unfinished(logs, last),
             );
         };
         match last.event.as_str() {
-            "answered" => answered(own, last),
-            "stream_ended" | "answer_ended" => ended(book, own, last),
+            "answered" => explain_response(request_lines, last),
+            "stream_ended" | "answer_ended" => explain_end(logs, request_lines, last),
             "client_gone" => Self::new(
                 "client_left",
-                format!("its client left after {} ms without an answer", last.field("ms")),
+                format!("its client disconnected after {} ms without a response", last.field("ms")),
             ),
-            _ => failed(book, own, last),
+            _ => explain_failure(logs, request_lines, last),
         }
     }
 }
 
-/// Says whether a line is a request's last word.
-fn is_end(record: &Record) -> bool {
+/// Returns whether a line records the end of a request.
+fn is_final(record: &Record) -> bool {
     match record.event.as_str() {
         "answered" => record.field("open") != "true",
         "stream_ended" | "answer_ended" | "client_gone" | "failed" | "refused" => true,
@@ -61,127 +61,144 @@
     }
 }
 
-fn unfinished<'a>(book: &'a LogBook, last: &Record) -> Cause<'a> {
-    let life = book.of(&last.instance).iter().filter(|r| r.at >= last.at);
-    let end = life.into_iter().find(|r| matches!(r.event.as_str(), "started" | "cut_at_end"));
-    match end {
-        Some(end) if end.event == "cut_at_end" => {
-            let detail = "a planned stop of its instance ended before it did";
-            Cause::new("cut_by_stop", detail).with_evidence([end])
+fn explain_unfinished<'a>(logs: &'a InstanceLogs, last: &Record) -> Cause<'a> {
+    let later_lines = logs.lines_of(&last.instance).iter().filter(|r| r.at >= last.at);
+    let stop =
+        later_lines.into_iter().find(|r| matches!(r.event.as_str(), "started" | "cut_at_end"));
+    match stop {
+        Some(line) if line.event == "cut_at_end" => {
+            let detail = "its instance was stopped as planned before the request ended";
+            Cause::new("cut_by_stop", detail).with_evidence([line])
         }
-        Some(end) => {
-            let detail = "its instance ended without a word and started again";
-            Cause::new("instance_lost", detail).with_evidence([end])
+        Some(line) => {
+            let detail = "its instance restarted without a logged stop";
+            Cause::new("instance_lost", detail).with_evidence([line])
         }
-        None => Cause::new("open", "no line tells of its end; its instance may have been lost"),
+        None => Cause::new("open", "no log line reports its end; its instance may have crashed"),
     }
 }
 
-fn answered<'a>(own: &[&Record], last: &Record) -> Cause<'a> {
+fn explain_response<'a>(request_lines: &[&Record], last: &Record) -> Cause<'a> {
     let status = last.field("status");
     if !status.starts_with(['4', '5']) {
         return Cause::new("served", format!("the endpoint answered {status}"));
     }
-    let failed = own.iter().filter(|r| r.event == "send").map(|r| r.field("endpoint"));
-    let endpoints: BTreeSet<&str> = failed.chain([last.field("endpoint")]).collect();
+    let tried = request_lines.iter().filter(|r| r.event == "send").map(|r| r.field("endpoint"));
+    let endpoints: BTreeSet<&str> = tried.chain([last.field("endpoint")]).collect();
     let endpoints: Vec<&str> = endpoints.into_iter().collect();
-    let detail =
-        format!("answered {status} by the endpoint itself, tried: {}", endpoints.join(", "));
+    let detail = format!("an endpoint answered {status}, tried: {}", endpoints.join(", "));
     Cause::new("endpoint_failed", detail)
 }
 
-fn ended<'a>(book: &'a LogBook, own: &[&Record], last: &Record) -> Cause<'a> {
+fn explain_end<'a>(logs: &'a InstanceLogs, request_lines: &[&Record], last: &Record) -> Cause<'a> {
     match last.field("end") {
-        "finished" => Cause::new("served", "the client has the whole answer"),
+        "finished" => Cause::new("served", "the client received the whole response"),
         "client_gone" => {
-            let detail = format!("its client left after {} events", last.field("events"));
+            let detail = format!("its client disconnected after {} events", last.field("events"));
             Cause::new("client_left", detail)
         }
-        "overdue" => Cause::new("out_of_time", "its time passed while the answer was under way"),
-        _ => lost(book, own, last),
+        "overdue" => {
+            Cause::new("out_of_time", "its deadline passed while the response was being sent")
+        }
+        _ => explain_lost(logs, request_lines, last),
     }
 }
 
-/// Explains an answer that an endpoint broke off or never gave.
-fn lost<'a>(book: &'a LogBook, own: &[&Record], last: &Record) -> Cause<'a> {
+/// Explains a response that an endpoint broke off or never sent.
+fn explain_lost<'a>(logs: &'a InstanceLogs, request_lines: &[&Record], last: &Record) -> Cause<'a> {
     let endpoint = last.field("endpoint");
-    let (fate, evidence) = EndpointFate::find(book, endpoint, last.at);
-    let step = own.iter().rev().find(|r| matches!(r.event.as_str(), "copied" | "stopped_run"));
-    let copy = step.map_or_else(
-        || "no copy of it was begun".to_owned(),
-        |s| format!("the last step of taking it along was {} with {}", s.event, s.field("end")),
+    let (change, evidence) = EndpointChange::find(logs, endpoint, last.at);
+    let move_step =
+        request_lines.iter().rev().find(|r| matches!(r.event.as_str(), "copied" | "stopped_run"));
+    let move_text = move_step.map_or_else(
+        || "no copy of it was started".to_owned(),
+        |s| format!("the last step of its move was {} with {}", s.event, s.field("end")),
     );
-    let cause = match fate {
-        EndpointFate::Left => Cause::new("endpoint_left", format!("{endpoint} left; {copy}")),
-        EndpointFate::Died => Cause::new("endpoint_died", format!("{endpoint} died with it")),
-        EndpointFate::Stayed => {
-            let detail = format!("the connection to {endpoint} broke, and it stayed");
+    let cause = match change {
+        EndpointChange::Left => {
+            Cause::new("endpoint_left", format!("{endpoint} left; {move_text}"))
+        }
+        EndpointChange::Crashed => Cause::new(
+            "endpoint_died",
+            format!("{endpoint} crashed while it processed the request"),
+        ),
+        EndpointChange::Unchanged => {
+            let detail = format!("the connection to {endpoint} broke, but the endpoint remained");
             Cause::new("connection_lost", detail)
         }
     };
     cause.with_evidence(evidence)
 }
 
-fn failed<'a>(book: &'a LogBook, own: &[&Record], last: &Record) -> Cause<'a> {
+fn explain_failure<'a>(
+    logs: &'a InstanceLogs,
+    request_lines: &[&Record],
+    last: &Record,
+) -> Cause<'a> {
     let code: u16 = last.field("code").parse().unwrap_or_default();
-    let is = |known: Code| known.number() == code;
-    if is(Code::NoRoom) || is(Code::TooLate) {
-        return no_room(book, own, last);
+    let has_code = |expected: Code| expected.number() == code;
+    if has_code(Code::NoRoom) || has_code(Code::TooLate) {
+        return explain_no_room(logs, request_lines, last);
     }
-    if is(Code::OutcomeUnknown) {
-        return lost(book, own, last);
+    if has_code(Code::OutcomeUnknown) {
+        return explain_lost(logs, request_lines, last);
     }
-    if is(Code::DeadlinePassed) {
+    if has_code(Code::DeadlinePassed) {
         let detail = format!("{} had it and did not answer in time", last.field("endpoint"));
         return Cause::new("endpoint_silent", detail);
     }
-    if is(Code::UnknownKey) || is(Code::NoRoute) || is(Code::Outdated) {
-        return by_config(book, last);
+    if has_code(Code::UnknownKey) || has_code(Code::NoRoute) || has_code(Code::Outdated) {
+        return explain_by_config(logs, last);
     }
     Cause::new("refused", format!("code {code}, {}: {}", last.field("name"), last.field("why")))
 }
 
-/// Explains why no endpoint had room by what changed at the same instance shortly before.
-fn no_room<'a>(book: &'a LogBook, own: &[&Record], last: &Record) -> Cause<'a> {
-    let from = last.at.saturating_sub(LOOK_BACK);
-    let of_instance = book.of(&last.instance).iter();
-    let recent: Vec<&Record> = of_instance.filter(|r| (from..=last.at).contains(&r.at)).collect();
+/// Explains a lack of room by events at the same instance shortly before.
+fn explain_no_room<'a>(
+    logs: &'a InstanceLogs,
+    request_lines: &[&Record],
+    last: &Record,
+) -> Cause<'a> {
+    let since = last.at.saturating_sub(NO_ROOM_WINDOW);
+    let of_instance = logs.lines_of(&last.instance).iter();
+    let recent: Vec<&Record> = of_instance.filter(|r| (since..=last.at).contains(&r.at)).collect();
     let count = |event: &str| recent.iter().filter(|r| r.event == event).count();
     let (left, joined) = (count("endpoint_left"), count("endpoint_joined"));
-    let away =
+    let store_lost =
         recent.iter().rev().find(|r| matches!(r.event.as_str(), "store_away" | "store_back"));
-    let away = away.copied().filter(|r| r.event == "store_away");
-    let out = recent.iter().rev().find(|r| r.event == "domains_out").copied();
-    let (full, unreached) = (sends(own, "refused"), sends(own, "not_sent"));
-    let away_text = if away.is_some() { ", the store was away" } else { "" };
-    let out_text =
-        out.map_or(String::new(), |r| format!(", failure domains out: {:?}", r.field("domains")));
+    let store_lost = store_lost.copied().filter(|r| r.event == "store_away");
+    let domains_out = recent.iter().rev().find(|r| r.event == "domains_out").copied();
+    let (full, unreached) =
+        (count_sends(request_lines, "refused"), count_sends(request_lines, "not_sent"));
+    let store_text = if store_lost.is_some() { ", the store was away" } else { "" };
+    let domains_text = domains_out
+        .map_or(String::new(), |r| format!(", failure domains out: {:?}", r.field("domains")));
     let detail = format!(
-        "{}; {full} endpoints said that they are full, {unreached} were not reached; in the {} s before, \
-         {left} endpoints left and {joined} came{away_text}{out_text}",
+        "{}; {full} endpoints reported no room, {unreached} were not reached; in the {} s before, \
+         {left} endpoints left and {joined} came{store_text}{domains_text}",
         last.field("why"),
-        LOOK_BACK.as_secs(),
+        NO_ROOM_WINDOW.as_secs(),
     );
-    Cause::new("no_room", detail).with_evidence(away.into_iter().chain(out))
+    Cause::new("no_room", detail).with_evidence(store_lost.into_iter().chain(domains_out))
 }
 
-/// Explains a refusal by the configuration in force and the next one.
-fn by_config<'a>(book: &'a LogBook, last: &Record) -> Cause<'a> {
-    let of_instance = book.of(&last.instance).iter();
+/// Explains a refusal by the configuration in force and the next version.
+fn explain_by_config<'a>(logs: &'a InstanceLogs, last: &Record) -> Cause<'a> {
+    let of_instance = logs.lines_of(&last.instance).iter();
     let next = of_instance.into_iter().find(|r| r.event == "config" && r.at >= last.at);
-    let later = next.map_or_else(
+    let next_text = next.map_or_else(
         || "no later version came here".to_owned(),
         |n| {
-            let after = (n.at.saturating_sub(last.at)).as_millis();
-            format!("version {} came here {after} ms later", n.field("new"))
+            let delay_ms = (n.at.saturating_sub(last.at)).as_millis();
+            format!("version {} came here {delay_ms} ms later", n.field("new"))
         },
     );
-    let detail = format!("version {}: {}; {later}", last.field("config"), last.field("why"));
+    let detail = format!("version {}: {}; {next_text}", last.field("config"), last.field("why"));
     let is_outdated = last.field("code") == Code::Outdated.number().to_string();
     Cause::new(if is_outdated { "outdated" } else { "not_allowed" }, detail).with_evidence(next)
 }
 
-/// Counts the sends of a request that ended so.
-fn sends(own: &[&Record], end: &str) -> usize {
-    own.iter().filter(|r| r.event == "send" && r.field("end") == end).count()
+/// Counts the sends of a request that ended with `end`.
+fn count_sends(request_lines: &[&Record], end: &str) -> usize {
+    request_lines.iter().filter(|r| r.event == "send" && r.field("end") == end).count()
 }
--- a/crates/nutmegctl/src/logs/log_book.rs
+++ b/crates/nutmegctl/src/logs/instance_logs.rs
@@ -1,4 +1,4 @@
-//! All log lines that were collected.
+//! Log lines of all instances.
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -9,29 +9,29 @@
 
 use super::Record;
 
-/// Name of the standard input among the files.
+/// File name that stands for standard input.
 const STDIN: &str = "-";
 
-/// All log lines that were collected, by instance and in the order in which each wrote them.
+/// Log lines by instance, in the order in which each instance wrote them.
 #[derive(Debug, Default)]
-pub struct LogBook {
+pub struct InstanceLogs {
     instances: BTreeMap<String, Vec<Record>>,
 }
 
-impl LogBook {
-    /// Reads files, or the standard input for `-`. Lines of other programs are passed over.
+impl InstanceLogs {
+    /// Reads log files, or standard input for `-`. Lines of other programs are skipped.
     ///
     /// # Errors
     ///
     /// Fails if a file can't be read.
     pub fn load(files: &[&str]) -> anyhow::Result<Self> {
-        let mut book = Self::default();
+        let mut logs = Self::default();
         for file in files {
             let bytes = read(file).with_context(|| format!("read {file}"))?;
             let name = Path::new(file).file_stem().map(|n| n.to_string_lossy().into_owned());
-            book.add(&String::from_utf8_lossy(&bytes), &name.unwrap_or_default());
+            logs.add(&String::from_utf8_lossy(&bytes), &name.unwrap_or_default());
         }
-        Ok(book)
+        Ok(logs)
     }
 
     fn add(&mut self, text: &str, file: &str) {
@@ -40,36 +40,36 @@
         }
     }
 
-    /// Returns all lines of an instance.
-    pub fn of(&self, instance: &str) -> &[Record] {
+    /// Returns the lines of an instance.
+    pub fn lines_of(&self, instance: &str) -> &[Record] {
         self.instances.get(instance).map_or(&[], Vec::as_slice)
     }
 
-    /// Lists a request's lines, instance by instance.
-    pub fn of_request<'a>(&'a self, request: &str) -> Vec<&'a Record> {
+    /// Returns the lines about a request, grouped by instance.
+    pub fn lines_of_request<'a>(&'a self, request: &str) -> Vec<&'a Record> {
         self.instances.values().flatten().filter(|r| r.field("request") == request).collect()
     }
 
-    /// Lists the lines of all instances within a time, the earliest first.
-    pub fn within(&self, from: Duration, to: Duration) -> Vec<&Record> {
+    /// Returns the lines of all instances in a time range, earliest first.
+    pub fn lines_between(&self, from: Duration, to: Duration) -> Vec<&Record> {
         let all = self.instances.values().flatten();
-        let mut found: Vec<&Record> = all.filter(|r| (from..=to).contains(&r.at)).collect();
-        found.sort_by_key(|r| r.at);
-        found
+        let mut matching: Vec<&Record> = all.filter(|r| (from..=to).contains(&r.at)).collect();
+        matching.sort_by_key(|r| r.at);
+        matching
     }
 
-    /// Lists the starts of processes whose life before ended without a word, each with the last line
-    /// before it.
-    pub fn sudden_ends(&self) -> Vec<(&Record, &Record)> {
+    /// Returns the restarts of instances that logged no stop before, as pairs of the last line before
+    /// the restart and the line of the start.
+    pub fn unclean_restarts(&self) -> Vec<(&Record, &Record)> {
         let pairs = self.instances.values().flat_map(|records| records.windows(2));
-        let is_sudden = |last: &Record, next: &Record| {
+        let is_unclean = |last: &Record, next: &Record| {
             next.event == "started" && last.event != "stopped" && last.event != "started"
         };
-        let ends = pairs.filter_map(|pair| match pair {
-            [last, next] if is_sudden(last, next) => Some((last, next)),
+        let restarts = pairs.filter_map(|pair| match pair {
+            [last, next] if is_unclean(last, next) => Some((last, next)),
             _ => None,
         });
-        ends.collect()
+        restarts.collect()
     }
 }
 
--- a/crates/nutmegctl/src/order_change.rs
+++ b/crates/nutmegctl/src/order_change.rs
@@ -1,4 +1,4 @@
-//! Giving an order: write version n+1 of what is wanted, then see its effect read back.
+//! Orders to engines: writes version n+1 of the desired state, then waits for its effect.
 
 use anyhow::Context;
 use nutmeggrade_core::order::{Desired, Effect, Order, Progress};
@@ -7,70 +7,74 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
-use crate::change::wall_ms;
+use crate::change::wall_time_ms;
 use crate::line::Line;
-use crate::platform::{POLL, down, platform};
+use crate::platform::{POLL_INTERVAL, platform_client, platform_down};
 use crate::settings::Settings;
-use crate::versioned::write;
+use crate::versioned::write_version;
 
-/// Versions of an engine's orders that the platform keeps.
-const KEPT: u64 = 32;
+/// Number of versions of an engine's orders that are kept on the platform.
+const MAX_ORDER_VERSIONS: u64 = 32;
 
-/// Reads every order to an engine, oldest first.
-pub async fn history(
+/// Returns the orders to an engine, oldest first.
+pub async fn order_history(
     platform: &HttpPlatform,
     endpoint: &EndpointId,
 ) -> anyhow::Result<Vec<Desired>> {
-    let listed = platform.list(&Desired::prefix(endpoint)).await.map_err(|e| down(&e))?;
+    let listed = platform.list(&Desired::prefix(endpoint)).await.map_err(|e| platform_down(&e))?;
     let decode = |value: Value| serde_json::from_value(value).context("decode order");
     listed.objects.into_iter().filter_map(|o| o.value).map(decode).collect()
 }
 
-/// Reads what came of the orders to an engine.
-pub async fn effect(
+/// Returns the recorded effect of the orders to an engine.
+pub async fn read_effect(
     platform: &HttpPlatform,
     endpoint: &EndpointId,
 ) -> anyhow::Result<Option<Effect>> {
-    let found = platform.read(&Effect::key(endpoint)).await.map_err(|e| down(&e))?;
-    let value = found.and_then(|o| o.value);
+    let object = platform.read(&Effect::key(endpoint)).await.map_err(|e| platform_down(&e))?;
+    let value = object.and_then(|o| o.value);
     value.map(|v| serde_json::from_value(v).context("decode effect")).transpose()
 }
 
-/// Gives an order: checked, written, then seen to have taken effect.
-pub async fn give(settings: &Settings, endpoint: &EndpointId, order: &Order) -> anyhow::Result<()> {
+/// Validates an order, writes it and waits until it has taken effect.
+pub async fn submit_order(
+    settings: &Settings,
+    endpoint: &EndpointId,
+    order: &Order,
+) -> anyhow::Result<()> {
     if settings.who.trim().is_empty() || settings.why.trim().is_empty() {
         return Err(Failure::new(Code::WhoWhyMissing, "an order needs --who and --why").into());
     }
-    let platform = platform(settings)?;
-    check(&platform, endpoint).await?;
-    let before = history(&platform, endpoint).await?.pop();
-    if let Some(before) = before.as_ref().filter(|d| d.has(order)) {
-        let line = Line::new("unchanged").with("version", before.version);
-        line.with("detail", "already wanted; nothing was written").print(settings);
+    let platform = platform_client(settings)?;
+    check_engine(&platform, endpoint).await?;
+    let previous = order_history(&platform, endpoint).await?.pop();
+    if let Some(previous) = previous.as_ref().filter(|d| d.has(order)) {
+        let line = Line::new("unchanged").with("version", previous.version);
+        line.with("detail", "already ordered; nothing was written").print(settings);
         return if settings.dry_run {
             Ok(())
         } else {
-            seen(settings, &platform, endpoint, before).await
+            wait_for_effect(settings, &platform, endpoint, previous).await
         };
     }
     let id = ChangeId::new(&GenerationId::new(rand::random()).to_string())?;
-    let next = Desired::new(before.as_ref(), id, &settings.who, &settings.why, order);
-    let next = next.with_time(wall_ms());
+    let next = Desired::new(previous.as_ref(), id, &settings.who, &settings.why, order);
+    let next = next.with_time(wall_time_ms());
     let name = if settings.dry_run { "would_accept" } else { "accepted" };
     let line = Line::new(name).with("version", next.version).with("order", order.to_string());
     if settings.dry_run {
         line.print(settings);
         return Ok(());
     }
-    let later = format!("ask `nutmegctl order show {endpoint}` later for {}", next.id);
-    write(&platform, &Desired::key(endpoint, next.version), &next, &later).await?;
+    let hint = format!("ask `nutmegctl order show {endpoint}` later for {}", next.id);
+    write_version(&platform, &Desired::key(endpoint, next.version), &next, &hint).await?;
     line.print(settings);
-    forget_old(&platform, endpoint, next.version).await;
-    seen(settings, &platform, endpoint, &next).await
+    remove_old_version(&platform, endpoint, next.version).await;
+    wait_for_effect(settings, &platform, endpoint, &next).await
 }
 
-async fn check(platform: &HttpPlatform, endpoint: &EndpointId) -> anyhow::Result<()> {
-    let listed = platform.endpoints().await.map_err(|e| down(&e))?;
+async fn check_engine(platform: &HttpPlatform, endpoint: &EndpointId) -> anyhow::Result<()> {
+    let listed = platform.endpoints().await.map_err(|e| platform_down(&e))?;
     let is_engine = |e: &&Endpoint| matches!(e.kind, EndpointKind::Engine { .. });
     if listed.iter().filter(is_engine).any(|e| e.id == *endpoint) {
         return Ok(());
@@ -79,43 +83,47 @@
     Err(Failure::new(Code::UnknownName, &detail).into())
 }
 
-async fn forget_old(platform: &HttpPlatform, endpoint: &EndpointId, version: u64) {
-    let Some(old) = version.checked_sub(KEPT) else { return };
-    let key = Desired::key(endpoint, old);
+async fn remove_old_version(platform: &HttpPlatform, endpoint: &EndpointId, version: u64) {
+    let Some(old_version) = version.checked_sub(MAX_ORDER_VERSIONS) else { return };
+    let key = Desired::key(endpoint, old_version);
     let Ok(Some(object)) = platform.read(&key).await else { return };
     if let Err(error) = platform.remove(&key, object.version).await {
         eprintln!("nutmegctl: {key} was not removed: {error}");
     }
 }
 
-/// Waits until the engine's owner has read back that an order took effect.
-async fn seen(
+/// Waits until the instance that owns the engine has confirmed that an order took effect.
+async fn wait_for_effect(
     settings: &Settings,
     platform: &HttpPlatform,
     endpoint: &EndpointId,
-    wanted: &Desired,
+    desired: &Desired,
 ) -> anyhow::Result<()> {
-    let start = Instant::now();
+    let started = Instant::now();
     loop {
-        let found = effect(platform, endpoint).await;
-        let current = found.as_ref().ok().and_then(Option::as_ref);
-        let current = current.filter(|e| e.version >= wanted.version);
+        let recorded = read_effect(platform, endpoint).await;
+        let current = recorded.as_ref().ok().and_then(Option::as_ref);
+        let current = current.filter(|e| e.version >= desired.version);
         if let Some(effect) = current.filter(|e| e.progress == Progress::Done) {
-            print(settings, "done", effect)?;
+            print_effect(settings, "done", effect)?;
             return Ok(());
         }
-        if start.elapsed() >= settings.wait {
-            let seen = current.map(serde_json::to_string).transpose()?;
-            let seen = seen.unwrap_or_else(|| "no owner took it up".to_owned());
-            let detail = format!("accepted, but not yet in effect: {seen}");
+        if started.elapsed() >= settings.wait {
+            let last_effect = current.map(serde_json::to_string).transpose()?;
+            let last_effect = last_effect.unwrap_or_else(|| "no owner has accepted it".to_owned());
+            let detail = format!("accepted, but not yet in effect: {last_effect}");
             return Err(Failure::new(Code::NotInForce, &detail).into());
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Prints what came of the orders.
-pub fn print(settings: &Settings, name: &'static str, effect: &Effect) -> anyhow::Result<()> {
+/// Prints the effect of the orders to an engine.
+pub fn print_effect(
+    settings: &Settings,
+    name: &'static str,
+    effect: &Effect,
+) -> anyhow::Result<()> {
     let line = Line::new(name).with("version", effect.version).with("epoch", effect.epoch);
     let line = line.with("instance", effect.instance.as_str());
     let line = line.with("progress", serde_json::to_value(effect.progress)?);
--- a/crates/nutmegctl/src/platform.rs
+++ b/crates/nutmegctl/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform, as the operators' command asks it.
+//! Access to the platform.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 
 use crate::settings::Settings;
 
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Pause between looks.
-pub const POLL: Duration = Duration::from_millis(100);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between two attempts to read a result.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Opens the platform.
+/// Creates a client of the platform.
 ///
 /// # Errors
 ///
-/// Fails if the settings don't say where it is.
-pub fn platform(settings: &Settings) -> Result<HttpPlatform, Failure> {
+/// Fails if the settings have no address of the platform.
+pub fn platform_client(settings: &Settings) -> Result<HttpPlatform, Failure> {
     let missing = || Failure::new(Code::SettingMissing, "--platform must be ip:port");
     let address = settings.platform.ok_or_else(missing)?;
-    Ok(HttpPlatform::new(address, PATIENCE))
+    Ok(HttpPlatform::new(address, REQUEST_TIMEOUT))
 }
 
-/// Says that the platform could not be asked.
-pub fn down(error: &PlatformError) -> anyhow::Error {
+/// Converts a platform error to a failure with [`Code::PlatformDown`].
+pub fn platform_down(error: &PlatformError) -> anyhow::Error {
     Failure::new(Code::PlatformDown, &error.to_string()).into()
 }
--- a/crates/nutmegctl/src/versioned.rs
+++ b/crates/nutmegctl/src/versioned.rs
@@ -1,4 +1,4 @@
-//! Writing the next version of an object that operators race for.
+//! Conditional write of the next version of an object that several operators may change.
 
 use anyhow::Context;
 use nutmeggrade_core::order::Desired;
@@ -9,20 +9,20 @@
 use serde_json::Value;
 use tokio::time::sleep;
 
-use crate::platform::{POLL, down};
+use crate::platform::{POLL_INTERVAL, platform_down};
 
-/// Attempts to read back a write whose answer was lost.
-const READ_BACKS: u32 = 5;
+/// Maximum number of attempts to read back a write whose response was lost.
+const MAX_READ_BACKS: u32 = 5;
 
-/// One version of something that only one operator at a time may change.
+/// One version of an object to which operators add versions by conditional writes.
 pub trait Versioned: Serialize + DeserializeOwned {
-    /// Returns the number of the version.
+    /// Returns the version number.
     fn version(&self) -> u64;
 
-    /// Returns the id of the change that made it.
+    /// Returns the id of the change that created the version.
     fn id(&self) -> &ChangeId;
 
-    /// Tells who changed what, and why.
+    /// Describes who changed what, and why.
     fn summary(&self) -> String;
 }
 
@@ -55,43 +55,48 @@
     }
 }
 
-/// Writes a version under its key if no other operator's came first.
+/// Writes a version under its key unless another operator has written this version.
 ///
-/// The answer of the write can be lost after it took effect. The version is then read back: the id
-/// of the change in it tells whose it is. `later` tells how to find out if that can't be learned.
-pub async fn write<T: Versioned>(
+/// If the response is lost, the write may still have taken effect. The version is then read back, and
+/// its change id shows whether this write succeeded. If the read fails too, the error ends with `hint`,
+/// which says how to check the outcome.
+pub async fn write_version<T: Versioned>(
     platform: &HttpPlatform,
     key: &str,
     next: &T,
-    later: &str,
+    hint: &str,
 ) -> anyhow::Result<()> {
     let value = serde_json::to_value(next).context("encode version")?;
     match platform.create(key, &value).await {
         Ok(_) => return Ok(()),
-        Err(error @ PlatformError::Refused(_)) => return Err(down(&error)),
+        Err(error @ PlatformError::Refused(_)) => return Err(platform_down(&error)),
         Err(PlatformError::Conflict | PlatformError::Unknown(_)) => {}
     }
-    for _ in 0..READ_BACKS {
-        if let Ok(found) = platform.read(key).await {
-            return settle(next, found.and_then(|o| o.value), later);
+    for _ in 0..MAX_READ_BACKS {
+        if let Ok(object) = platform.read(key).await {
+            return compare_with_stored(next, object.and_then(|o| o.value), hint);
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
-    Err(unknown(later))
+    Err(outcome_unknown(hint))
 }
 
-fn settle<T: Versioned>(next: &T, found: Option<Value>, later: &str) -> anyhow::Result<()> {
-    // A write whose answer was lost may still be on its way, so its absence proves nothing.
-    let Some(value) = found else { return Err(unknown(later)) };
-    let winner: T = serde_json::from_value(value).context("decode version")?;
-    if winner.id() == next.id() {
+fn compare_with_stored<T: Versioned>(
+    next: &T,
+    stored_value: Option<Value>,
+    hint: &str,
+) -> anyhow::Result<()> {
+    // A write whose response was lost may still arrive, so a missing version proves nothing.
+    let Some(value) = stored_value else { return Err(outcome_unknown(hint)) };
+    let stored: T = serde_json::from_value(value).context("decode version")?;
+    if stored.id() == next.id() {
         return Ok(());
     }
-    let detail = format!("version {} was taken by {}", winner.version(), winner.summary());
+    let detail = format!("version {} was taken by {}", stored.version(), stored.summary());
     Err(Failure::new(Code::Conflict, &detail).into())
 }
 
-fn unknown(later: &str) -> anyhow::Error {
-    let detail = format!("whether it was accepted is not known; {later}");
+fn outcome_unknown(hint: &str) -> anyhow::Error {
+    let detail = format!("whether it was accepted is not known; {hint}");
     Failure::new(Code::ChangeUnknown, &detail).with_run(Run::Unknown).into()
 }
