--- a/crates/nutmegctl/src/cmd/watch.rs
+++ b/crates/nutmegctl/src/cmd/watch.rs
@@ -14,8 +14,8 @@
 
 /// Repeats `status` as often as `--rounds` says, or without end.
 ///
-/// Operators watch during outages of the platform, so a failed round doesn't end the command. The exit
-/// code is that of the last round.
+/// Operators watch during outages of the platform, so a failed round doesn't end the command. The
+/// exit code is that of the last round.
 pub async fn run(settings: &Settings) -> anyhow::Result<()> {
     let mut round = 0;
     loop {
--- a/crates/nutmegctl/src/logs/endpoint_change.rs
+++ b/crates/nutmegctl/src/logs/endpoint_change.rs
@@ -34,7 +34,7 @@
         let decisive = endpoint_lines.find_map(|record| match record.event.as_str() {
             "endpoint_crashed" | "endpoint_gone" => Some((Self::Crashed, record)),
             "endpoint_left" if record.at <= lost_at => Some((Self::Left, record)),
-            // A removal after the loss without an announced departure means that the entry has lapsed.
+            // A later removal without an announced departure means that the registration lapsed.
             "endpoint_left" if record.field("why") == "Removed" => Some((Self::Crashed, record)),
             _ => None,
         });
--- a/crates/nutmegctl/src/logs/record.rs
+++ b/crates/nutmegctl/src/logs/record.rs
@@ -21,8 +21,8 @@
 impl Record {
     /// Parses a line; returns `None` if it isn't a log line of an instance.
     ///
-    /// Log collectors prefix lines with the machine's name, often after a timestamp. The last word before
-    /// `ts=` is taken as the instance's name; without one it is the name of the file.
+    /// Log collectors prefix lines with the machine's name, often after a timestamp. The last word
+    /// before `ts=` is taken as the instance's name; without one it is the name of the file.
     pub fn parse(line: &str, file: &str) -> Option<Self> {
         let start = line.find("ts=")?;
         let (prefix, pairs) = line.split_at(start);
--- a/crates/nutmegctl/src/versioned.rs
+++ b/crates/nutmegctl/src/versioned.rs
@@ -57,9 +57,9 @@
 
 /// Writes a version under its key unless another operator has written this version.
 ///
-/// If the response is lost, the write may still have taken effect. The version is then read back, and
-/// its change id shows whether this write succeeded. If the read fails too, the error ends with `hint`,
-/// which says how to check the outcome.
+/// If the response is lost, the write may still have taken effect. The version is then read back,
+/// and its change id shows whether this write succeeded. If the read fails too, the error ends with
+/// `hint`, which says how to check the outcome.
 pub async fn write_version<T: Versioned>(
     platform: &HttpPlatform,
     key: &str,
