--- a/crates/nutmeggrade-relay/src/relay/migration.rs
+++ b/crates/nutmeggrade-relay/src/relay/migration.rs
@@ -11,7 +11,7 @@
 use nutmeggrade_core::routing::EndpointInfo;
 use nutmeggrade_policy::Ticket;
 use nutmeggrade_policy::dispatch::DispatchRequest;
-use nutmeggrade_wire::engine::{self, Copied, MoveEnd};
+use nutmeggrade_wire::engine::{self, Copied, MoveOutcome};
 use rand::RngExt;
 use tokio::time::sleep;
 
@@ -198,13 +198,13 @@
         tracing::info!(event = "copied", request = %self.request_id, from = %self.source.id,
             to = %target.endpoint.id, tokens = self.memory_tokens, end = ?result);
         match result {
-            MoveEnd::Copied(_) => FirstCopy::Done((target, guard)),
-            MoveEnd::NoSuchRun => FirstCopy::Abandoned,
-            MoveEnd::Busy => {
+            MoveOutcome::Copied(_) => FirstCopy::Done((target, guard)),
+            MoveOutcome::NoSuchRun => FirstCopy::Abandoned,
+            MoveOutcome::Busy => {
                 sleep(BUSY_RETRY_DELAY).await;
                 FirstCopy::Failed
             }
-            MoveEnd::NoRoom(_) | MoveEnd::Failed(_) => {
+            MoveOutcome::NoRoom(_) | MoveOutcome::Failed(_) => {
                 self.need.avoid.insert(target.endpoint.id.clone());
                 FirstCopy::Failed
             }
@@ -245,12 +245,12 @@
             }))
         };
         match result {
-            MoveEnd::Copied(copied) | MoveEnd::NoRoom(Some(copied)) => migrated(copied),
+            MoveOutcome::Copied(copied) | MoveOutcome::NoRoom(Some(copied)) => migrated(copied),
             _ => MigrationOutcome::NotMigrated,
         }
     }
 
-    async fn request_copy(&self, target: &EndpointInfo, is_final: bool) -> MoveEnd {
+    async fn request_copy(&self, target: &EndpointInfo, is_final: bool) -> MoveOutcome {
         let body = engine::write_move(&self.request_id, target.address, is_final);
         let response = engine_call::ask(
             self.source.address,
@@ -264,7 +264,7 @@
             Err(error) => {
                 tracing::info!(event = "order_failed", request = %self.request_id,
                     endpoint = %self.source.id, error = format!("{error:#}"));
-                MoveEnd::Failed(StatusCode::GATEWAY_TIMEOUT)
+                MoveOutcome::Failed(StatusCode::GATEWAY_TIMEOUT)
             }
         }
     }
--- a/crates/nutmeggrade-relay/src/watch/follower.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower.rs
@@ -9,7 +9,7 @@
 use nutmeggrade_platform::PlatformError;
 use nutmeggrade_state::fleet_view::SourceScope;
 use nutmeggrade_wire::kinds::Kind;
-use nutmeggrade_wire::store::Watched;
+use nutmeggrade_wire::store::WatchResult;
 use rand::RngExt;
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -120,8 +120,8 @@
         if snapshot.revision < snapshot.newest {
             let since = snapshot.revision;
             match store.watch(self.kind, since, Duration::ZERO, CallReason::AfterListing).await? {
-                Watched::Changes(changes) => later = Some(changes),
-                Watched::HistoryGone => {
+                WatchResult::Changes(changes) => later = Some(changes),
+                WatchResult::HistoryGone => {
                     snapshot = store.list(self.kind, false, CallReason::Relist).await?;
                 }
             }
@@ -158,7 +158,7 @@
             store.watch(self.kind, since, Duration::ZERO, CallReason::Behind).await?
         };
         match watched {
-            Watched::Changes(snapshot) => {
+            WatchResult::Changes(snapshot) => {
                 let has_changes = !snapshot.objects.is_empty();
                 let after_outage = self.is_after_outage();
                 apply::changes(&self.node, self.kind, &snapshot, state.since(), after_outage);
@@ -171,7 +171,7 @@
                 }
                 Ok(())
             }
-            Watched::HistoryGone => {
+            WatchResult::HistoryGone => {
                 tracing::info!(event = "history_gone", kind = self.kind.name());
                 self.list().await
             }
@@ -179,7 +179,7 @@
     }
 
     /// Watches from `since`, and marks the store as overdue if its answer is late.
-    async fn watch_with_hold(&self, since: u64) -> Result<Watched, PlatformError> {
+    async fn watch_with_hold(&self, since: u64) -> Result<WatchResult, PlatformError> {
         let hold = self.hold_time();
         let store = StoreCalls::new(&self.node);
         let answer = store.watch(self.kind, since, hold, self.watch_reason());
--- a/crates/nutmeggrade-relay/src/watch/store_calls.rs
+++ b/crates/nutmeggrade-relay/src/watch/store_calls.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_platform::PlatformError;
 use nutmeggrade_wire::kinds::Kind;
-use nutmeggrade_wire::store::{Snapshot, StatusWrite, Watched};
+use nutmeggrade_wire::store::{Snapshot, StatusWrite, WatchResult};
 use serde_json::Value;
 
 use crate::node::Node;
@@ -80,10 +80,10 @@
         since: u64,
         wait: Duration,
         reason: CallReason,
-    ) -> Result<Watched, PlatformError> {
+    ) -> Result<WatchResult, PlatformError> {
         let result = self.0.store.watch(kind, since, wait).await;
         let changes = match &result {
-            Ok(Watched::Changes(snapshot)) => Some(snapshot),
+            Ok(WatchResult::Changes(snapshot)) => Some(snapshot),
             _ => None,
         };
         self.note(kind, reason, changes);
