--- a/crates/nutmeggrade-relay/src/relay/admission.rs
+++ b/crates/nutmeggrade-relay/src/relay/admission.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Incoming};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::{Access, Route, RouteMap, WorkspaceKey};
-use nutmeggrade_wire::request::{self, Asked};
+use nutmeggrade_wire::request::{self, ClientHeaders};
 
 use super::client_request::ClientRequest;
 use super::crash;
@@ -39,21 +39,21 @@
     let (head, body) = request.into_parts();
     let refuse_without_id = |failure| RefusedRequest { id: None, failure };
     framing::check(&head.headers, head.version, head_bytes).map_err(refuse_without_id)?;
-    let asked = request::read(&head).map_err(refuse_without_id)?;
-    let id = asked.id.clone();
+    let parsed = request::read(&head).map_err(refuse_without_id)?;
+    let id = parsed.id.clone();
     let refuse = |failure| RefusedRequest { id: Some(id.clone()), failure };
     let map = node.map();
-    let (route, key) = authorize(node, &map, &head, &asked).map_err(refuse)?;
+    let (route, key) = authorize(node, &map, &head, &parsed).map_err(refuse)?;
     let Some(service) = route.pick(rand::random::<f64>()) else {
         return Err(refuse(Failure::new(Code::NoEndpoint, "the route has no service")));
     };
-    let timeout = asked.patience.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let timeout = parsed.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
     let deadline = arrived_at.after(timeout);
     if let Some(time_left) = node.time_until_end() {
-        check_shutdown(node, &route, &asked, time_left).map_err(refuse)?;
+        check_shutdown(node, &route, &parsed, time_left).map_err(refuse)?;
     }
     let body = read_body(node, body, &map, deadline).await.map_err(refuse)?;
-    let fingerprint = crash::fingerprint(key.as_ref(), &head.uri, asked.prompt.as_ref(), &body);
+    let fingerprint = crash::fingerprint(key.as_ref(), &head.uri, parsed.prompt.as_ref(), &body);
     if lock(&node.tables).crashes.holds(&fingerprint, arrived_at) {
         let detail = "endpoints died under this request again and again";
         return Err(refuse(
@@ -62,7 +62,7 @@
     }
     let priority = key.as_ref().and_then(|k| k.priority).unwrap_or(route.priority);
     Ok(ClientRequest {
-        id: asked.id,
+        id: parsed.id,
         method: head.method,
         uri: head.uri,
         headers: head.headers,
@@ -70,9 +70,9 @@
         service: service.clone(),
         workspace: key.map(|k| k.workspace),
         priority,
-        prompt: asked.prompt,
+        prompt: parsed.prompt,
         fingerprint,
-        position: asked.position,
+        position: parsed.position,
         arrived_at,
         deadline,
         route,
@@ -84,7 +84,7 @@
     node: &Node,
     map: &RouteMap,
     head: &Parts,
-    asked: &Asked,
+    parsed: &ClientHeaders,
 ) -> Result<(Arc<Route>, Option<WorkspaceKey>), Failure> {
     if map.version == 0 {
         return Err(retry_later(node, Code::NotReady, "no configuration yet"));
@@ -93,7 +93,7 @@
     let Some(route) = map.route(host, head.uri.path()) else {
         return Err(not_configured(node, Code::NoRoute, "no route has this host and path"));
     };
-    match map.access(route, asked.key.as_deref()) {
+    match map.access(route, parsed.key.as_deref()) {
         Access::Open => Ok((Arc::clone(route), None)),
         Access::Workspace(key) => Ok((Arc::clone(route), Some(key))),
         Access::Unknown => Err(not_configured(node, Code::UnknownKey, "no workspace has this key")),
@@ -118,10 +118,10 @@
 fn check_shutdown(
     node: &Node,
     route: &Route,
-    asked: &Asked,
+    parsed: &ClientHeaders,
     time_left: Duration,
 ) -> Result<(), Failure> {
-    let expected = match &asked.prompt {
+    let expected = match &parsed.prompt {
         Some(prompt) => lock(&node.tables).pace.time(prompt.expected()),
         None => route.target,
     };
--- a/crates/nutmeggrade-relay/src/relay/exchange.rs
+++ b/crates/nutmeggrade-relay/src/relay/exchange.rs
@@ -12,8 +12,8 @@
 use hyper_util::rt::TokioIo;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::{EndpointInfo, EventPosition};
-use nutmeggrade_wire::answer::{self, Answered};
-use nutmeggrade_wire::request::{self, ResumeFrom, Sending};
+use nutmeggrade_wire::answer::{self, ResponseHead};
+use nutmeggrade_wire::request::{self, ForwardHeaders, ResumeFrom};
 
 use super::client_request::ClientRequest;
 use super::upstream::{AbortOnDrop, UpstreamBody};
@@ -36,7 +36,7 @@
     /// Status and headers.
     pub head: Parts,
     /// Status and platform headers, parsed.
-    pub parsed: Answered,
+    pub parsed: ResponseHead,
     /// The body.
     pub body: UpstreamBody,
     /// When the request was sent.
@@ -137,8 +137,8 @@
 }
 
 /// Checks that the response belongs to the request, and that a successful one is signed.
-fn check_response(head: &Parts, parsed: &Answered, id: &RequestId) -> Result<(), SendError> {
-    match answer::belongs(head, id.as_str()) {
+fn check_response(head: &Parts, parsed: &ResponseHead, id: &RequestId) -> Result<(), SendError> {
+    match answer::belongs_to_request(head, id.as_str()) {
         Some(true) => {}
         Some(false) => return Err(SendError::Lost("the answer is another request's".to_owned())),
         // An endpoint may reject a request before it has read the id.
@@ -157,9 +157,9 @@
     endpoint: &EndpointInfo,
     options: &SendOptions,
 ) -> http::Result<Request<Full<bytes::Bytes>>> {
-    let sending = Sending {
+    let added = ForwardHeaders {
         endpoint: &endpoint.id,
-        left: client_request.time_left(node.now()),
+        timeout: client_request.time_left(node.now()),
         workspace: client_request.workspace.as_ref(),
         priority: client_request.engine_priority(),
         position: options.position,
@@ -169,6 +169,6 @@
         .method(client_request.method.clone())
         .uri(client_request.uri.clone())
         .body(Full::new(client_request.body.clone()))?;
-    *request.headers_mut() = request::write(&client_request.headers, &sending);
+    *request.headers_mut() = request::write(&client_request.headers, &added);
     Ok(request)
 }
--- a/crates/nutmeggrade-relay/src/relay/response.rs
+++ b/crates/nutmeggrade-relay/src/relay/response.rs
@@ -23,7 +23,7 @@
 
 /// Builds the response to a client from an endpoint's response head.
 pub fn from_endpoint(mut head: Parts, body: AnswerBody) -> Response<AnswerBody> {
-    answer::clean(&mut head.headers);
+    answer::remove_connection_headers(&mut head.headers);
     Response::from_parts(head, body)
 }
 
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -11,7 +11,7 @@
 use nutmeggrade_policy::dispatch::Health;
 use nutmeggrade_state::attempt::Attempt;
 use nutmeggrade_state::event_splitter::EventSplitter;
-use nutmeggrade_wire::answer::Answered;
+use nutmeggrade_wire::answer::ResponseHead;
 use tokio::sync::{mpsc, watch};
 
 use super::client_request::ClientRequest;
@@ -88,7 +88,7 @@
 }
 
 /// Returns whether the response states where its body ends, other than by closing the connection.
-fn is_framed(parsed: &Answered, headers: &http::HeaderMap) -> bool {
+fn is_framed(parsed: &ResponseHead, headers: &http::HeaderMap) -> bool {
     parsed.length.is_some() || headers.contains_key(http::header::TRANSFER_ENCODING)
 }
 
--- a/crates/nutmeggrade-relay/src/watch/follower.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower.rs
@@ -117,7 +117,7 @@
         let reason = if is_first { CallReason::First } else { CallReason::Relist };
         let mut snapshot = store.list(self.kind, is_first, reason).await?;
         let mut later = None;
-        if snapshot.revision < snapshot.newest {
+        if snapshot.revision < snapshot.newest_revision {
             let since = snapshot.revision;
             match store.watch(self.kind, since, Duration::ZERO, CallReason::AfterListing).await? {
                 WatchResult::Changes(changes) => later = Some(changes),
