--- a/crates/nutmegctl/src/cmd/help.rs
+++ b/crates/nutmegctl/src/cmd/help.rs
@@ -51,8 +51,8 @@
 ];
 
 const NOTES: &str = "
-A change needs --who and --why. It is accepted once the platform has stored it, and is
-then pushed to every instance; a line in_force or not_in_force reports each. The token comes from
+A change needs --who and --why. It is accepted once the platform has stored it. It is then
+pushed to every instance; a line in_force or not_in_force reports each. The token comes from
 NUTMEGGRADE_OPERATOR_TOKEN or NUTMEGGRADE_OPERATOR_TOKEN_FILE.
 
 Exit codes: 0 done, 1 other error, 2 usage, 3 refused, 4 conflict (another change came
