--- a/tests/suite/random/attempts.rs
+++ b/tests/suite/random/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of clients under every order of outcomes.
+//! Model test of request attempts under random orders of outcomes.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::RouteKind;
@@ -27,7 +27,7 @@
         Just(RouteKind::Resumable),
     ];
     prop_oneof![
-        2 => (kind, 1..4_u32).prop_map(|(kind, most)| Step::Begin(kind, most)),
+        2 => (kind, 1..4_u32).prop_map(|(kind, max_sends)| Step::Begin(kind, max_sends)),
         6 => Just(Step::Send),
         2 => Just(Step::NotSent),
         2 => Just(Step::Refused),
@@ -38,92 +38,94 @@
     ]
 }
 
-/// What really happened to one attempt.
+/// Actual state of an attempt, to compare with.
 #[derive(Debug, Default)]
-struct Truth {
+struct ActualState {
     at_endpoint: bool,
-    answering: bool,
-    ran: u32,
-    handed: u32,
-    most: u32,
+    responding: bool,
+    runs: u32,
+    sends: u32,
+    max_sends: u32,
 }
 
-impl Truth {
-    /// An endpoint may run whatever it was handed, unless it says that it did not.
+impl ActualState {
+    /// Returns whether an endpoint may have run the request: it was sent and not reported as
+    /// refused.
     fn may_have_run(&self) -> bool {
-        self.at_endpoint || self.ran > 0
+        self.at_endpoint || self.runs > 0
     }
 }
 
 fn run(steps: &[Step]) -> Result<(), String> {
     let mut kind = RouteKind::NonIdempotent;
     let mut attempt = Attempt::new(kind, 1);
-    let mut truth = Truth { most: 1, ..Truth::default() };
+    let mut actual = ActualState { max_sends: 1, ..ActualState::default() };
     for step in steps {
         match step {
-            Step::Begin(new, most) => {
-                kind = *new;
-                attempt = Attempt::new(kind, *most);
-                truth = Truth { most: *most, ..Truth::default() };
+            Step::Begin(new_kind, max_sends) => {
+                kind = *new_kind;
+                attempt = Attempt::new(kind, *max_sends);
+                actual = ActualState { max_sends: *max_sends, ..ActualState::default() };
             }
             Step::Send if attempt.may_send() => {
-                if truth.may_have_run() && !kind.is_repeatable() {
-                    return Err("sent again what may have run".to_owned());
+                if actual.may_have_run() && !kind.is_repeatable() {
+                    return Err("resent a request that may have run".to_owned());
                 }
                 attempt.send();
-                truth.at_endpoint = true;
-                truth.handed += 1;
+                actual.at_endpoint = true;
+                actual.sends += 1;
             }
-            Step::NotSent if truth.at_endpoint => {
+            Step::NotSent if actual.at_endpoint => {
                 attempt.not_sent();
-                truth.at_endpoint = false;
-                truth.handed -= 1;
+                actual.at_endpoint = false;
+                actual.sends -= 1;
             }
-            Step::Lost if truth.answering => {
+            Step::Lost if actual.responding => {
                 attempt.lost();
-                truth.answering = false;
-                if !attempt.may_send() && kind.is_repeatable() && truth.handed < truth.most {
-                    return Err("an answer that broke off can't go on elsewhere".to_owned());
+                actual.responding = false;
+                if !attempt.may_send() && kind.is_repeatable() && actual.sends < actual.max_sends {
+                    return Err("a broken response can't continue at another endpoint".to_owned());
                 }
             }
-            Step::Refused if truth.at_endpoint => {
+            Step::Refused if actual.at_endpoint => {
                 attempt.refused();
-                truth.at_endpoint = false;
+                actual.at_endpoint = false;
             }
-            Step::Failed | Step::Lost if truth.at_endpoint => {
+            Step::Failed | Step::Lost if actual.at_endpoint => {
                 if matches!(step, Step::Failed) {
                     attempt.failed();
                 } else {
                     attempt.lost();
                 }
-                truth.at_endpoint = false;
-                truth.ran += 1;
+                actual.at_endpoint = false;
+                actual.runs += 1;
             }
-            Step::Answer if truth.at_endpoint => {
+            Step::Answer if actual.at_endpoint => {
                 attempt.answer();
-                truth.at_endpoint = false;
-                truth.answering = true;
-                truth.ran += 1;
+                actual.at_endpoint = false;
+                actual.responding = true;
+                actual.runs += 1;
             }
             Step::End => {
                 attempt.end();
-                truth.answering = false;
+                actual.responding = false;
             }
             _ => {}
         }
-        if attempt.run() == Run::NotRun && truth.may_have_run() {
-            return Err(format!("claims not to have run after {step:?}"));
+        if attempt.run() == Run::NotRun && actual.may_have_run() {
+            return Err(format!("reported as not run after {step:?}"));
         }
-        if truth.handed > truth.most {
-            return Err("handed to more endpoints than the route allows".to_owned());
+        if actual.sends > actual.max_sends {
+            return Err("sent to more endpoints than the route allows".to_owned());
         }
     }
     Ok(())
 }
 
-// Whatever endpoints do, a request that may have run is never said not to have, a request that may
-// not repeat is never sent again, and no more endpoints get it than the route allows.
+// Guards against a request that is reported as not run although it may have run, a non-repeatable
+// request that is resent, and more sends than the route allows, under any outcomes at the
+// endpoints.
 #[test]
-fn attempts_never_lie() {
+fn attempts_match_outcomes() {
     play("attempts", step(), run);
 }
--- a/tests/suite/random/cold.rs
+++ b/tests/suite/random/cold.rs
@@ -1,4 +1,4 @@
-//! Several instances share an engine in cold start, whatever fails.
+//! Model test of several instances that share an engine in cold start under failures.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,27 +15,28 @@
 const NODES: usize = 4;
 const LIMIT: u32 = 2;
 const LEASE: Duration = Duration::from_secs(1);
-/// Clocks run this many thousandths fast or slow.
-const RATES: [u64; NODES] = [1_000, 950, 1_050, 1_000];
+/// Clock rate of each instance, in thousandths of true time.
+const CLOCK_RATES: [u64; NODES] = [1_000, 950, 1_050, 1_000];
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes; every instance that can then confirms, proposes and looks at the load.
-    Pass(u64),
-    /// An answer of the platform or of the engine that comes late.
-    Ask(usize),
-    Hear(usize),
-    Poll(usize),
-    HearLoad(usize),
-    /// It believes that just these are there; the answer to what it writes may be lost.
-    View(usize, u8, bool),
+    /// Time passes; every running instance confirms, proposes and polls the load.
+    Advance(u64),
+    /// An instance reads the assignment or polls the engine's load; the response may arrive late.
+    ReadAssignment(usize),
+    ReceiveAssignment(usize),
+    PollLoad(usize),
+    ReceiveLoad(usize),
+    /// An instance proposes an assignment for the peers in a mask; the response to its write may be
+    /// lost.
+    Propose(usize, u8, bool),
     Start(usize),
     FirstToken(usize),
-    /// The instance gives a generation up; the engine goes on with it.
-    GiveUp(usize),
+    /// An instance cancels a generation; the engine continues it.
+    Cancel(usize),
     Finish(usize),
     Freeze(usize),
-    /// It wakes in the middle of sending.
+    /// A frozen instance resumes in the middle of a send.
     Wake(usize),
     Cut(usize),
     Heal(usize),
@@ -46,15 +47,15 @@
 fn step() -> impl Strategy<Value = Step> {
     let node = 0..NODES;
     prop_oneof![
-        20 => (1_u64..300).prop_map(Step::Pass),
-        2 => node.clone().prop_map(Step::Ask),
-        3 => node.clone().prop_map(Step::Hear),
-        2 => node.clone().prop_map(Step::Poll),
-        3 => node.clone().prop_map(Step::HearLoad),
-        1 => (node.clone(), 1_u8..16, any::<bool>()).prop_map(|(n, m, l)| Step::View(n, m, l)),
+        20 => (1_u64..300).prop_map(Step::Advance),
+        2 => node.clone().prop_map(Step::ReadAssignment),
+        3 => node.clone().prop_map(Step::ReceiveAssignment),
+        2 => node.clone().prop_map(Step::PollLoad),
+        3 => node.clone().prop_map(Step::ReceiveLoad),
+        1 => (node.clone(), 1_u8..16, any::<bool>()).prop_map(|(n, m, l)| Step::Propose(n, m, l)),
         16 => node.clone().prop_map(Step::Start),
         5 => (0..4_usize).prop_map(Step::FirstToken),
-        2 => (0..4_usize).prop_map(Step::GiveUp),
+        2 => (0..4_usize).prop_map(Step::Cancel),
         4 => (0..4_usize).prop_map(Step::Finish),
         1 => node.clone().prop_map(Step::Freeze),
         2 => node.clone().prop_map(Step::Wake),
@@ -70,12 +71,12 @@
     incarnation: u64,
     frozen: bool,
     cut: bool,
-    answer: Option<(Moment, u64, Assignment)>,
+    response: Option<(Moment, u64, Assignment)>,
     version: u64,
     load: Option<LoadSample>,
 }
 
-struct Held {
+struct Generation {
     node: usize,
     incarnation: u64,
     slot: Slot,
@@ -84,12 +85,12 @@
 struct World {
     time: u64,
     nodes: Vec<Node>,
-    up: bool,
-    object: Option<(u64, Assignment)>,
-    held: Vec<Held>,
-    slots: u64,
+    platform_up: bool,
+    assignment: Option<(u64, Assignment)>,
+    generations: Vec<Generation>,
+    next_slot: u64,
     peak: usize,
-    given: BTreeSet<usize>,
+    users: BTreeSet<usize>,
 }
 
 fn name(n: usize) -> InstanceId {
@@ -107,7 +108,7 @@
             incarnation,
             frozen: false,
             cut: false,
-            answer: None,
+            response: None,
             version: 0,
             load: None,
         }
@@ -119,41 +120,41 @@
         Self {
             time: 10_000,
             nodes: (0..NODES).map(|n| Node::new(n, 1)).collect(),
-            up: true,
-            object: None,
-            held: Vec::new(),
-            slots: 0,
+            platform_up: true,
+            assignment: None,
+            generations: Vec::new(),
+            next_slot: 0,
             peak: 0,
-            given: BTreeSet::new(),
+            users: BTreeSet::new(),
         }
     }
 
     fn now(&self, n: usize) -> Moment {
-        Moment::from_millis(self.time * RATES[n] / 1_000)
+        Moment::from_millis(self.time * CLOCK_RATES[n] / 1_000)
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Pass(ms) => {
+            Step::Advance(ms) => {
                 self.time += ms;
-                (0..NODES).for_each(|n| self.work(n));
+                (0..NODES).for_each(|n| self.run_cycle(n));
             }
-            Step::Platform(up) => self.up = up,
+            Step::Platform(platform_up) => self.platform_up = platform_up,
             Step::Wake(n) if self.nodes[n].frozen => {
                 self.nodes[n].frozen = false;
                 self.start(n);
                 self.start(n);
             }
-            Step::Finish(i) if i < self.held.len() => {
-                let held = self.held.remove(i);
-                self.leave(&held);
+            Step::Finish(i) if i < self.generations.len() => {
+                let generation = self.generations.remove(i);
+                self.finish_generation(&generation);
             }
-            Step::FirstToken(i) | Step::GiveUp(i) => self.note(i, step),
-            Step::Ask(n)
-            | Step::Hear(n)
-            | Step::View(n, ..)
-            | Step::Poll(n)
-            | Step::HearLoad(n)
+            Step::FirstToken(i) | Step::Cancel(i) => self.update_generation(i, step),
+            Step::ReadAssignment(n)
+            | Step::ReceiveAssignment(n)
+            | Step::Propose(n, ..)
+            | Step::PollLoad(n)
+            | Step::ReceiveLoad(n)
             | Step::Start(n)
             | Step::Freeze(n)
             | Step::Cut(n)
@@ -161,113 +162,113 @@
             | Step::Restart(n)
                 if !self.nodes[n].frozen =>
             {
-                self.act(n, step);
+                self.apply_local(n, step);
             }
             _ => {}
         }
     }
 
-    /// What an instance does all the time.
-    fn work(&mut self, n: usize) {
+    /// Runs one cycle of an instance's background work.
+    fn run_cycle(&mut self, n: usize) {
         if self.nodes[n].frozen {
             return;
         }
         if !self.nodes[n].cut {
-            self.ask(n);
-            self.hear(n);
-            let there = (0..NODES).filter(|i| !self.nodes[*i].frozen && !self.nodes[*i].cut);
-            let mask = there.fold(0, |mask, i| mask | 1 << i);
+            self.read_assignment(n);
+            self.receive_assignment(n);
+            let reachable = (0..NODES).filter(|i| !self.nodes[*i].frozen && !self.nodes[*i].cut);
+            let mask = reachable.fold(0, |mask, i| mask | 1 << i);
             self.propose(n, mask, false);
         }
-        self.poll(n);
-        self.hear_load(n);
+        self.poll_load(n);
+        self.receive_load(n);
     }
 
-    fn act(&mut self, n: usize, step: &Step) {
+    fn apply_local(&mut self, n: usize, step: &Step) {
         match *step {
-            Step::Ask(_) => self.ask(n),
-            Step::Hear(_) => self.hear(n),
-            Step::View(_, mask, lost) => self.propose(n, mask, lost),
-            Step::Poll(_) => self.poll(n),
-            Step::HearLoad(_) => self.hear_load(n),
+            Step::ReadAssignment(_) => self.read_assignment(n),
+            Step::ReceiveAssignment(_) => self.receive_assignment(n),
+            Step::Propose(_, mask, response_lost) => self.propose(n, mask, response_lost),
+            Step::PollLoad(_) => self.poll_load(n),
+            Step::ReceiveLoad(_) => self.receive_load(n),
             Step::Start(_) => self.start(n),
             Step::Freeze(_) => self.nodes[n].frozen = true,
             Step::Cut(_) => self.nodes[n].cut = true,
             Step::Heal(_) => self.nodes[n].cut = false,
             Step::Restart(_) => {
-                let fresh = Node::new(n, self.nodes[n].incarnation + 1);
-                self.nodes[n] = fresh;
+                let restarted = Node::new(n, self.nodes[n].incarnation + 1);
+                self.nodes[n] = restarted;
             }
             _ => {}
         }
     }
 
-    fn ask(&mut self, n: usize) {
+    fn read_assignment(&mut self, n: usize) {
         let now = self.now(n);
-        if self.up && !self.nodes[n].cut {
-            self.nodes[n].answer = self.object.clone().map(|(version, a)| (now, version, a));
+        if self.platform_up && !self.nodes[n].cut {
+            self.nodes[n].response = self.assignment.clone().map(|(version, a)| (now, version, a));
         }
     }
 
-    fn hear(&mut self, n: usize) {
+    fn receive_assignment(&mut self, n: usize) {
         let now = self.now(n);
         let node = &mut self.nodes[n];
-        if let Some((asked, version, assignment)) = node.answer.take() {
+        if let Some((requested_at, version, assignment)) = node.response.take() {
             node.version = version;
-            node.rights.learn(&assignment, asked, now);
+            node.rights.learn(&assignment, requested_at, now);
         }
     }
 
-    fn poll(&mut self, n: usize) {
-        let held = u32::try_from(self.held.len()).expect("few");
+    fn poll_load(&mut self, n: usize) {
+        let held = u32::try_from(self.generations.len()).expect("few");
         self.nodes[n].load =
             Some(LoadSample { taken: self.now(n), held, cold: true, limit: LIMIT });
     }
 
-    fn hear_load(&mut self, n: usize) {
+    fn receive_load(&mut self, n: usize) {
         if let Some(sample) = self.nodes[n].load.take() {
             self.nodes[n].rights.note_load(&engine(), sample);
         }
     }
 
-    fn propose(&mut self, n: usize, mask: u8, lost: bool) {
+    fn propose(&mut self, n: usize, mask: u8, response_lost: bool) {
         let now = self.now(n);
-        let seen = (0..NODES).filter(|i| *i == n || mask & (1 << i) != 0);
+        let visible = (0..NODES).filter(|i| *i == n || mask & (1 << i) != 0);
         let candidate = |i: usize| Candidate {
             incarnation: self.nodes[i].incarnation,
             platform_reachable: true,
         };
-        let live: BTreeMap<_, _> = seen.map(|i| (name(i), candidate(i))).collect();
+        let live: BTreeMap<_, _> = visible.map(|i| (name(i), candidate(i))).collect();
         let Some(next) = self.nodes[n].rights.propose(&live, LEASE, now) else { return };
-        let version = self.object.as_ref().map_or(0, |(v, _)| *v);
-        if !self.up || self.nodes[n].cut || version != self.nodes[n].version {
+        let version = self.assignment.as_ref().map_or(0, |(v, _)| *v);
+        if !self.platform_up || self.nodes[n].cut || version != self.nodes[n].version {
             return;
         }
-        self.object = Some((version + 1, next.clone()));
-        if !lost {
-            self.nodes[n].answer = Some((now, version + 1, next));
-            self.hear(n);
+        self.assignment = Some((version + 1, next.clone()));
+        if !response_lost {
+            self.nodes[n].response = Some((now, version + 1, next));
+            self.receive_assignment(n);
         }
     }
 
     fn start(&mut self, n: usize) {
         let now = self.now(n);
-        let slot = Slot(self.slots);
-        self.slots += 1;
+        let slot = Slot(self.next_slot);
+        self.next_slot += 1;
         let node = &mut self.nodes[n];
         if node.rights.take_slot(&engine(), slot, now) {
-            self.held.push(Held { node: n, incarnation: node.incarnation, slot });
-            self.peak = self.peak.max(self.held.len());
-            self.given.insert(n);
+            self.generations.push(Generation { node: n, incarnation: node.incarnation, slot });
+            self.peak = self.peak.max(self.generations.len());
+            self.users.insert(n);
         }
     }
 
-    fn note(&mut self, i: usize, step: &Step) {
-        let Some(held) = self.held.get(i) else { return };
-        let (n, slot) = (held.node, held.slot);
+    fn update_generation(&mut self, i: usize, step: &Step) {
+        let Some(generation) = self.generations.get(i) else { return };
+        let (n, slot) = (generation.node, generation.slot);
         let now = self.now(n);
         let node = &mut self.nodes[n];
-        if node.frozen || node.incarnation != held.incarnation {
+        if node.frozen || node.incarnation != generation.incarnation {
             return;
         }
         match step {
@@ -276,37 +277,38 @@
         }
     }
 
-    fn leave(&mut self, held: &Held) {
-        let now = self.now(held.node);
-        let node = &mut self.nodes[held.node];
-        if !node.frozen && node.incarnation == held.incarnation {
-            node.rights.leave_slot(&engine(), held.slot, now);
+    fn finish_generation(&mut self, generation: &Generation) {
+        let now = self.now(generation.node);
+        let node = &mut self.nodes[generation.node];
+        if !node.frozen && node.incarnation == generation.incarnation {
+            node.rights.leave_slot(&engine(), generation.slot, now);
         }
     }
 }
 
 fn run(steps: &[Step]) -> Result<usize, String> {
     let mut world = World::new();
-    for (at, step) in steps.iter().enumerate() {
-        world.take(step);
+    for (index, step) in steps.iter().enumerate() {
+        world.apply(step);
         if world.peak > LIMIT as usize {
-            return Err(format!("step {at}: the cold engine holds {}", world.peak));
+            return Err(format!("step {index}: {} generations on the cold engine", world.peak));
         }
     }
-    Ok(world.given.len())
+    Ok(world.users.len())
 }
 
-// An engine starts cold while instances die, freeze, wake, are cut off, see each other differently
-// and write epochs against each other. Were two of them to believe that it is theirs, or one to
-// forget what its predecessor left on it, it would fall over again and again as it comes up.
+// Guards against exceeding the limit of a cold engine, which would crash it repeatedly as it
+// starts. Instances die, freeze, resume, are cut off, see different sets of peers and write
+// competing epochs, so that two of them may both take themselves for the owner, or a new owner may
+// not count the load of its predecessor.
 #[test]
 fn cold_engine_bears_what_it_gets() {
-    let uses = std::cell::Cell::new(0);
+    let users = std::cell::Cell::new(0);
     play("cold", step(), |steps| {
-        uses.set(uses.get() + run(steps)?);
+        users.set(users.get() + run(steps)?);
         Ok(())
     });
-    // A system that never uses a cold engine would pass as well.
-    assert!(uses.get() > 0, "no instance ever used the engine");
-    println!("random run=cold users={}", uses.get());
+    // A system that never uses a cold engine would pass all other checks.
+    assert!(users.get() > 0, "no instance ever used the engine");
+    println!("random run=cold users={}", users.get());
 }
--- a/tests/suite/random/config.rs
+++ b/tests/suite/random/config.rs
@@ -1,4 +1,4 @@
-//! Several instances follow the configuration, whatever fails.
+//! Model test of several instances that follow the configuration under failures.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -16,25 +16,26 @@
 
 const NODES: usize = 5;
 const FENCE_MS: u64 = 3_000;
-const SILENCE: Duration = Duration::from_secs(2);
-/// Clocks run this many thousandths fast or slow.
-const RATES: [u64; NODES] = [1_000, 980, 1_020, 1_000, 1_010];
-/// The slowest clock's fence in true time, rounded up.
-const BOUND_MS: u64 = FENCE_MS * 1_000 / 980 + 10;
-/// Heartbeats that a frozen process finds in its buffers.
-const BUFFER: usize = 128;
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Clock rate of each instance, in thousandths of true time.
+const CLOCK_RATES: [u64; NODES] = [1_000, 980, 1_020, 1_000, 1_010];
+/// Fence of the slowest clock in true time, rounded up.
+const MAX_FENCE_MS: u64 = FENCE_MS * 1_000 / 980 + 10;
+/// Heartbeats that a frozen process's receive buffer holds.
+const BUFFERED_HEARTBEATS: usize = 128;
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes; every instance that can then sends, receives, watches and catches up.
-    Pass(u64),
-    /// An operator's change, pushed to some; the platform must be up.
+    /// Time passes; every running instance sends, receives, watches and catches up.
+    Advance(u64),
+    /// An operator changes the configuration, and the change is pushed to some instances; requires
+    /// the platform.
     Change(u8),
-    /// An answer of the platform that comes late.
-    Ask(usize),
-    Hear(usize),
+    /// An instance reads the configuration from the platform; the response may arrive late.
+    ReadPlatform(usize),
+    ReceiveResponse(usize),
     Freeze(usize),
-    /// It wakes in the middle of sending.
+    /// A frozen instance resumes in the middle of a send.
     Wake(usize),
     Restart(usize),
     CutPlatform(usize, bool),
@@ -46,10 +47,10 @@
     let node = 0..NODES;
     let cut = prop::bool::weighted(0.4);
     prop_oneof![
-        20 => (1_u64..600).prop_map(Step::Pass),
+        20 => (1_u64..600).prop_map(Step::Advance),
         3 => any::<u8>().prop_map(Step::Change),
-        2 => node.clone().prop_map(Step::Ask),
-        2 => node.clone().prop_map(Step::Hear),
+        2 => node.clone().prop_map(Step::ReadPlatform),
+        2 => node.clone().prop_map(Step::ReceiveResponse),
         2 => node.clone().prop_map(Step::Freeze),
         3 => node.clone().prop_map(Step::Wake),
         1 => node.clone().prop_map(Step::Restart),
@@ -68,8 +69,8 @@
     frozen: bool,
     cut: bool,
     inbox: VecDeque<Beacon>,
-    answer: Option<(Moment, Option<Configuration>)>,
-    /// What was in force since when, in true time, in this life.
+    response: Option<(Moment, Option<Configuration>)>,
+    /// Times, in true time, at which versions took effect in this incarnation.
     history: Vec<(u64, u64)>,
 }
 
@@ -87,13 +88,13 @@
         Self {
             config: ConfigTable::new(),
             fence: Fence::new(Duration::from_millis(FENCE_MS)),
-            members: Membership::new(&entry, SILENCE),
+            members: Membership::new(&entry, SILENCE_TIMEOUT),
             entry,
             sequence: 0,
             frozen: false,
             cut: false,
             inbox: VecDeque::new(),
-            answer: None,
+            response: None,
             history: Vec::new(),
         }
     }
@@ -101,23 +102,23 @@
     fn offer(&mut self, config: &Configuration, time: u64) {
         let before = self.config.version();
         self.config.offer(config);
-        assert!(self.config.version() >= before, "the configuration went back");
+        assert!(self.config.version() >= before, "the configuration version decreased");
         if self.config.version() > before {
             self.history.push((time, config.version));
         }
     }
 
-    fn held_at(&self, time: u64) -> u64 {
+    fn version_at(&self, time: u64) -> u64 {
         self.history.iter().rev().find(|(at, _)| *at <= time).map_or(0, |(_, v)| *v)
     }
 
-    /// Reads the heartbeats that lie in the buffer.
+    /// Processes the buffered heartbeats.
     fn receive(&mut self, now: Moment) {
         while let Some(beacon) = self.inbox.pop_front() {
-            let fresh = self.members.hear(&beacon, now);
-            let together = self.members.quorum_since(NODES);
-            if fresh && !self.config.note(beacon.config) {
-                self.fence.record_peer_contact(together);
+            let is_new = self.members.hear(&beacon, now);
+            let majority_since = self.members.quorum_since(NODES);
+            if is_new && !self.config.note(beacon.config) {
+                self.fence.record_peer_contact(majority_since);
             }
         }
     }
@@ -125,9 +126,9 @@
 
 struct World {
     time: u64,
-    up: bool,
+    platform_up: bool,
     nodes: Vec<Node>,
-    links: BTreeSet<(usize, usize)>,
+    cut_links: BTreeSet<(usize, usize)>,
     versions: Vec<Configuration>,
     sends: usize,
 }
@@ -139,37 +140,37 @@
         let first = Configuration::new(id, "a", "b", &name, &preset().expect("preset"));
         Self {
             time: 100_000,
-            up: true,
+            platform_up: true,
             nodes: (0..NODES).map(|n| Node::new(n, 1)).collect(),
-            links: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             versions: vec![first],
             sends: 0,
         }
     }
 
     fn now(&self, n: usize) -> Moment {
-        Moment::from_millis(self.time * RATES[n] / 1_000)
+        Moment::from_millis(self.time * CLOCK_RATES[n] / 1_000)
     }
 
-    fn linked(&self, a: usize, b: usize) -> bool {
-        a != b && !self.links.contains(&(a.min(b), a.max(b)))
+    fn is_linked(&self, a: usize, b: usize) -> bool {
+        a != b && !self.cut_links.contains(&(a.min(b), a.max(b)))
     }
 
-    fn reads(&self, n: usize) -> bool {
-        self.up && !self.nodes[n].cut
+    fn can_read(&self, n: usize) -> bool {
+        self.platform_up && !self.nodes[n].cut
     }
 
-    fn take(&mut self, step: &Step) -> Result<(), String> {
+    fn apply(&mut self, step: &Step) -> Result<(), String> {
         match *step {
-            Step::Pass(ms) => {
+            Step::Advance(ms) => {
                 self.time += ms;
                 for n in 0..NODES {
-                    self.work(n);
+                    self.run_cycle(n);
                 }
             }
-            Step::Change(mask) if self.up => self.change(mask),
-            Step::Ask(n) if !self.nodes[n].frozen => self.ask(n),
-            Step::Hear(n) if !self.nodes[n].frozen => self.hear(n),
+            Step::Change(mask) if self.platform_up => self.change(mask),
+            Step::ReadPlatform(n) if !self.nodes[n].frozen => self.read_platform(n),
+            Step::ReceiveResponse(n) if !self.nodes[n].frozen => self.receive_response(n),
             Step::Freeze(n) => self.nodes[n].frozen = true,
             Step::Wake(n) if self.nodes[n].frozen => return self.wake(n),
             Step::Restart(n) => {
@@ -178,23 +179,23 @@
                 self.nodes[n] = Node { cut, ..Node::new(n, incarnation) };
             }
             Step::CutPlatform(n, cut) => self.nodes[n].cut = cut,
-            Step::CutLink(a, b, true) => drop(self.links.insert((a.min(b), a.max(b)))),
-            Step::CutLink(a, b, false) => drop(self.links.remove(&(a.min(b), a.max(b)))),
-            Step::Platform(up) => self.up = up,
+            Step::CutLink(a, b, true) => drop(self.cut_links.insert((a.min(b), a.max(b)))),
+            Step::CutLink(a, b, false) => drop(self.cut_links.remove(&(a.min(b), a.max(b)))),
+            Step::Platform(platform_up) => self.platform_up = platform_up,
             _ => {}
         }
-        (0..NODES).try_for_each(|n| self.send(n))
+        (0..NODES).try_for_each(|n| self.check_send(n))
     }
 
-    /// What an instance does all the time.
-    fn work(&mut self, n: usize) {
+    /// Runs one cycle of an instance's background work.
+    fn run_cycle(&mut self, n: usize) {
         if self.nodes[n].frozen {
             return;
         }
         let now = self.now(n);
         self.nodes[n].receive(now);
-        self.ask(n);
-        self.hear(n);
+        self.read_platform(n);
+        self.receive_response(n);
         self.catch_up(n);
         self.publish(n);
     }
@@ -217,42 +218,42 @@
             resumed: BTreeSet::new(),
             suspects: Vec::new(),
         };
-        for other in (0..NODES).filter(|m| self.linked(n, *m)).collect::<Vec<_>>() {
+        for other in (0..NODES).filter(|m| self.is_linked(n, *m)).collect::<Vec<_>>() {
             let inbox = &mut self.nodes[other].inbox;
-            if inbox.len() < BUFFER {
+            if inbox.len() < BUFFERED_HEARTBEATS {
                 inbox.push_back(beacon.clone());
             }
         }
     }
 
-    fn ask(&mut self, n: usize) {
-        if self.reads(n) {
-            let answer = (self.now(n), self.versions.last().cloned());
-            self.nodes[n].answer = Some(answer);
+    fn read_platform(&mut self, n: usize) {
+        if self.can_read(n) {
+            let response = (self.now(n), self.versions.last().cloned());
+            self.nodes[n].response = Some(response);
         }
     }
 
-    fn hear(&mut self, n: usize) {
-        let Some((asked, config)) = self.nodes[n].answer.take() else { return };
+    fn receive_response(&mut self, n: usize) {
+        let Some((requested_at, config)) = self.nodes[n].response.take() else { return };
         let time = self.time;
         let node = &mut self.nodes[n];
         if let Some(config) = config {
             node.offer(&config, time);
         }
-        node.fence.record_platform_contact(asked);
+        node.fence.record_platform_contact(requested_at);
     }
 
     fn catch_up(&mut self, n: usize) {
         let wanted = self.nodes[n].config.wanted();
-        let lost = self.nodes[n].config.version() == 0;
-        let Some(least) = wanted.or(lost.then_some(1)) else { return };
+        let has_none = self.nodes[n].config.version() == 0;
+        let Some(min_version) = wanted.or(has_none.then_some(1)) else { return };
         let holds = |m: &usize| {
             let node = &self.nodes[*m];
-            self.linked(n, *m) && !node.frozen && node.config.version() >= least
+            self.is_linked(n, *m) && !node.frozen && node.config.version() >= min_version
         };
-        let held = (0..NODES).find(holds).and_then(|m| self.nodes[m].config.current());
+        let peer_config = (0..NODES).find(holds).and_then(|m| self.nodes[m].config.current());
         let time = self.time;
-        if let Some(config) = held {
+        if let Some(config) = peer_config {
             self.nodes[n].offer(&config, time);
         }
     }
@@ -276,19 +277,21 @@
         self.versions.push(next);
     }
 
-    /// Sends before it reads anything, and again after each buffer that it reads.
+    /// Resumes an instance: it sends before it reads anything, and again after each buffer that it
+    /// reads.
     fn wake(&mut self, n: usize) -> Result<(), String> {
         self.nodes[n].frozen = false;
-        self.send(n)?;
+        self.check_send(n)?;
         let now = self.now(n);
         self.nodes[n].receive(now);
-        self.send(n)?;
-        self.hear(n);
-        self.send(n)
+        self.check_send(n)?;
+        self.receive_response(n);
+        self.check_send(n)
     }
 
-    /// New work goes out if the tables let it; what most instances had long in force must be known.
-    fn send(&mut self, n: usize) -> Result<(), String> {
+    /// Sends a request if the instance's state allows it, and checks that the instance has the
+    /// version that a majority had in force before the longest fence.
+    fn check_send(&mut self, n: usize) -> Result<(), String> {
         let now = self.now(n);
         let node = &self.nodes[n];
         let version = node.config.version();
@@ -296,26 +299,28 @@
             return Ok(());
         }
         self.sends += 1;
-        let then = self.time - BOUND_MS;
-        let mut held: Vec<u64> = self.nodes.iter().map(|m| m.held_at(then)).collect();
-        held.sort_unstable();
-        let most = held[NODES / 2];
-        if version < most {
-            return Err(format!("node {n} works on version {version}, most have had {most}"));
+        let cutoff = self.time - MAX_FENCE_MS;
+        let mut in_force: Vec<u64> = self.nodes.iter().map(|m| m.version_at(cutoff)).collect();
+        in_force.sort_unstable();
+        let majority = in_force[NODES / 2];
+        if version < majority {
+            return Err(format!(
+                "node {n} sends under version {version}, a majority has {majority}"
+            ));
         }
         Ok(())
     }
 
-    /// Everything heals: all must have the newest version in force and work again.
-    fn settle(&mut self) -> Result<(), String> {
-        self.up = true;
-        self.links.clear();
+    /// Heals all failures; every instance must have the newest version in force and send again.
+    fn check_recovery(&mut self) -> Result<(), String> {
+        self.platform_up = true;
+        self.cut_links.clear();
         for node in &mut self.nodes {
             node.frozen = false;
             node.cut = false;
         }
         for _ in 0..3 {
-            self.take(&Step::Pass(500))?;
+            self.apply(&Step::Advance(500))?;
         }
         let newest = self.versions.last().map_or(0, |c| c.version);
         for (n, node) in self.nodes.iter().enumerate() {
@@ -330,15 +335,15 @@
 fn run(steps: &[Step]) -> Result<usize, String> {
     let mut world = World::new();
     for step in steps {
-        world.take(step)?;
+        world.apply(step)?;
     }
-    world.settle()?;
+    world.check_recovery()?;
     Ok(world.sends)
 }
 
-// Operators take a failure domain out while instances are frozen, cut from the platform or from each
-// other, restarted, and the platform goes down just after. Whoever can't know of the change must
-// stop; one would notice requests in the domain long after it was taken out.
+// Guards against requests to a failure domain long after operators took it out. Instances are
+// frozen, restarted, or cut off from the platform or from each other, and the platform fails just
+// after the change. An instance that can't learn of the change must stop sending.
 #[test]
 fn nobody_works_on_what_most_have_replaced() {
     let sends = std::cell::Cell::new(0);
@@ -346,6 +351,6 @@
         sends.set(sends.get() + run(steps)?);
         Ok(())
     });
-    assert!(sends.get() > 0, "no instance ever worked");
+    assert!(sends.get() > 0, "no instance ever sent");
     println!("random run=config sends={}", sends.get());
 }
--- a/tests/suite/random/event_streams.rs
+++ b/tests/suite/random/event_streams.rs
@@ -1,4 +1,4 @@
-//! Event streams cut into pieces at every place, and taken up elsewhere.
+//! Model test of event streams that are split at any byte and resumed at other engines.
 
 use nutmeggrade_core::routing::EventPosition;
 use nutmeggrade_state::event_splitter::EventSplitter;
@@ -8,16 +8,16 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// This many bytes of the stream come.
+    /// This many bytes of the stream arrive.
     Bytes(usize),
-    /// The stream goes on at another engine, this many events further back than needed.
-    TakenUp(u64),
+    /// The stream resumes at another engine, this many events earlier than needed.
+    Resumed(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         9 => (1..60_usize).prop_map(Step::Bytes),
-        1 => (0..4_u64).prop_map(Step::TakenUp),
+        1 => (0..4_u64).prop_map(Step::Resumed),
     ]
 }
 
@@ -34,36 +34,36 @@
 fn run(steps: &[Step]) -> Result<(), String> {
     let mut splitter = EventSplitter::new(Some(EventPosition(10)));
     let mut bytes = stream(11);
-    let mut at = 0;
-    let mut passed: Vec<u8> = Vec::new();
+    let mut offset = 0;
+    let mut delivered: Vec<u8> = Vec::new();
     for step in steps {
         match *step {
             Step::Bytes(count) => {
-                let end = (at + count).min(bytes.len());
-                passed.extend(splitter.push(&bytes[at..end]).unwrap_or_default());
-                at = end;
+                let end = (offset + count).min(bytes.len());
+                delivered.extend(splitter.push(&bytes[offset..end]).unwrap_or_default());
+                offset = end;
             }
-            Step::TakenUp(back) => {
+            Step::Resumed(overlap) => {
                 let last = splitter.position().map_or(0, |p| p.0);
                 splitter.cut();
-                bytes = stream((last + 1).saturating_sub(back).max(1));
-                at = 0;
+                bytes = stream((last + 1).saturating_sub(overlap).max(1));
+                offset = 0;
             }
         }
         let last = splitter.position().map_or(10, |p| p.0);
         let expected: String = (11..=last).map(event).collect();
-        if passed != expected.as_bytes() {
-            return Err(format!("not the events 11 to {last}"));
+        if delivered != expected.as_bytes() {
+            return Err(format!("delivered bytes are not events 11 to {last}"));
         }
         if splitter.passed() != last - 10 {
-            return Err("counted other events than passed".to_owned());
+            return Err("event count differs from the delivered events".to_owned());
         }
     }
     Ok(())
 }
 
-// Bytes come in pieces of any size, engines die anywhere and others begin a little earlier than they
-// should. The client gets each event once, whole and in order.
+// Guards against lost, repeated or truncated events. Bytes arrive in pieces of any size, engines
+// die at any byte, and their replacements start a few events too early.
 #[test]
 fn events_pass_once_whole_and_in_order() {
     play("event streams", step(), run);
--- a/tests/suite/random/intents.rs
+++ b/tests/suite/random/intents.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent calls at several instances, with every failure of the platform and the service.
+//! Model test of non-idempotent calls at several instances with platform and service failures.
 
 use std::collections::BTreeMap;
 
@@ -11,42 +11,42 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
-use super::{STEPS, machine};
+use super::{STEPS, machine_config};
 
 const NODES: usize = 3;
 const KEYS: usize = 2;
 
-/// What befalls a write.
+/// Outcome of a read or write at the store.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
-    Works,
-    AnswerLost,
-    Late,
+enum StoreOutcome {
+    Succeeds,
+    ResponseLost,
+    Delayed,
     Dropped,
     Refused,
 }
 
-/// What befalls a call of the service.
+/// Outcome of a call to the service.
 #[derive(Debug, Clone, Copy)]
-enum Served {
-    Answers,
-    AnswerLost,
-    RunsLate,
+enum CallOutcome {
+    Responds,
+    ResponseLost,
+    RunsDelayed,
     Refuses,
 }
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// A caller asks with a key at an instance.
-    Ask { node: usize, key: usize },
-    /// One attempt or settlement takes its next step.
-    Step { task: usize, fate: Fate, served: Served, seen: bool },
-    /// A write that was on its way takes effect.
-    Arrive { write: usize },
-    /// A call that was on its way runs.
-    RunLate { call: usize },
-    /// An instance dies and starts again under the same name.
-    Kill { node: usize },
+    /// A caller sends a request with an idempotency key to an instance.
+    Request { node: usize, key: usize },
+    /// An attempt or settlement takes its next step.
+    Step { task: usize, store: StoreOutcome, call: CallOutcome, visible: bool },
+    /// A delayed write takes effect.
+    DeliverWrite { write: usize },
+    /// A delayed call runs.
+    RunDelayedCall { call: usize },
+    /// An instance dies and restarts under the same name.
+    Restart { node: usize },
 }
 
 #[derive(Debug)]
@@ -61,27 +61,27 @@
     }
 
     fn transitions((): &()) -> BoxedStrategy<Event> {
-        let fate = prop_oneof![
-            6 => Just(Fate::Works),
-            2 => Just(Fate::AnswerLost),
-            2 => Just(Fate::Late),
-            1 => Just(Fate::Dropped),
-            1 => Just(Fate::Refused),
+        let store = prop_oneof![
+            6 => Just(StoreOutcome::Succeeds),
+            2 => Just(StoreOutcome::ResponseLost),
+            2 => Just(StoreOutcome::Delayed),
+            1 => Just(StoreOutcome::Dropped),
+            1 => Just(StoreOutcome::Refused),
         ];
-        let served = prop_oneof![
-            2 => Just(Served::Answers),
-            1 => Just(Served::AnswerLost),
-            1 => Just(Served::RunsLate),
-            4 => Just(Served::Refuses),
+        let call = prop_oneof![
+            2 => Just(CallOutcome::Responds),
+            1 => Just(CallOutcome::ResponseLost),
+            1 => Just(CallOutcome::RunsDelayed),
+            4 => Just(CallOutcome::Refuses),
         ];
-        let step = (any::<usize>(), fate, served, any::<bool>())
-            .prop_map(|(task, fate, served, seen)| Event::Step { task, fate, served, seen });
+        let step = (any::<usize>(), store, call, any::<bool>())
+            .prop_map(|(task, store, call, visible)| Event::Step { task, store, call, visible });
         prop_oneof![
-            4 => (0..NODES, 0..KEYS).prop_map(|(node, key)| Event::Ask { node, key }),
+            4 => (0..NODES, 0..KEYS).prop_map(|(node, key)| Event::Request { node, key }),
             20 => step,
-            3 => any::<usize>().prop_map(|write| Event::Arrive { write }),
-            2 => any::<usize>().prop_map(|call| Event::RunLate { call }),
-            1 => (0..NODES).prop_map(|node| Event::Kill { node }),
+            3 => any::<usize>().prop_map(|write| Event::DeliverWrite { write }),
+            2 => any::<usize>().prop_map(|call| Event::RunDelayedCall { call }),
+            1 => (0..NODES).prop_map(|node| Event::Restart { node }),
         ]
         .boxed()
     }
@@ -90,17 +90,17 @@
 }
 
 #[derive(Debug)]
-enum Work {
+enum Stage {
     Claim(Claiming),
     Send { intent: Intent, version: u64 },
-    Settle { settling: Settling, answered: bool },
+    Settle { settling: Settling, uncertain_claim: bool },
 }
 
 #[derive(Debug)]
 struct Task {
     node: usize,
     key: usize,
-    work: Work,
+    stage: Stage,
 }
 
 #[derive(Debug, Clone)]
@@ -110,89 +110,90 @@
     intent: Intent,
 }
 
-/// Instances, the platform and the service on one thread.
+/// State of the instances, the platform and the service, on one thread.
 #[derive(Debug, Default)]
 struct World {
-    lives: [u64; NODES],
+    incarnations: [u64; NODES],
     tables: [OwnIntents; NODES],
     tasks: Vec<Task>,
     records: BTreeMap<usize, (u64, Intent)>,
-    writes: Vec<Write>,
-    calls: Vec<usize>,
-    ran: [u32; KEYS],
-    answers: BTreeMap<usize, RecordedAnswer>,
-    drawn: u8,
-    nonces: u64,
+    delayed_writes: Vec<Write>,
+    delayed_calls: Vec<usize>,
+    runs: [u32; KEYS],
+    responses: BTreeMap<usize, RecordedAnswer>,
+    response_count: u8,
+    nonce_count: u64,
 }
 
 impl World {
-    fn ask(&mut self, node: usize, key: usize) {
-        self.nonces += 1;
-        let nonce = GenerationId::new((u128::from(self.nonces)).to_be_bytes());
+    fn request(&mut self, node: usize, key: usize) {
+        self.nonce_count += 1;
+        let nonce = GenerationId::new((u128::from(self.nonce_count)).to_be_bytes());
         let name = InstanceId::new(&format!("node-{node}")).expect("id");
-        let intent = Intent::new(nonce, &name, self.lives[node], "request");
+        let intent = Intent::new(nonce, &name, self.incarnations[node], "request");
         self.tables[node].begin(nonce);
-        self.tasks.push(Task { node, key, work: Work::Claim(Claiming::new(intent)) });
+        self.tasks.push(Task { node, key, stage: Stage::Claim(Claiming::new(intent)) });
     }
 
-    fn write(&mut self, write: Write, fate: Fate) -> StoreResponse {
-        match fate {
-            Fate::Works => self.apply(&write),
-            Fate::AnswerLost => {
+    fn write(&mut self, write: Write, store: StoreOutcome) -> StoreResponse {
+        match store {
+            StoreOutcome::Succeeds => self.apply(&write),
+            StoreOutcome::ResponseLost => {
                 self.apply(&write);
                 StoreResponse::Lost
             }
-            Fate::Late => {
-                self.writes.push(write);
+            StoreOutcome::Delayed => {
+                self.delayed_writes.push(write);
                 StoreResponse::Lost
             }
-            Fate::Dropped => StoreResponse::Lost,
-            Fate::Refused => StoreResponse::Refused,
+            StoreOutcome::Dropped => StoreResponse::Lost,
+            StoreOutcome::Refused => StoreResponse::Refused,
         }
     }
 
     fn apply(&mut self, write: &Write) -> StoreResponse {
-        let found = self.records.get(&write.key).map(|(v, _)| *v);
-        if found != write.expected {
+        let current = self.records.get(&write.key).map(|(v, _)| *v);
+        if current != write.expected {
             return StoreResponse::Conflict;
         }
-        let version = found.unwrap_or(0) + 1;
+        let version = current.unwrap_or(0) + 1;
         self.records.insert(write.key, (version, write.intent.clone()));
         StoreResponse::Written(version)
     }
 
-    fn read(&self, node: usize, key: usize, fate: Fate, seen: bool) -> StoreResponse {
-        if !matches!(fate, Fate::Works | Fate::Late) {
+    fn read(&self, node: usize, key: usize, store: StoreOutcome, visible: bool) -> StoreResponse {
+        if !matches!(store, StoreOutcome::Succeeds | StoreOutcome::Delayed) {
             return StoreResponse::Lost;
         }
         let Some((version, intent)) = self.records.get(&key) else { return StoreResponse::Absent };
-        StoreResponse::Found(Box::new(intent.clone()), *version, self.owner(node, intent, seen))
+        StoreResponse::Found(Box::new(intent.clone()), *version, self.owner(node, intent, visible))
     }
 
-    /// Another instance may look gone while it is only paused, or live after it died.
-    fn owner(&self, node: usize, intent: &Intent, seen: bool) -> Owner {
-        let own = intent.instance.as_str() == format!("node-{node}");
-        if own && intent.incarnation == self.lives[node] {
+    /// Returns the owner's state as an instance sees it: a paused instance may look gone, and a
+    /// dead one live.
+    fn owner(&self, node: usize, intent: &Intent, visible: bool) -> Owner {
+        let is_own = intent.instance.as_str() == format!("node-{node}");
+        if is_own && intent.incarnation == self.incarnations[node] {
             return self.tables[node].owner(intent.nonce);
         }
-        if seen && !own { Owner::Busy } else { Owner::Gone }
+        if visible && !is_own { Owner::Busy } else { Owner::Gone }
     }
 
-    fn step(&mut self, index: usize, fate: Fate, served: Served, seen: bool) {
+    fn step(&mut self, index: usize, store: StoreOutcome, call: CallOutcome, visible: bool) {
         if self.tasks.is_empty() {
             return;
         }
         let mut task = self.tasks.swap_remove(index % self.tasks.len());
         let (node, key) = (task.node, task.key);
-        let next = match task.work {
-            Work::Claim(claiming) => self.claim(node, key, claiming, fate, seen),
-            Work::Send { intent, version } => Some(self.send(node, key, intent, version, served)),
-            Work::Settle { settling, answered } => {
-                self.settle(node, key, settling, answered, (fate, seen))
+        let next = match task.stage {
+            Stage::Claim(claiming) => self.claim(node, key, claiming, store, visible),
+            Stage::Send { intent, version } => Some(self.send(node, key, intent, version, call)),
+            Stage::Settle { settling, uncertain_claim } => {
+                self.settle(node, key, settling, uncertain_claim, (store, visible))
             }
         };
-        if let Some(work) = next {
-            task.work = work;
+        if let Some(stage) = next {
+            task.stage = stage;
             self.tasks.push(task);
         }
     }
@@ -202,40 +203,40 @@
         node: usize,
         key: usize,
         mut claiming: Claiming,
-        fate: Fate,
-        seen: bool,
-    ) -> Option<Work> {
+        store: StoreOutcome,
+        visible: bool,
+    ) -> Option<Stage> {
         let nonce = claiming.intent().nonce;
         let intent = claiming.intent().clone();
         match claiming.step().clone() {
             ClaimStep::Create => {
-                claiming.apply(self.write(Write { key, expected: None, intent }, fate));
+                claiming.apply(self.write(Write { key, expected: None, intent }, store));
             }
             ClaimStep::Replace(version) => {
                 let expected = Some(version);
-                claiming.apply(self.write(Write { key, expected, intent }, fate));
+                claiming.apply(self.write(Write { key, expected, intent }, store));
             }
-            ClaimStep::Read => claiming.apply(self.read(node, key, fate, seen)),
+            ClaimStep::Read => claiming.apply(self.read(node, key, store, visible)),
             ClaimStep::Decided(Claim::Send, version) => {
                 self.tables[node].claimed(nonce);
-                return Some(Work::Send { intent, version });
+                return Some(Stage::Send { intent, version });
             }
             ClaimStep::Decided(claim, _) => {
                 self.tables[node].settle(nonce);
-                self.told(key, &claim);
+                self.check_decision(key, &claim);
                 return None;
             }
             ClaimStep::GaveUp { doubt: true } => {
                 self.tables[node].end(nonce, Progress::Released);
                 let settling = Settling::new(intent.with_progress(Progress::Released), None);
-                return Some(Work::Settle { settling, answered: true });
+                return Some(Stage::Settle { settling, uncertain_claim: true });
             }
             ClaimStep::GaveUp { doubt: false } => {
                 self.tables[node].settle(nonce);
                 return None;
             }
         }
-        Some(Work::Claim(claiming))
+        Some(Stage::Claim(claiming))
     }
 
     fn send(
@@ -244,35 +245,38 @@
         key: usize,
         intent: Intent,
         version: u64,
-        served: Served,
-    ) -> Work {
+        call: CallOutcome,
+    ) -> Stage {
         self.tables[node].sending(intent.nonce);
-        let progress = match served {
-            Served::Answers => {
-                self.run(key);
-                self.drawn += 1;
-                let answer = RecordedAnswer::new(200, &[self.drawn]);
-                self.answers.insert(key, answer.clone());
+        let progress = match call {
+            CallOutcome::Responds => {
+                self.record_run(key);
+                self.response_count += 1;
+                let answer = RecordedAnswer::new(200, &[self.response_count]);
+                self.responses.insert(key, answer.clone());
                 Progress::Done { answer }
             }
-            Served::AnswerLost => {
-                self.run(key);
+            CallOutcome::ResponseLost => {
+                self.record_run(key);
                 Progress::Unknown
             }
-            Served::RunsLate => {
-                self.calls.push(key);
+            CallOutcome::RunsDelayed => {
+                self.delayed_calls.push(key);
                 Progress::Unknown
             }
-            Served::Refuses => {
+            CallOutcome::Refuses => {
                 self.tables[node].not_run(intent.nonce);
-                assert_eq!(self.ran[key], 0, "told not run, but it ran");
-                assert!(!self.calls.contains(&key), "told not run, but it may still run");
+                assert_eq!(self.runs[key], 0, "reported as not run, but it ran");
+                assert!(
+                    !self.delayed_calls.contains(&key),
+                    "reported as not run, but it may still run"
+                );
                 Progress::Released
             }
         };
         self.tables[node].end(intent.nonce, progress.clone());
         let settling = Settling::new(intent.with_progress(progress), Some(version));
-        Work::Settle { settling, answered: false }
+        Stage::Settle { settling, uncertain_claim: false }
     }
 
     fn settle(
@@ -280,19 +284,19 @@
         node: usize,
         key: usize,
         mut settling: Settling,
-        answered: bool,
-        (fate, seen): (Fate, bool),
-    ) -> Option<Work> {
+        uncertain_claim: bool,
+        (store, visible): (StoreOutcome, bool),
+    ) -> Option<Stage> {
         match settling.step() {
             SettleStep::Replace(version) => {
                 let write =
                     Write { key, expected: Some(version), intent: settling.intent().clone() };
-                let said = self.write(write, fate);
-                settling.apply(&said);
+                let response = self.write(write, store);
+                settling.apply(&response);
             }
-            SettleStep::Read => settling.apply(&self.read(node, key, fate, seen)),
-            // A claim in doubt is given up after a while.
-            SettleStep::Wait if answered && !seen => {
+            SettleStep::Read => settling.apply(&self.read(node, key, store, visible)),
+            // An instance stops settling an uncertain claim after a while.
+            SettleStep::Wait if uncertain_claim && !visible => {
                 self.tables[node].settle(settling.intent().nonce);
                 return None;
             }
@@ -302,25 +306,25 @@
                 return None;
             }
         }
-        Some(Work::Settle { settling, answered })
+        Some(Stage::Settle { settling, uncertain_claim })
     }
 
-    fn run(&mut self, key: usize) {
-        self.ran[key] += 1;
+    fn record_run(&mut self, key: usize) {
+        self.runs[key] += 1;
     }
 
-    fn told(&self, key: usize, claim: &Claim) {
+    fn check_decision(&self, key: usize, claim: &Claim) {
         match claim {
             Claim::Answer(answer) => {
-                assert_eq!(Some(answer), self.answers.get(&key), "replayed another answer");
+                assert_eq!(Some(answer), self.responses.get(&key), "replayed another response");
             }
-            Claim::Refuse(code) => assert_ne!(*code, Code::KeyReused, "one request only"),
-            Claim::Send | Claim::TakeOver => unreachable!("not a decision for a caller"),
+            Claim::Refuse(code) => assert_ne!(*code, Code::KeyReused, "one request per key"),
+            Claim::Send | Claim::TakeOver => unreachable!("not a final decision"),
         }
     }
 
-    fn kill(&mut self, node: usize) {
-        self.lives[node] += 1;
+    fn restart(&mut self, node: usize) {
+        self.incarnations[node] += 1;
         self.tables[node] = OwnIntents::new();
         self.tasks.retain(|t| t.node != node);
     }
@@ -336,36 +340,37 @@
 
     fn apply(mut state: World, (): &(), transition: Event) -> World {
         match transition {
-            Event::Ask { node, key } => state.ask(node, key),
-            Event::Step { task, fate, served, seen } => state.step(task, fate, served, seen),
-            Event::Arrive { write } if !state.writes.is_empty() => {
-                let index = write % state.writes.len();
-                let write = state.writes.swap_remove(index);
+            Event::Request { node, key } => state.request(node, key),
+            Event::Step { task, store, call, visible } => state.step(task, store, call, visible),
+            Event::DeliverWrite { write } if !state.delayed_writes.is_empty() => {
+                let index = write % state.delayed_writes.len();
+                let write = state.delayed_writes.swap_remove(index);
                 state.apply(&write);
             }
-            Event::RunLate { call } if !state.calls.is_empty() => {
-                let index = call % state.calls.len();
-                let key = state.calls.swap_remove(index);
-                state.run(key);
+            Event::RunDelayedCall { call } if !state.delayed_calls.is_empty() => {
+                let index = call % state.delayed_calls.len();
+                let key = state.delayed_calls.swap_remove(index);
+                state.record_run(key);
             }
-            Event::Kill { node } => state.kill(node),
-            Event::Arrive { .. } | Event::RunLate { .. } => {}
+            Event::Restart { node } => state.restart(node),
+            Event::DeliverWrite { .. } | Event::RunDelayedCall { .. } => {}
         }
         state
     }
 
     fn check_invariants(state: &World, (): &()) {
-        for (key, ran) in state.ran.iter().enumerate() {
-            assert!(*ran <= 1, "key {key} ran {ran} times");
+        for (key, runs) in state.runs.iter().enumerate() {
+            assert!(*runs <= 1, "key {key} ran {runs} times");
         }
     }
 }
 
-// Callers retry at three instances at once. Writes to the platform are lost, late or refused, calls
-// run without an answer or after everybody gave up, instances look gone while they are paused, die
-// and come back under the same name. A household would find two permits for one plot.
+// Guards against a non-idempotent call that runs twice. Callers retry at three instances
+// concurrently while store writes are lost, delayed or refused, calls run without a response or
+// after every attempt has ended, and instances look gone while paused or restart under the same
+// name.
 proptest_state_machine::prop_state_machine! {
-    #![proptest_config(machine("intents"))]
+    #![proptest_config(machine_config("intents"))]
 
     #[test]
     fn runs_at_most_once(sequential STEPS..STEPS + 1 => Calls);
--- a/tests/suite/random/rollouts.rs
+++ b/tests/suite/random/rollouts.rs
@@ -1,11 +1,12 @@
-//! Roll-outs of drawn versions, with drawn faults.
+//! Simulated roll-outs of randomly generated versions with injected faults.
 
 use nutmeggrade_fakes::rollout::{Fault, Plan, play};
 
-const SMALL: [usize; 2] = [7, 18];
-const LARGE: usize = 70;
+const SMALL_FLEETS: [usize; 2] = [7, 18];
+const LARGE_FLEET: usize = 70;
 
-/// Checks that no rule is broken: a bad version stays within its bound, and no answer is cut.
+/// Checks that no rule is broken: a bad version stays within its exposure bound, and no response is
+/// cut.
 fn keeps_rules(seeds: std::ops::Range<u64>, instances: usize, fault: Fault) {
     for seed in seeds {
         let plan = Plan::draw(seed, instances, fault, seed % 2 == 0);
@@ -14,12 +15,13 @@
     }
 }
 
-// A version is bad in one of several ways while the judge, a failure domain, the store or everything fails.
+// Guards against a bad version that exceeds its exposure bound, and against cut responses, while
+// the judge, a failure domain, the store or every instance fails.
 cases! {keeps_rules {
-    small_calm: 1..5, SMALL[0], Fault::None;
-    small_judge_killed: 5..9, SMALL[0], Fault::JudgeKilled;
-    small_domain_cut: 9..13, SMALL[1], Fault::DomainCut;
-    small_store_away: 13..17, SMALL[1], Fault::StoreAway;
-    small_all_killed: 17..21, SMALL[0], Fault::AllKilled;
-    large_domain_cut: 21..23, LARGE, Fault::DomainCut;
+    small_calm: 1..5, SMALL_FLEETS[0], Fault::None;
+    small_judge_killed: 5..9, SMALL_FLEETS[0], Fault::JudgeKilled;
+    small_domain_cut: 9..13, SMALL_FLEETS[1], Fault::DomainCut;
+    small_store_away: 13..17, SMALL_FLEETS[1], Fault::StoreAway;
+    small_all_killed: 17..21, SMALL_FLEETS[0], Fault::AllKilled;
+    large_domain_cut: 21..23, LARGE_FLEET, Fault::DomainCut;
 }}
--- a/tests/suite/random/suspects.rs
+++ b/tests/suite/random/suspects.rs
@@ -1,4 +1,4 @@
-//! A request that crashes engines among others, at several instances.
+//! Model test of a request that crashes engines, among harmless ones, at several instances.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
-use super::{STEPS, machine};
+use super::{STEPS, machine_config};
 
 const NODES: usize = 3;
 const ENGINES: usize = 4;
 const REQUESTS: u8 = 6;
-/// The request that crashes engines, in the middle of the order of hashes.
+/// Request that crashes engines; its hash sorts in the middle of all hashes.
 const CRASHER: u8 = 3;
 const TICK: Duration = Duration::from_millis(50);
-const BEACON: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Ticks between two heartbeats.
-const BEAT: u64 = 4;
-const WHOLE: u64 = 12;
+const HEARTBEAT_TICKS: u64 = 4;
+const GENERATION_TICKS: u64 = 12;
 
-/// One tick of time, with what callers and the network do in it.
+/// One tick of time, with the events of callers and the network in it.
 #[derive(Debug, Clone)]
 struct Tick {
-    ask: Option<(usize, u8)>,
+    submit: Option<(usize, u8)>,
     engine: usize,
-    late: bool,
+    delayed: bool,
 }
 
 #[derive(Debug)]
@@ -42,9 +42,9 @@
     }
 
     fn transitions((): &()) -> BoxedStrategy<Tick> {
-        let ask = proptest::option::of((0..NODES, 0..REQUESTS));
-        (ask, 0..ENGINES, any::<bool>())
-            .prop_map(|(ask, engine, late)| Tick { ask, engine, late })
+        let submit = proptest::option::of((0..NODES, 0..REQUESTS));
+        (submit, 0..ENGINES, any::<bool>())
+            .prop_map(|(submit, engine, delayed)| Tick { submit, engine, delayed })
             .boxed()
     }
 
@@ -61,8 +61,8 @@
 }
 
 impl Job {
-    /// Ticks until the first token; the crasher's comes never.
-    fn prefill(&self) -> u64 {
+    /// Returns the ticks until the first token; the crasher never reaches it.
+    fn prefill_ticks(&self) -> u64 {
         1 + u64::from(self.request % 3) * 2
     }
 }
@@ -72,10 +72,10 @@
     ticks: u64,
     tables: Vec<Suspects>,
     jobs: Vec<Job>,
-    post: VecDeque<(u64, usize, Vec<Suspect>)>,
-    news: [bool; NODES],
+    in_transit: VecDeque<(u64, usize, Vec<Suspect>)>,
+    report_pending: [bool; NODES],
     crashes: u32,
-    next: TrialId,
+    last_id: TrialId,
 }
 
 fn name(node: usize) -> InstanceId {
@@ -95,17 +95,17 @@
         Moment::from_millis(60_000).after(TICK * u32::try_from(self.ticks).expect("few ticks"))
     }
 
-    fn ask(&mut self, node: usize, request: u8) {
-        // A caller sends its request again once it has an answer.
+    fn submit(&mut self, node: usize, request: u8) {
+        // A caller resends its request only after a response.
         if self.jobs.iter().any(|j| j.request == request) {
             return;
         }
-        self.next += 1;
-        let id = self.next;
+        self.last_id += 1;
+        let id = self.last_id;
         self.jobs.push(Job { node, request, id, running: None, trial: false });
     }
 
-    fn pass(&mut self, engine: usize) {
+    fn admit_jobs(&mut self, engine: usize) {
         let now = self.now();
         for index in (0..self.jobs.len()).rev() {
             let job = &mut self.jobs[index];
@@ -118,9 +118,9 @@
                     job.trial = true;
                     job.running = Some(((engine + index) % ENGINES, 0));
                 }
-                Gate::Wait => self.news[job.node] = true,
+                Gate::Wait => self.report_pending[job.node] = true,
                 Gate::Refuse => {
-                    assert_eq!(job.request, CRASHER, "refused an innocent request");
+                    assert_eq!(job.request, CRASHER, "refused a harmless request");
                     self.jobs.remove(index);
                 }
             }
@@ -129,7 +129,7 @@
         assert!(trials <= 1, "{trials} suspects run at a time");
     }
 
-    fn work(&mut self) {
+    fn run_jobs(&mut self) {
         let now = self.now();
         for index in (0..self.jobs.len()).rev() {
             let job = &mut self.jobs[index];
@@ -137,54 +137,55 @@
             *age += 1;
             let age = *age;
             let table = &mut self.tables[job.node];
-            if age == job.prefill() && job.request != CRASHER {
+            if age == job.prefill_ticks() && job.request != CRASHER {
                 table.clear(hash(job.request), false, now);
                 table.end(job.id);
                 job.trial = false;
             }
-            if age >= WHOLE {
+            if age >= GENERATION_TICKS {
                 table.clear(hash(job.request), true, now);
                 self.jobs.remove(index);
             }
         }
-        let reads = |j: &&Job| j.request == CRASHER && j.running.is_some_and(|(_, age)| age >= 2);
-        if let Some((down, _)) = self.jobs.iter().find(reads).and_then(|j| j.running) {
-            self.crash(down);
+        let is_crashing =
+            |j: &&Job| j.request == CRASHER && j.running.is_some_and(|(_, age)| age >= 2);
+        if let Some((crashed, _)) = self.jobs.iter().find(is_crashing).and_then(|j| j.running) {
+            self.crash(crashed);
         }
     }
 
-    fn crash(&mut self, down: usize) {
+    fn crash(&mut self, crashed: usize) {
         let now = self.now();
         self.crashes += 1;
         for index in (0..self.jobs.len()).rev() {
             let job = &mut self.jobs[index];
-            let Some((on, age)) = job.running.filter(|(on, _)| *on == down) else { continue };
-            let first = job.request == CRASHER || age < job.prefill();
+            let Some((n, age)) = job.running.filter(|(n, _)| *n == crashed) else { continue };
+            let before_first_token = job.request == CRASHER || age < job.prefill_ticks();
             let table = &mut self.tables[job.node];
-            table.crash(hash(job.request), job.id, &engine(on), first, now);
+            table.crash(hash(job.request), job.id, &engine(n), before_first_token, now);
             table.end(job.id);
-            self.news[job.node] = true;
+            self.report_pending[job.node] = true;
             job.running = None;
             job.trial = false;
-            if !first {
+            if !before_first_token {
                 self.jobs.remove(index);
             }
         }
     }
 
-    fn talk(&mut self, late: bool) {
+    fn exchange_reports(&mut self, delayed: bool) {
         let now = self.now();
         for node in 0..NODES {
-            let beat = (self.ticks + node as u64).is_multiple_of(BEAT);
-            if beat || std::mem::take(&mut self.news[node]) {
-                let told = self.tables[node].report(now);
-                self.post.push_back((self.ticks + u64::from(late), node, told));
+            let heartbeat_due = (self.ticks + node as u64).is_multiple_of(HEARTBEAT_TICKS);
+            if heartbeat_due || std::mem::take(&mut self.report_pending[node]) {
+                let suspects = self.tables[node].report(now);
+                self.in_transit.push_back((self.ticks + u64::from(delayed), node, suspects));
             }
         }
-        while self.post.front().is_some_and(|(due, ..)| *due <= self.ticks) {
-            let Some((_, from, told)) = self.post.pop_front() else { return };
+        while self.in_transit.front().is_some_and(|(due, ..)| *due <= self.ticks) {
+            let Some((_, from, suspects)) = self.in_transit.pop_front() else { return };
             for node in (0..NODES).filter(|n| *n != from) {
-                self.tables[node].apply_report(&name(from), &told, now);
+                self.tables[node].apply_report(&name(from), &suspects, now);
             }
         }
     }
@@ -197,23 +198,23 @@
     fn init_test((): &()) -> World {
         World {
             ticks: 0,
-            tables: (0..NODES).map(|n| Suspects::new(&name(n), BEACON)).collect(),
+            tables: (0..NODES).map(|n| Suspects::new(&name(n), HEARTBEAT_INTERVAL)).collect(),
             jobs: Vec::new(),
-            post: VecDeque::new(),
-            news: [false; NODES],
+            in_transit: VecDeque::new(),
+            report_pending: [false; NODES],
             crashes: 0,
-            next: 0,
+            last_id: 0,
         }
     }
 
     fn apply(mut state: World, (): &(), transition: Tick) -> World {
         state.ticks += 1;
-        if let Some((node, request)) = transition.ask {
-            state.ask(node, request);
+        if let Some((node, request)) = transition.submit {
+            state.submit(node, request);
         }
-        state.pass(transition.engine);
-        state.work();
-        state.talk(transition.late);
+        state.admit_jobs(transition.engine);
+        state.run_jobs();
+        state.exchange_reports(transition.delayed);
         state
     }
 
@@ -222,11 +223,11 @@
     }
 }
 
-// One request takes down every engine that reads it, and its caller sends it again at any instance;
-// others run beside it, wait with it for another try, and are sent again too. The fleet loses two
-// engines at most, one suspect runs at a time, and nobody else is refused.
+// Guards against a request that crashes one engine after another. Its caller resends it at any
+// instance while harmless requests run beside it, wait with it for a retry and are resent too. The
+// fleet loses two engines at most, one suspect runs at a time, and no harmless request is refused.
 proptest_state_machine::prop_state_machine! {
-    #![proptest_config(machine("suspects"))]
+    #![proptest_config(machine_config("suspects"))]
 
     #[test]
     fn crasher_costs_two_engines(sequential STEPS..STEPS + 1 => Crashers);
