--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -1,4 +1,4 @@
-//! Decisions under load, without network, clock or threads.
+//! Scheduling and dispatch decisions under load, without network, clock or threads.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 mod fleet;
 mod gaps;
 mod lengths;
-mod load_book;
+mod load_table;
 mod memory;
 mod patterns;
 mod properties;
@@ -21,8 +21,8 @@
 mod rollouts;
 mod routing;
 
-/// Memory of an engine, in tokens.
-const MEMORY: u64 = 40_000;
+/// Cache memory of an engine, in tokens.
+const MEMORY_TOKENS: u64 = 40_000;
 
 fn endpoint(number: usize) -> EndpointId {
     EndpointId::new(&format!("engine-{number:02}")).expect("a valid id")
@@ -45,18 +45,18 @@
         id: endpoint(number),
         domain: DomainId::new(&format!("domain-{}", number % 3)).expect("a valid id"),
         models: BTreeSet::from([model()]),
-        memory: MEMORY,
+        memory: MEMORY_TOKENS,
         cold_right: 0,
         sharers: 1,
     }
 }
 
-fn warm(used: u64) -> LoadReport {
+fn warm_report(used: u64) -> LoadReport {
     LoadReport {
         running: 0,
         waiting: 0,
         memory_used: used,
-        memory_total: MEMORY,
+        memory_total: MEMORY_TOKENS,
         preemptions: 0,
         cold: false,
         cold_limit: 2,
@@ -64,19 +64,19 @@
     }
 }
 
-/// Makes a scheduler with warm engines that are empty.
+/// Returns a scheduler with warm, empty engines.
 fn scheduler(engines: usize) -> Scheduler {
     let mut scheduler = Scheduler::new(3);
     scheduler.set_preset(&nutmeggrade_fakes::fleet::preset().expect("a preset"));
     let all: Vec<_> = (0..engines).map(engine).collect();
     scheduler.set_engines(&all, Moment::ZERO);
     for number in 0..engines {
-        scheduler.report(&endpoint(number), &warm(0), Moment::ZERO);
+        scheduler.report(&endpoint(number), &warm_report(0), Moment::ZERO);
     }
     scheduler
 }
 
-fn ask(ticket: u64, long: bool) -> GenerationRequest {
+fn request(ticket: u64, long: bool) -> GenerationRequest {
     GenerationRequest {
         ticket: Ticket(ticket),
         workspace: workspace(0),
--- a/tests/suite/policy/fleet.rs
+++ b/tests/suite/policy/fleet.rs
@@ -1,4 +1,4 @@
-//! Limits that hold for all instances together.
+//! Limits that hold for the whole fleet.
 
 use std::time::Duration;
 
@@ -12,42 +12,42 @@
     Moment::from_millis(ms)
 }
 
-/// Checks that a fleet in which every request fails sends no more a second time than is allowed, in
-/// any window.
+/// Checks that a fleet in which every request fails stays within its resend budget in any window.
 fn within_budget(instances: usize, per_second: u64) {
     let allowance = ResendLimits { ratio: 0.2, extra: 54.0, window: WINDOW };
     let mut budgets = vec![ResendBudget::new(allowance); instances];
-    let mut times: Vec<(u64, bool)> = Vec::new();
+    let mut sends: Vec<(u64, bool)> = Vec::new();
     let pause = 1_000 / per_second;
     for step in 0..per_second * 40 {
         let now = step * pause;
         let index = usize::try_from(step).expect("few") % instances;
         budgets[index].request(at(now));
-        times.push((now, budgets[index].take(instances, at(now))));
+        sends.push((now, budgets[index].take(instances, at(now))));
     }
     let window = u64::try_from(WINDOW.as_millis()).expect("short");
     for start in (0..40_000).step_by(500) {
-        let inside: Vec<bool> = times
+        let in_window: Vec<bool> = sends
             .iter()
             .filter(|(t, _)| (start..start + window).contains(t))
             .map(|t| t.1)
             .collect();
-        let resends = inside.iter().filter(|r| **r).count();
-        let most = 0.2 * inside.len() as f64 + 54.0;
-        assert!(resends as f64 <= most, "{resends} of {} from {start}", inside.len());
+        let resends = in_window.iter().filter(|r| **r).count();
+        let max_resends = 0.2 * in_window.len() as f64 + 54.0;
+        assert!(resends as f64 <= max_resends, "{resends} of {} from {start}", in_window.len());
     }
-    assert!(times.iter().filter(|t| t.1).count() > 40);
+    assert!(sends.iter().filter(|t| t.1).count() > 40);
 }
 
-// Every endpoint of a service fails. Second sends of all instances together stay within the bound.
+// Guards against resends that multiply the load while every endpoint of a service fails: the
+// resends of all instances together stay within the budget.
 cases! {within_budget {
     one_instance: 1, 40;
     seven_instances: 7, 40;
     ninety_instances: 90, 100;
 }}
 
-/// Checks how much a fleet sends to a cold endpoint in one second, with all the load there is.
-fn within_cold_bound(instances: usize, bound: u32, least: u32) {
+/// Checks how many requests a fleet under full load sends to a cold endpoint in one second.
+fn within_cold_bound(instances: usize, bound: u32, min_per_second: u32) {
     let mut shares = vec![ColdShare::new(); instances];
     let mut sent = Vec::new();
     for ms in 0..5_000 {
@@ -62,10 +62,11 @@
         let count = sent.iter().filter(|t| (start..start + 1_000).contains(*t)).count();
         assert!(count <= usize::try_from(bound).expect("small"), "{count} from {start}");
     }
-    assert!(sent.len() >= usize::try_from(least).expect("small") * 4, "{}", sent.len());
+    assert!(sent.len() >= usize::try_from(min_per_second).expect("small") * 4, "{}", sent.len());
 }
 
-// An endpoint has just started, every instance sees it empty and has work for it.
+// Guards against overload of an endpoint that has just started: every instance sees it empty and
+// has requests for it.
 cases! {within_cold_bound {
     seven_share_many: 7, 62, 30;
     seven_share_few: 7, 10, 5;
@@ -73,8 +74,8 @@
     alone: 1, 62, 30;
 }}
 
-// Half of the answers are longer than their clients estimated. The time that an answer is given
-// covers most of them, and follows the pace of the engines.
+// Guards against time limits that cut half of the responses, those longer than their clients'
+// estimates: the limit covers most of them and follows the engines' pace.
 #[test]
 fn pace_follows_the_engines() {
     let mut pace = Pace::new();
--- a/tests/suite/policy/gaps.rs
+++ b/tests/suite/policy/gaps.rs
@@ -1,4 +1,4 @@
-//! Gaps between tokens.
+//! Limits that keep the gaps between tokens short.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use nutmeggrade_policy::prefill::PrefillLimit;
 use nutmeggrade_policy::{Ticket, Verdict};
 
-use super::{ask, endpoint, scheduler, warm};
+use super::{endpoint, request, scheduler, warm_report};
 
 const TARGET: Duration = Duration::from_millis(50);
 
-fn play(limit: &mut GapLimit, gap: u64, steps: u64, from: u64) -> u64 {
+fn record_gaps(limit: &mut GapLimit, gap: u64, steps: u64, from: u64) -> u64 {
     let mut now = from;
     for _ in 0..steps {
         now += gap;
@@ -20,56 +20,57 @@
     now
 }
 
-// An engine becomes eight times slower. Each answer sent there stutters to its end, so that it must
-// close within seconds, be tried by one short answer at a time, and open again when it recovers.
+// Guards against an engine that becomes eight times slower, on which every response would stutter
+// to its end: it closes within seconds, is probed by one short request at a time, and opens when it
+// recovers.
 #[test]
 fn slow_engine_closes_and_recovers() {
     let mut limit = GapLimit::new();
-    let now = play(&mut limit, 15, 200, 0);
+    let now = record_gaps(&mut limit, 15, 200, 0);
     assert!(limit.allows(60, false, 5, Moment::from_millis(now)));
-    let now = play(&mut limit, 110, 120, now);
+    let now = record_gaps(&mut limit, 110, 120, now);
     assert!(!limit.allows(3, false, 3, Moment::from_millis(now)), "closed for long answers");
-    assert!(!limit.allows(0, true, 0, Moment::from_millis(now)), "no probe at once");
+    assert!(!limit.allows(0, true, 0, Moment::from_millis(now)), "no immediate probe");
     let probe = Moment::from_millis(now + 30_000);
-    assert!(limit.allows(0, true, 0, probe), "one short answer later");
+    assert!(limit.allows(0, true, 0, probe), "one short request later");
     assert!(!limit.allows(1, true, 1, probe), "one at a time");
-    let now = play(&mut limit, 15, 300, now + 30_000);
+    let now = record_gaps(&mut limit, 15, 300, now + 30_000);
     assert!(limit.allows(1, false, 1, Moment::from_millis(now)), "open again");
 }
 
-// Prompts being read lengthen one gap in ten on a healthy engine; that must not close it.
+// Guards against closing a healthy engine on which prefills lengthen one gap in ten.
 #[test]
 fn prompts_of_neighbours_dont_close_an_engine() {
     let mut limit = GapLimit::new();
     let mut now = 0;
     for _ in 0..200 {
-        now = play(&mut limit, 15, 9, now);
-        now = play(&mut limit, 60, 1, now);
+        now = record_gaps(&mut limit, 15, 9, now);
+        now = record_gaps(&mut limit, 60, 1, now);
     }
     assert!(limit.allows(40, false, 5, Moment::from_millis(now)));
 }
 
-// Two long prompts in one batch make every neighbour's step as long as a step can be.
+// Guards against two long prompts in one batch, which lengthen the step of every other response.
 #[test]
 fn prompts_are_read_one_at_a_time() {
-    let mut pace = PrefillLimit::new();
-    assert!(pace.allows(9_000, 1_024), "a long one goes alone");
-    pace.record_sent(Ticket(1), 900);
-    assert!(pace.allows(100, 1_024));
-    assert!(!pace.allows(500, 1_024));
-    pace.record_read(Ticket(1));
-    pace.record_read(Ticket(1));
-    assert!(pace.allows(500, 1_024));
+    let mut limit = PrefillLimit::new();
+    assert!(limit.allows(9_000, 1_024), "a long prompt is prefilled alone");
+    limit.record_sent(Ticket(1), 900);
+    assert!(limit.allows(100, 1_024));
+    assert!(!limit.allows(500, 1_024));
+    limit.record_read(Ticket(1));
+    limit.record_read(Ticket(1));
+    assert!(limit.allows(500, 1_024));
 }
 
-// A large model decodes slowly on every engine. None is to blame, and closing them all would leave
-// its callers without an answer.
+// Guards against closing every engine when a large model decodes slowly on all of them, which would
+// leave its callers without a response.
 #[test]
 fn engines_that_are_all_slow_stay_open() {
     let mut scheduler = scheduler(2);
     let mut now = Moment::ZERO;
     for ticket in 0..4 {
-        scheduler.ask(&ask(ticket, true), now);
+        scheduler.ask(&request(ticket, true), now);
         scheduler.token(Ticket(ticket), now);
     }
     for step in 1..2_000 {
@@ -79,8 +80,8 @@
         }
     }
     for number in 0..2 {
-        scheduler.report(&endpoint(number), &warm(10_000), now);
+        scheduler.report(&endpoint(number), &warm_report(10_000), now);
     }
-    let verdict = scheduler.ask(&ask(9, true), now);
+    let verdict = scheduler.ask(&request(9, true), now);
     assert!(matches!(verdict, Verdict::Go { .. }), "{verdict:?}");
 }
--- a/tests/suite/policy/memory.rs
+++ b/tests/suite/policy/memory.rs
@@ -10,44 +10,52 @@
 use nutmeggrade_policy::priority::Priority;
 use nutmeggrade_policy::{End, Engine, Ticket, Verdict};
 
-use super::{MEMORY, ask, endpoint, engine, scheduler, warm};
+use super::{MEMORY_TOKENS, endpoint, engine, request, scheduler, warm_report};
 
-// More answers than the memory holds at their full lengths arrive at once. Callers of those that
-// the engine preempts see their text stop.
+// Guards against preempted responses, whose streams stop: more responses arrive at once than the
+// memory holds at their full lengths.
 #[test]
-fn lets_in_what_the_memory_will_bear() {
+fn admits_by_expected_memory() {
     let mut scheduler = scheduler(1);
     let mut running: u64 = 0;
     for number in 0..200 {
-        if matches!(scheduler.ask(&ask(number, true), Moment::ZERO), Verdict::Go { .. }) {
+        if matches!(scheduler.ask(&request(number, true), Moment::ZERO), Verdict::Go { .. }) {
             running += 1;
-            // The prompt is read at once, so that only memory holds the next one back.
+            // The prompt is prefilled at once, so that only memory limits the next request.
             scheduler.token(Ticket(number), Moment::ZERO);
         }
     }
-    let all_full = MEMORY / (400 + 8_192);
-    let none_grown = MEMORY / 400;
-    assert!(running > all_full, "{running}: as careful as reserving the maximum");
-    assert!(running < none_grown * 8 / 10, "{running}: as if no answer grew");
+    let fit_full = MEMORY_TOKENS / (400 + 8_192);
+    let fit_prompts = MEMORY_TOKENS / 400;
+    assert!(running > fit_full, "{running}: no more than with full reservations");
+    assert!(running < fit_prompts * 8 / 10, "{running}: as many as without growth");
 }
 
-// What was let in a moment ago is not in the report yet, and what is in it must not count twice.
+// Guards against double counting and gaps in memory use: a recent admission is not yet in the
+// engine's report, and an older one must not count twice.
 #[test]
-fn lagging_report_is_corrected_first_hand() {
-    let mut others = PeerUsage::default();
-    let report =
-        |used, running, age| LoadReport { running, age: Duration::from_millis(age), ..warm(used) };
-    others.record_report(&report(0, 0, 0), 10_000.0, 5, Moment::from_millis(1_000));
-    others.record_report(&report(15_000, 10, 1_000), 18_000.0, 9, Moment::from_millis(2_000));
-    let held = others.held(5, 1_000.0);
-    assert!((held - 5_000.0).abs() < 1.0, "own 10,000 of a second ago come off: {held}");
-    let grown = others.held(10, 1_000.0);
-    assert!((grown - 10_000.0).abs() < 1.0, "twice as many of peers hold twice as much: {grown}");
+fn lagging_report_is_corrected_by_own_admissions() {
+    let mut peers = PeerUsage::default();
+    let report = |used, running, age| LoadReport {
+        running,
+        age: Duration::from_millis(age),
+        ..warm_report(used)
+    };
+    peers.record_report(&report(0, 0, 0), 10_000.0, 5, Moment::from_millis(1_000));
+    peers.record_report(&report(15_000, 10, 1_000), 18_000.0, 9, Moment::from_millis(2_000));
+    let held = peers.held(5, 1_000.0);
+    assert!((held - 5_000.0).abs() < 1.0, "own 10,000 of a second ago are subtracted: {held}");
+    let grown = peers.held(10, 1_000.0);
+    assert!(
+        (grown - 10_000.0).abs() < 1.0,
+        "twice the peers' responses hold twice the memory: {grown}"
+    );
 }
 
-// Sums that drift below zero would let one answer too many in for each that ended.
+// Guards against forecast sums that drift below zero, which would admit one response too many for
+// each that ended.
 #[test]
-fn forecasts_come_back_to_nothing() {
+fn removed_forecasts_leave_nothing() {
     let mut sum = Forecast::default();
     let one = Forecast::new(500, &[0.7; FORECAST_STEPS.len()]);
     let two = Forecast::new(900, &[0.3; FORECAST_STEPS.len()]);
@@ -59,25 +67,25 @@
     assert!(sum.peak(3.0) < 1e-3);
 }
 
-// Memory that ended answers held is for those that wait.
+// Guards against waiting requests that miss memory which ended responses freed.
 #[test]
-fn end_lets_the_next_in() {
+fn freed_memory_admits_the_next_request() {
     let mut scheduler = scheduler(1);
-    scheduler.report(&endpoint(0), &warm(MEMORY), Moment::ZERO);
-    let verdict = scheduler.ask(&ask(1, true), Moment::ZERO);
+    scheduler.report(&endpoint(0), &warm_report(MEMORY_TOKENS), Moment::ZERO);
+    let verdict = scheduler.ask(&request(1, true), Moment::ZERO);
     assert_eq!(verdict, Verdict::Wait);
     assert!(scheduler.release(Moment::from_millis(7)).is_empty());
-    scheduler.report(&endpoint(0), &warm(0), Moment::from_millis(20));
+    scheduler.report(&endpoint(0), &warm_report(0), Moment::from_millis(20));
     let released = scheduler.release(Moment::from_millis(21));
     assert!(matches!(released[..], [(Ticket(1), Verdict::Go { .. })]), "{released:?}");
     scheduler.end(Ticket(1), End::Finished, Moment::from_millis(30));
     assert!(scheduler.in_flight().is_empty());
 }
 
-// The engine preempts the lowest rank. A short answer, or one that would miss its deadline, loses
-// most by it.
+// Guards against preemption of the wrong responses: the engine preempts the lowest rank, and a
+// short response or one near its deadline loses most by it.
 #[test]
-fn ranks_what_loses_most_highest() {
+fn highest_rank_for_the_costliest_preemption() {
     let second = Duration::from_secs(1);
     let short = Priority::new(false, second * 60, second, 0.01);
     let tight = Priority::new(true, second * 15, second * 10, 0.05);
@@ -87,11 +95,12 @@
     assert!(short.number() > spare.number());
 }
 
-// Seven instances read the same report and fill the engine at the same moment. If each takes all the
-// room for itself, the engine preempts six answers of seven.
+// Guards against instances that overcommit an engine together: seven of them read the same report
+// at the same moment, and if each used all the memory, the engine would preempt six responses of
+// seven.
 #[test]
 fn instances_together_stay_within_the_memory() {
-    let report = LoadReport { running: 12, ..warm(20_000) };
+    let report = LoadReport { running: 12, ..warm_report(20_000) };
     let mut admitted = 0;
     for node in 0..7 {
         let mut scheduler = nutmeggrade_policy::Scheduler::new(node);
@@ -100,16 +109,20 @@
         scheduler.report(&endpoint(0), &report, Moment::ZERO);
         scheduler.set_peers(&[(endpoint(0), 12)].into(), Moment::ZERO);
         for number in 0..30 {
-            let verdict = scheduler.ask(&ask(number, true), Moment::ZERO);
+            let verdict = scheduler.ask(&request(number, true), Moment::ZERO);
             admitted += u64::from(matches!(verdict, Verdict::Go { .. }));
             scheduler.token(Ticket(number), Moment::ZERO);
         }
     }
     assert!(admitted > 0);
-    assert!(admitted * 400 <= MEMORY - 20_000, "{admitted} answers in the room of 20,000 tokens");
+    assert!(
+        admitted * 400 <= MEMORY_TOKENS - 20_000,
+        "{admitted} responses in 20,000 tokens of memory"
+    );
 }
 
-// Operators weigh one figure ten times as much; that must move a setting, not switch one off.
+// Guards against weights that disable a setting: a weight ten times as large moves the setting
+// within its bounds.
 #[test]
 fn weights_choose_within_bounds() {
     let weights = |gap, preemptions| Weights { stall: 1.0, domains: 1.0, gap, preemptions };
--- a/tests/suite/policy/patterns.rs
+++ b/tests/suite/policy/patterns.rs
@@ -1,16 +1,16 @@
-//! The patterns of load, played over the engine stand-in's model in a quarter of the usual time.
+//! Load patterns on the simulated engine, in a quarter of their usual duration.
 
 use nutmeggrade_fakes::driver::{Driver, Figures, Pattern, Shape};
 use nutmeggrade_policy::Scheduler;
 
-/// Part of the usual time that the patterns take here.
-const SCALE: f64 = 0.25;
-/// Seed of the patterns.
+/// Share of the patterns' usual duration.
+const TIME_SCALE: f64 = 0.25;
+/// Seed of the load patterns.
 const SEED: u64 = 11;
 
-fn play(shape: Shape) -> Figures {
+fn run_pattern(shape: Shape) -> Figures {
     let preset = nutmeggrade_fakes::fleet::preset().expect("a preset");
-    let pattern = Pattern::scaled(shape, SEED, SCALE);
+    let pattern = Pattern::scaled(shape, SEED, TIME_SCALE);
     let make = |node: usize| {
         let mut scheduler = Scheduler::new(node as u64 + 1);
         scheduler.set_preset(&preset);
@@ -27,8 +27,8 @@
     gap: f64,
 }
 
-fn holds(shape: Shape, bound: &Bound) {
-    let figures = play(shape);
+fn stays_within(shape: Shape, bound: &Bound) {
+    let figures = run_pattern(shape);
     assert!(figures.whole >= bound.whole, "{figures:?}");
     assert!(figures.stall <= bound.stall, "{figures:?}");
     assert!(figures.preemptions <= bound.preemptions, "{figures:?}");
@@ -36,10 +36,10 @@
     assert!(figures.fairness >= 0.98, "{figures:?}");
 }
 
-// Each kind of load comes about on an ordinary day. Callers notice answers that are cut, streams
-// that stand still while an engine computes a preempted answer again, and gaps that stutter.
+// Guards against cut responses, streams that stall while an engine recomputes a preempted response,
+// and long gaps between tokens, under the kinds of load of an ordinary day.
 cases! {
-    holds {
+    stays_within {
         burst: Shape::Burst, &Bound { whole: 0.99, stall: 1.0, preemptions: 5, gap: 0.034 };
         two_workspaces: Shape::TwoWorkspaces,
             &Bound { whole: 0.99, stall: 30.0, preemptions: 60, gap: 0.042 };
@@ -60,18 +60,19 @@
     }
 }
 
-// For thirty seconds three times as much comes as the engines bear. Let in at once, answers push each
-// other out of memory; here they wait, and those who are let in get whole answers.
+// Guards against responses that evict each other from memory when three times the capacity arrives
+// for thirty seconds: requests wait instead, and those admitted get complete responses.
 #[test]
 fn saturated_three_times_over() {
-    let figures = play(Shape::Saturation3);
+    let figures = run_pattern(Shape::Saturation3);
     assert!(figures.whole >= 0.95, "{figures:?}");
     assert!(figures.whole + figures.refused >= 0.95, "{figures:?}");
     assert!(figures.preemptions <= 60, "{figures:?}");
 }
 
-// A run that differed from the next could not be searched for the decision that went wrong.
+// Guards against runs that differ under the same seed, in which a wrong decision could not be
+// traced.
 #[test]
 fn same_seed_same_figures() {
-    assert_eq!(play(Shape::Burst), play(Shape::Burst));
+    assert_eq!(run_pattern(Shape::Burst), run_pattern(Shape::Burst));
 }
--- a/tests/suite/policy/rollouts.rs
+++ b/tests/suite/policy/rollouts.rs
@@ -1,4 +1,4 @@
-//! How far roll-outs go.
+//! Decisions of roll-outs, from a canary to completion or reversal.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 
 const BOUND: ExposureBound = ExposureBound { share: 0.1, tolerance: 50.0 };
 
-/// Answers of one version: how many, how many of them fail, how many take four times as long.
-type Answers = (u32, u32, u32);
+/// Responses of one version: their number, how many fail, and how many take four times as long.
+type Responses = (u32, u32, u32);
 
-fn add(tally: &mut RolloutTally, route: &str, is_new: bool, (count, failed, slow): Answers) {
+fn add(tally: &mut RolloutTally, route: &str, is_new: bool, (count, failed, slow): Responses) {
     for number in 0..count {
         let outcome = if number < failed {
             Outcome::Failed
         } else {
-            let times = if number < failed + slow { 4 } else { 1 };
-            Outcome::FirstResponse(Duration::from_millis(u64::from(40 + number % 50) * times))
+            let factor = if number < failed + slow { 4 } else { 1 };
+            Outcome::FirstResponse(Duration::from_millis(u64::from(40 + number % 50) * factor))
         };
         tally.add(route, is_new, outcome);
     }
@@ -28,7 +28,7 @@
     tally.exposed += if is_new { count } else { 0 };
 }
 
-fn tally(old: Answers, new: Answers) -> RolloutTally {
+fn tally(old: Responses, new: Responses) -> RolloutTally {
     let mut tally = RolloutTally::default();
     add(&mut tally, "lookups", false, old);
     add(&mut tally, "lookups", true, new);
@@ -44,8 +44,8 @@
     assert!(tail(600, 1_000, 0.5) < 1e-8);
 }
 
-/// Checks what evidence says of a version.
-fn judges(old: Answers, new: Answers, expected: &str) {
+/// Checks the verdict on a version for given responses.
+fn judges(old: Responses, new: Responses, expected: &str) {
     assert_eq!(compare(&tally(old, new)).as_str(), expected);
 }
 
@@ -60,19 +60,20 @@
     known_by_few_answers: (600, 12, 0), (9, 0, 0), "unclear";
 }}
 
-// Every second answer of a version streams four times slower, and first events come as before.
+// Guards against a version with slow streams: half of its responses stream four times slower, while
+// their first events are on time.
 #[test]
 fn slow_streams_are_noticed() {
     let mut tally = tally((400, 0, 0), (40, 0, 0));
     for number in 0..240_u64 {
-        let times = if number >= 200 && number % 2 == 0 { 4 } else { 1 };
-        let pace = Duration::from_millis((20 + number % 20) * times);
-        tally.add("lookups", number >= 200, Outcome::EventInterval(pace));
+        let factor = if number >= 200 && number % 2 == 0 { 4 } else { 1 };
+        let interval = Duration::from_millis((20 + number % 20) * factor);
+        tally.add("lookups", number >= 200, Outcome::EventInterval(interval));
     }
     assert_eq!(compare(&tally).as_str(), "bad");
 }
 
-// A version fails on one route of two. The other one's answers must not hide it.
+// Guards against a failing route that is hidden by the responses of another one.
 #[test]
 fn one_bad_route_is_enough() {
     let mut tally = tally((2_000, 40, 0), (200, 4, 0));
@@ -81,7 +82,7 @@
     assert!(matches!(compare(&tally), Verdict::Bad { route, .. } if route == "drafts"));
 }
 
-// Too few answers of a route that matters are no ground to call the version good.
+// Guards against a version that is accepted with too few responses of a busy route.
 #[test]
 fn every_route_has_to_be_known() {
     let mut tally = tally((400, 8, 0), (40, 0, 0));
@@ -98,55 +99,55 @@
     assert_eq!(canary_endpoints(0, 0.5), 0);
 }
 
-/// A service of a hundred requests a second, as those who judge see it.
-struct Play {
+/// Simulates a service with a hundred requests a second from the judge's view.
+struct Simulation {
     judge: Judge,
-    facts: RolloutInputs,
+    inputs: RolloutInputs,
     duration: Duration,
 }
 
-impl Play {
+impl Simulation {
     fn new(duration: u64) -> Self {
         let duration = Duration::from_secs(duration);
         let capacity =
             Capacity { has_old: true, has_new: true, old_slots: 30, new_slots: 30, running: 9 };
-        let facts =
+        let inputs =
             RolloutInputs { duration, capacity, has_quorum: true, ..RolloutInputs::default() };
-        Self { judge: Judge::new(BOUND), facts, duration }
+        Self { judge: Judge::new(BOUND), inputs, duration }
     }
 
-    /// Plays a tenth of a second in which a part of the new version's answers fail.
-    fn step(&mut self, fails: f64) -> RolloutDecision {
-        let ruling = self.judge.rule(&self.facts);
-        self.facts.phase = ruling.phase;
-        let share = match ruling.phase {
-            RolloutPhase::Canary => ruling.share,
+    /// Simulates a tenth of a second in which a share of the new version's responses fails.
+    fn step(&mut self, failure_rate: f64) -> RolloutDecision {
+        let decision = self.judge.rule(&self.inputs);
+        self.inputs.phase = decision.phase;
+        let share = match decision.phase {
+            RolloutPhase::Canary => decision.share,
             phase if phase.is_switched() => 1.0,
             _ => 0.0,
         };
-        let wanted = (self.facts.age.as_secs_f64() * 100.0 * share) % 1.0;
-        let new = (1..=10).filter(|n| f64::from(*n) <= 10.0 * share + wanted).count();
-        let new = u32::try_from(new).unwrap_or(0);
-        add(&mut self.facts.tally, "lookups", false, (10 - new, 0, 0));
-        let exposed = self.facts.tally.exposed;
-        let fail = |n: &u32| (f64::from(*n) * fails).fract() < fails;
-        let failed = (exposed..exposed + new).filter(fail).count();
+        let remainder = (self.inputs.age.as_secs_f64() * 100.0 * share) % 1.0;
+        let new_requests = (1..=10).filter(|n| f64::from(*n) <= 10.0 * share + remainder).count();
+        let new_requests = u32::try_from(new_requests).unwrap_or(0);
+        add(&mut self.inputs.tally, "lookups", false, (10 - new_requests, 0, 0));
+        let exposed = self.inputs.tally.exposed;
+        let fail = |n: &u32| (f64::from(*n) * failure_rate).fract() < failure_rate;
+        let failed = (exposed..exposed + new_requests).filter(fail).count();
         let failed = u32::try_from(failed).unwrap_or(0);
-        add(&mut self.facts.tally, "lookups", true, (new, failed, 0));
-        self.facts.age += Duration::from_millis(100);
-        ruling
+        add(&mut self.inputs.tally, "lookups", true, (new_requests, failed, 0));
+        self.inputs.age += Duration::from_millis(100);
+        decision
     }
 
-    /// Plays until the phase is left; returns the next one and when.
-    fn leave(&mut self, phase: RolloutPhase, fails: f64) -> (RolloutPhase, Duration) {
-        while self.facts.phase == phase && self.facts.age < self.duration * 3 {
-            self.step(fails);
+    /// Simulates until the phase ends; returns the next phase and the time.
+    fn run_phase(&mut self, phase: RolloutPhase, failure_rate: f64) -> (RolloutPhase, Duration) {
+        while self.inputs.phase == phase && self.inputs.age < self.duration * 3 {
+            self.step(failure_rate);
         }
-        (self.facts.phase, self.facts.age)
+        (self.inputs.phase, self.inputs.age)
     }
 
     fn exposed(&self) -> f64 {
-        f64::from(self.facts.tally.exposed)
+        f64::from(self.inputs.tally.exposed)
     }
 
     fn allowed(&self) -> f64 {
@@ -154,66 +155,85 @@
     }
 }
 
-// A good version is watched for nearly all of the time, then serves, and the old one stops once nothing runs
-// there; all of it within the bound that a bad one has.
+// Guards against a good version that is not completed in time: the canary takes most of the
+// duration, then the version serves all requests, and the old one stops once nothing runs there.
+// The exposure bound for bad versions holds throughout.
 #[test]
 fn good_version_is_completed_in_time() {
-    let mut play = Play::new(20);
-    assert_eq!(play.leave(RolloutPhase::Held, 0.0).0, RolloutPhase::Canary);
-    let (phase, at) = play.leave(RolloutPhase::Canary, 0.0);
+    let mut simulation = Simulation::new(20);
+    assert_eq!(simulation.run_phase(RolloutPhase::Held, 0.0).0, RolloutPhase::Canary);
+    let (phase, age) = simulation.run_phase(RolloutPhase::Canary, 0.0);
     assert_eq!(phase, RolloutPhase::Switching);
-    assert!(at > Duration::from_secs(17), "{at:?}");
+    assert!(age > Duration::from_secs(17), "{age:?}");
     for _ in 0..5 {
-        assert_eq!(play.step(0.0).phase, RolloutPhase::Switching);
+        assert_eq!(simulation.step(0.0).phase, RolloutPhase::Switching);
     }
-    play.facts.is_clear = true;
-    let (phase, at) = play.leave(RolloutPhase::Switching, 0.0);
+    simulation.inputs.is_clear = true;
+    let (phase, age) = simulation.run_phase(RolloutPhase::Switching, 0.0);
     assert_eq!(phase, RolloutPhase::Cleared);
-    assert!(at <= play.duration, "{at:?}");
-    assert!(play.exposed() <= play.allowed(), "{} of {}", play.exposed(), play.allowed());
+    assert!(age <= simulation.duration, "{age:?}");
+    assert!(
+        simulation.exposed() <= simulation.allowed(),
+        "{} of {}",
+        simulation.exposed(),
+        simulation.allowed()
+    );
 }
 
-// A version fails in four of ten answers. It is given up after a handful of them.
+// Guards against long exposure to a bad version: one that fails four of ten responses is reverted
+// after a few of them.
 #[test]
 fn bad_version_is_given_up_early() {
-    let mut play = Play::new(20);
-    play.leave(RolloutPhase::Held, 0.4);
-    assert_eq!(play.leave(RolloutPhase::Canary, 0.4).0, RolloutPhase::Reverting);
-    assert!(play.exposed() < play.allowed() / 2.0, "{} of {}", play.exposed(), play.allowed());
+    let mut simulation = Simulation::new(20);
+    simulation.run_phase(RolloutPhase::Held, 0.4);
+    assert_eq!(simulation.run_phase(RolloutPhase::Canary, 0.4).0, RolloutPhase::Reverting);
+    assert!(
+        simulation.exposed() < simulation.allowed() / 2.0,
+        "{} of {}",
+        simulation.exposed(),
+        simulation.allowed()
+    );
 }
 
-// A version turns bad after it was good for long. Its good past must not hide it.
+// Guards against a version that turns bad after a long good period, which must not outweigh the
+// failures.
 #[test]
 fn version_that_turns_bad_is_given_up() {
-    let mut play = Play::new(40);
-    play.leave(RolloutPhase::Held, 0.0);
-    while play.facts.age < Duration::from_secs(25) {
-        assert_eq!(play.step(0.0).phase, RolloutPhase::Canary);
+    let mut simulation = Simulation::new(40);
+    simulation.run_phase(RolloutPhase::Held, 0.0);
+    while simulation.inputs.age < Duration::from_secs(25) {
+        assert_eq!(simulation.step(0.0).phase, RolloutPhase::Canary);
     }
-    let (phase, at) = play.leave(RolloutPhase::Canary, 0.5);
+    let (phase, age) = simulation.run_phase(RolloutPhase::Canary, 0.5);
     assert_eq!(phase, RolloutPhase::Reverting);
-    assert!(at < Duration::from_secs(35), "{at:?}");
+    assert!(age < Duration::from_secs(35), "{age:?}");
 }
 
-// A version is bad only once all requests go to it. The old one still runs then.
+// Guards against a version that fails only under full load: it is reverted while the old one still
+// runs.
 #[test]
 fn version_that_is_bad_under_load_is_given_up() {
-    let mut play = Play::new(20);
-    play.leave(RolloutPhase::Held, 0.0);
-    assert_eq!(play.leave(RolloutPhase::Canary, 0.0).0, RolloutPhase::Switching);
-    play.facts.is_clear = true;
-    assert_eq!(play.leave(RolloutPhase::Switching, 0.4).0, RolloutPhase::Reverting);
-    assert!(play.exposed() <= play.allowed(), "{} of {}", play.exposed(), play.allowed());
+    let mut simulation = Simulation::new(20);
+    simulation.run_phase(RolloutPhase::Held, 0.0);
+    assert_eq!(simulation.run_phase(RolloutPhase::Canary, 0.0).0, RolloutPhase::Switching);
+    simulation.inputs.is_clear = true;
+    assert_eq!(simulation.run_phase(RolloutPhase::Switching, 0.4).0, RolloutPhase::Reverting);
+    assert!(
+        simulation.exposed() <= simulation.allowed(),
+        "{} of {}",
+        simulation.exposed(),
+        simulation.allowed()
+    );
 }
 
-/// Checks that a roll-out is given up shortly before its time is over.
+/// Checks that a roll-out is reverted shortly before its duration ends.
 fn is_given_up(change: fn(&mut RolloutInputs)) {
-    let mut play = Play::new(20);
-    change(&mut play.facts);
-    play.leave(RolloutPhase::Held, 0.0);
-    let (phase, at) = play.leave(RolloutPhase::Canary, 0.0);
+    let mut simulation = Simulation::new(20);
+    change(&mut simulation.inputs);
+    simulation.run_phase(RolloutPhase::Held, 0.0);
+    let (phase, age) = simulation.run_phase(RolloutPhase::Canary, 0.0);
     assert_eq!(phase, RolloutPhase::Reverting);
-    assert!(at > Duration::from_secs(19) && at <= play.duration, "{at:?}");
+    assert!(age > Duration::from_secs(19) && age <= simulation.duration, "{age:?}");
 }
 
 cases! {is_given_up {
@@ -221,43 +241,44 @@
     with_too_few_of_them: |f| f.capacity.new_slots = 4;
 }}
 
-// The instance that judges is cut off with a few others. Its side alone must not stop the old version.
+// Guards against a minority partition that stops the old version: the judge is cut off with a few
+// other instances.
 #[test]
 fn smaller_side_of_a_cut_decides_nothing() {
-    let mut play = Play::new(20);
-    play.leave(RolloutPhase::Held, 0.0);
-    play.facts.has_quorum = false;
-    play.facts.is_clear = true;
+    let mut simulation = Simulation::new(20);
+    simulation.run_phase(RolloutPhase::Held, 0.0);
+    simulation.inputs.has_quorum = false;
+    simulation.inputs.is_clear = true;
     for _ in 0..150 {
-        let ruling = play.step(0.0);
-        assert_eq!((ruling.phase, ruling.share), (RolloutPhase::Canary, 0.0));
+        let decision = simulation.step(0.0);
+        assert_eq!((decision.phase, decision.share), (RolloutPhase::Canary, 0.0));
     }
-    // What is bad on one side is bad.
-    add(&mut play.facts.tally, "lookups", true, (20, 12, 0));
-    assert_eq!(play.step(0.0).phase, RolloutPhase::Reverting);
+    // Evidence against a version counts also without a quorum.
+    add(&mut simulation.inputs.tally, "lookups", true, (20, 12, 0));
+    assert_eq!(simulation.step(0.0).phase, RolloutPhase::Reverting);
 }
 
-// Generations have to move before the old engines stop, and each counts as a request that the new version
-// gets. Where they are too many for the bound, they wait for the end of the time.
+// Guards against moved generations that exceed the exposure bound: each counts as a request to the
+// new version. Where they are too many for the bound, they wait for the end of the duration.
 #[test]
 fn generations_move_within_the_bound() {
-    let mut play = Play::new(12);
-    play.facts.movable = 400;
-    play.leave(RolloutPhase::Held, 0.0);
-    let (phase, at) = play.leave(RolloutPhase::Canary, 0.0);
+    let mut simulation = Simulation::new(12);
+    simulation.inputs.movable = 400;
+    simulation.run_phase(RolloutPhase::Held, 0.0);
+    let (phase, age) = simulation.run_phase(RolloutPhase::Canary, 0.0);
     assert_eq!(phase, RolloutPhase::Switching);
-    assert!(at > play.duration, "{at:?}");
-    assert!(play.exposed() <= play.allowed());
+    assert!(age > simulation.duration, "{age:?}");
+    assert!(simulation.exposed() <= simulation.allowed());
 }
 
-// The service runs the ordered version alone. There is nothing to watch.
+// Guards against a wait for evidence where the service runs only the ordered version.
 #[test]
 fn order_of_the_same_version_is_fulfilled() {
-    let mut play = Play::new(20);
-    play.facts.capacity.has_old = false;
-    play.facts.capacity.old_slots = 0;
-    play.leave(RolloutPhase::Held, 0.0);
-    let (phase, at) = play.leave(RolloutPhase::Canary, 0.0);
+    let mut simulation = Simulation::new(20);
+    simulation.inputs.capacity.has_old = false;
+    simulation.inputs.capacity.old_slots = 0;
+    simulation.run_phase(RolloutPhase::Held, 0.0);
+    let (phase, age) = simulation.run_phase(RolloutPhase::Canary, 0.0);
     assert_eq!(phase, RolloutPhase::Cleared);
-    assert!(at < Duration::from_secs(4), "{at:?}");
+    assert!(age < Duration::from_secs(4), "{age:?}");
 }
