--- a/tests/suite/state.rs
+++ b/tests/suite/state.rs
@@ -1,4 +1,4 @@
-//! Tables and state machines, each by itself.
+//! Unit tests of the state tables and state machines.
 
 mod cold_rights;
 mod crash_log;
--- a/tests/suite/state/cold_rights.rs
+++ b/tests/suite/state/cold_rights.rs
@@ -1,4 +1,4 @@
-//! Who may use an endpoint in cold start, and for how long.
+//! Rights to use an endpoint in cold start, and their leases.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,11 +27,11 @@
     Assignment::new(BTreeMap::from([(own(), incarnation)]), LEASE)
 }
 
-fn sample(taken: u64, held: u32) -> LoadSample {
-    LoadSample { taken: at(taken), held, cold: true, limit: 2 }
+fn sample(taken: u64, running: u32) -> LoadSample {
+    LoadSample { taken: at(taken), held: running, cold: true, limit: 2 }
 }
 
-/// An owner since 1250 that confirmed its lease at 1500.
+/// Returns the rights of an owner since 1250 ms that confirmed its lease at 1500 ms.
 fn owner() -> ColdRights {
     let mut rights = ColdRights::new(&own(), 7);
     rights.learn(&alone(7), at(0), at(0));
@@ -49,14 +49,14 @@
     assert!(!rights.take_slot(&engine(), Slot(3), at(1_530)));
 }
 
-// The owner is stopped by its machine for some seconds and goes on in the middle of sending.
-// Another instance owns the engine by then; a user notices an engine that crashes while it starts.
+// Guards against an engine that crashes in cold start because a frozen owner resumes in the middle
+// of a send, seconds after another instance became the owner.
 #[rstest]
 fn frozen_owner_wakes_without_its_right() {
     let mut rights = owner();
     rights.note_load(&engine(), sample(1_520, 0));
     assert!(!rights.take_slot(&engine(), Slot(1), at(2_600)));
-    // What lay in a buffer meanwhile was asked for before the gap.
+    // A response from the buffer belongs to a request from before the freeze.
     rights.learn(&alone(7), at(1_590), at(2_610));
     assert_eq!(rights.owner_epoch(&engine(), at(2_610)), None);
     rights.learn(&alone(7), at(2_620), at(2_630));
@@ -72,9 +72,9 @@
     assert_eq!(rights.owner_epoch(&engine(), at(1_250)), Some(1));
 }
 
-// An instance is restarted under its old name while its former life still hangs somewhere.
+// Guards against a former incarnation that acts as the owner after a restart under the same name.
 #[rstest]
-fn former_life_owns_nothing() {
+fn former_incarnation_owns_nothing() {
     let mut rights = owner();
     rights.learn(&alone(7).next(BTreeMap::from([(own(), 8)]), LEASE), at(1_600), at(1_600));
     assert_eq!(rights.owner_epoch(&engine(), at(1_600)), None);
@@ -90,17 +90,18 @@
 }
 
 #[rstest]
-fn peers_word_gives_no_right() {
+fn peers_hint_gives_no_right() {
     let mut rights = ColdRights::new(&own(), 7);
     rights.hint(&alone(7), at(0));
     assert_eq!(rights.owner_epoch(&engine(), at(1_300)), None);
 }
 
-// What the former owner gave the engine runs on for minutes after the lease is over.
-fn room_left(held: u32, room: u32) {
+// Guards against ignoring the former owner's requests, which run for minutes after its lease has
+// ended.
+fn room_left(running: u32, free_slots: u32) {
     let mut rights = owner();
-    rights.note_load(&engine(), sample(1_520, held));
-    assert_eq!(rights.cold_right(&engine(), at(1_530)), room);
+    rights.note_load(&engine(), sample(1_520, running));
+    assert_eq!(rights.cold_right(&engine(), at(1_530)), free_slots);
 }
 
 cases!(room_left {
@@ -117,7 +118,8 @@
     assert_eq!(rights.cold_right(&engine(), at(1_530)), 0);
 }
 
-// A generation ends, and the report that is already on its way still counts it, or no longer does.
+// Guards against a slot that is freed too early: a report already in transit may or may not count
+// the generation that ended.
 #[rstest]
 fn place_is_free_only_after_a_later_report() {
     let mut rights = owner();
--- a/tests/suite/state/crash_log.rs
+++ b/tests/suite/state/crash_log.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints die.
+//! The log of requests that crash endpoints.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 
 const NOW: Moment = Moment::from_millis(1_000);
 
-// A request takes down three endpoints, told by three instances, one of them twice. From then on it
-// is held back; those that were beside it once are not.
+// Guards against a request that crashes endpoint after endpoint: the third crash holds it, with
+// duplicate reports counted once, and requests that ran beside it once are not held.
 #[test]
 fn third_crash_holds_the_request() {
     let mut log = CrashLog::new();
@@ -28,9 +28,9 @@
     assert!(!log.holds(&[1; 16], NOW));
 }
 
-// The same endpoint comes back under its id and dies again; each life counts.
+// Guards against crashes that go uncounted because the endpoint restarted under the same id.
 #[test]
-fn lives_under_one_id_count() {
+fn each_incarnation_of_an_endpoint_counts() {
     let mut log = CrashLog::new();
     for born in 1..=3 {
         log.note(&crashed(7, 1, born), NOW);
@@ -38,7 +38,7 @@
     assert!(log.holds(&[7; 16], NOW));
 }
 
-// Long after the last crash the request is tried again.
+// Guards against a request that is held forever after its last crash.
 #[test]
 fn request_is_tried_again() {
     let mut log = CrashLog::new();
--- a/tests/suite/state/endpoint_table.rs
+++ b/tests/suite/state/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may get new work, whatever the lagging list says.
+//! The table of endpoints that may get new requests, while the listing lags.
 
 use std::collections::BTreeSet;
 
@@ -24,22 +24,22 @@
 const LIVE: EndpointState = EndpointState::Live;
 const LEAVING: EndpointState = EndpointState::Leaving;
 
-/// A table that saw the engine leave, then some live listings.
-fn left(looks: u32, port: u16) -> EndpointTable {
+/// Returns a table that saw the engine leave and then a number of live listings.
+fn table_after_leaving(listings: u32, port: u16) -> EndpointTable {
     let mut table = EndpointTable::new();
     table.set_list(&[engine(LIVE, 1)]);
     assert!(table.may_send(&id()));
     table.set_list(&[engine(LEAVING, 1)]);
-    for _ in 0..looks {
+    for _ in 0..listings {
         table.set_list(&[engine(LIVE, port)]);
     }
     table
 }
 
-// The list lags, and an older answer shows an engine as live that is about to go. What it gets then
-// is cut off when it goes.
-fn may_send(looks: u32, port: u16, expected: bool) {
-    assert_eq!(left(looks, port).may_send(&id()), expected);
+// Guards against requests that are cut because a lagging listing shows an engine as live that is
+// about to stop.
+fn may_send(listings: u32, port: u16, expected: bool) {
+    assert_eq!(table_after_leaving(listings, port).may_send(&id()), expected);
 }
 
 cases!(may_send {
@@ -51,7 +51,7 @@
 });
 
 #[rstest]
-fn own_word_comes_before_the_list() {
+fn endpoint_notice_overrides_the_listing() {
     let mut table = EndpointTable::new();
     table.set_list(&[engine(LIVE, 1)]);
     table.note_leaving(&id(), true);
@@ -62,8 +62,8 @@
 }
 
 #[rstest]
-fn unlisted_gets_nothing() {
-    let mut table = left(RETURN_LISTINGS, 1);
+fn unlisted_endpoint_gets_nothing() {
+    let mut table = table_after_leaving(RETURN_LISTINGS, 1);
     table.set_list(&[]);
     assert!(!table.may_send(&id()));
 }
--- a/tests/suite/state/forward_queue.rs
+++ b/tests/suite/state/forward_queue.rs
@@ -1,4 +1,4 @@
-//! Changes of placed work that are forwarded together.
+//! The queue of load changes that are forwarded in batches.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,8 @@
     InstanceLoad { instance, placed: BTreeMap::from([(endpoint, placed)]) }
 }
 
-// A request that ended while changes gathered counts at its endpoint for good.
+// Guards against a request that counts at its endpoint forever because it ended while its change
+// was queued.
 #[test]
 fn later_change_replaces_the_earlier() {
     let mut queue = ForwardQueue::new();
@@ -27,7 +28,8 @@
     assert!(queue.take().is_empty());
 }
 
-// An older change is forwarded after a copy began and hides it, so that two generations are copied at a time.
+// Guards against two concurrent copies: a queued older change is forwarded after the start of a
+// copy and hides it.
 #[test]
 fn urgent_change_is_not_undone() {
     let mut queue = ForwardQueue::new();
@@ -36,11 +38,11 @@
     queue.add(HALF, &[change(1, "e-1", 1)]);
     queue.add(WHOLE, &[change(2, "e-1", 1)]);
     queue.drop_superseded(&change(1, "e-1", 2));
-    let left: Vec<InstanceLoad> = queue.take().into_iter().flat_map(|(_, all)| all).collect();
-    assert_eq!(left, [change(1, "e-2", 1), change(2, "e-1", 1)]);
+    let remaining: Vec<InstanceLoad> = queue.take().into_iter().flat_map(|(_, all)| all).collect();
+    assert_eq!(remaining, [change(1, "e-2", 1), change(2, "e-1", 1)]);
 }
 
-// Changes for one part of a failure domain go to another part.
+// Guards against changes that go to the wrong part of a failure domain.
 #[test]
 fn parts_stay_apart() {
     let mut queue = ForwardQueue::new();
@@ -53,10 +55,11 @@
     assert_eq!(messages[0].1[0].placed.len(), 2);
 }
 
-// Changes of three hundred instances in one moment are larger than what is read of a datagram.
+// Guards against messages that exceed the receive buffer when three hundred instances change at
+// once.
 #[test]
 fn messages_fit_into_datagrams() {
-    const READ: usize = 8 << 10;
+    const MAX_DATAGRAM_BYTES: usize = 8 << 10;
     let mut queue = ForwardQueue::new();
     for instance in 0..300 {
         queue.add(WHOLE, &[change(instance, "an-endpoint-with-a-long-name", 1)]);
@@ -65,6 +68,6 @@
     assert_eq!(messages.iter().map(|(_, all)| all.len()).sum::<usize>(), 300);
     for (_, placed) in messages {
         let frame = nutmeggrade_core::peer::seal(&placed, &[0; 32]).expect("a frame");
-        assert!(frame.len() <= READ, "{}", frame.len());
+        assert!(frame.len() <= MAX_DATAGRAM_BYTES, "{}", frame.len());
     }
 }
--- a/tests/suite/state/intent.rs
+++ b/tests/suite/state/intent.rs
@@ -1,4 +1,4 @@
-//! What an attempt may do about the record that it found.
+//! Decisions of an attempt about an existing intent record.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::intent::{Claim, Intent, Owner, Progress};
@@ -14,8 +14,8 @@
     Progress::Done { answer: RecordedAnswer::new(200, b"{}") }
 }
 
-fn judges(found: &Intent, owner: &Owner, claim: &Claim) {
-    assert_eq!(intent(1, "a").judge(found, owner), *claim);
+fn judges(existing: &Intent, owner: &Owner, claim: &Claim) {
+    assert_eq!(intent(1, "a").judge(existing, owner), *claim);
 }
 
 cases!(judges {
@@ -40,8 +40,8 @@
     assert_eq!(back.body(), kept.then_some(body));
 }
 
-// A service answers with bytes that are not text, or with an answer whose encoded form is larger
-// than a platform value. A retry must get the same bytes or be told that they were not kept.
+// Guards against a retry that gets different bytes: a response may be binary, or exceed a platform
+// value once encoded, and then the record says that the body was not kept.
 cases!(keeps {
     text: b"{\"number\":1}", true;
     empty: b"", true;
--- a/tests/suite/state/large_fleet.rs
+++ b/tests/suite/state/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Three hundred instances in four failure domains.
+//! Views of the fleet with three hundred instances in four failure domains.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,17 +11,17 @@
 use super::heartbeat::heartbeat;
 
 const DOMAINS: u16 = 4;
-const ALL: u16 = 300;
+const INSTANCES: u16 = 300;
 const NOW: Moment = Moment::from_millis(60_000);
-/// Datagrams that one instance sends of a message for everybody; at 2 KB each and several messages a
-/// second more would fill a link of ten megabits.
-const MOST_SENT: usize = 40;
+/// Datagrams that one instance sends for a broadcast; at 2 KB each and several broadcasts a second,
+/// more would fill a link of ten megabits.
+const MAX_SENT: usize = 40;
 
 fn name(number: u16) -> InstanceId {
     InstanceId::new(&format!("i-{number}")).expect("an id")
 }
 
-fn seat(number: u16) -> InstanceAddresses {
+fn addresses(number: u16) -> InstanceAddresses {
     let [high, low] = number.to_be_bytes();
     let at = |port| SocketAddr::from(([10, 0, high, low], port));
     let domain = DomainId::new(&format!("d-{}", number % DOMAINS)).expect("an id");
@@ -29,22 +29,22 @@
 }
 
 fn beacon(number: u16, sequence: u64) -> FleetBeacon {
-    heartbeat(&name(number), &seat(number), sequence)
+    heartbeat(&name(number), &addresses(number), sequence)
 }
 
-/// Returns the view of an instance that has heard the first few of all instances.
+/// Returns the view of an instance that has heard the first instances of the fleet.
 fn view(own: u16, heard: u16, seeds: &[SocketAddr]) -> FleetView {
-    let mut view = FleetView::new(&name(own), &seat(own), seeds);
+    let mut view = FleetView::new(&name(own), &addresses(own), seeds);
     for other in (0..heard).filter(|other| *other != own) {
         view.hear(&beacon(other, 10), NOW);
     }
     view
 }
 
-/// Has an instance told whom others know, as those do whom it introduces itself to.
-fn welcome(view: &mut FleetView, own: u16) {
+/// Adds the contacts that an instance gets from the peers to which it introduces itself.
+fn add_welcome_contacts(view: &mut FleetView, own: u16) {
     for host in 1..=4 {
-        let mut host = self::view(host, ALL, &[]);
+        let mut host = self::view(host, INSTANCES, &[]);
         for _ in 0..3 {
             let (_, others) = host.welcome(&beacon(own, 1)).expect("a welcome");
             view.add_contacts(&others, NOW);
@@ -52,24 +52,25 @@
     }
 }
 
-// All instances start together. After two seconds each has heard a third of the others, since a heartbeat
-// goes to some in turn. Limits of the fleet are divided by all of them; divided by those that were heard,
-// all together would take three times what is allowed.
+// Guards against fleet limits that are exceeded threefold when all instances start together: two
+// seconds after the start each has heard a third of the others, since heartbeats go to some in
+// turn, but the limits must be divided by all.
 #[test]
 fn limits_are_divided_by_those_not_heard_yet() {
     let mut fresh = view(299, 100, &[]);
-    welcome(&mut fresh, 299);
-    assert_eq!(fresh.sharers(NOW), usize::from(ALL));
+    add_welcome_contacts(&mut fresh, 299);
+    assert_eq!(fresh.sharers(NOW), usize::from(INSTANCES));
 }
 
-// A cold endpoint bears 57 requests a second, fewer than there are instances, so that 57 of them may send one
-// each. Each has heard only a few of the others, and still no more than 57 take themselves for one of them.
+// Guards against overload of a cold endpoint whose limit of 57 requests a second is below the
+// number of instances: 57 of them may send one each, and no more than 57 claim a turn although each
+// has heard only a few others.
 #[test]
 fn turns_at_a_cold_endpoint_are_not_taken_twice() {
     const BOUND: usize = 57;
     let mut all = Contacts::new();
-    for n in 0..ALL {
-        all.entry(seat(n).domain).or_default().push(seat(n).beacon);
+    for n in 0..INSTANCES {
+        all.entry(addresses(n).domain).or_default().push(addresses(n).beacon);
     }
     let endpoint = EndpointId::new("e-1").expect("an id");
     let takes_turn = |own: &u16| {
@@ -77,88 +78,98 @@
         view.add_contacts(&all, NOW);
         view.rank(&endpoint, NOW) < BOUND
     };
-    assert_eq!((0..ALL).filter(takes_turn).count(), BOUND);
+    assert_eq!((0..INSTANCES).filter(takes_turn).count(), BOUND);
 }
 
-// An instance that has heard few sends a message for everybody. It knows from others which failure domain
-// each instance is in, so that it does not send to each by itself, most of them far away.
+// Guards against an instance that has heard few others and so sends a broadcast to each instance
+// directly, most of them in other failure domains: it learns the domain of each instance from its
+// peers.
 #[test]
-fn message_of_an_instance_that_heard_few_is_handed_on() {
+fn broadcast_of_an_instance_with_few_peers_is_relayed() {
     let mut fresh = view(299, 20, &[]);
-    welcome(&mut fresh, 299);
+    add_welcome_contacts(&mut fresh, 299);
     let audience = fresh.broadcast_recipients(RelayOrder::LastHeard, NOW);
     assert!(audience.direct.is_empty(), "{} direct", audience.direct.len());
-    assert!(audience.relays.len() <= MOST_SENT, "{}", audience.relays.len());
+    assert!(audience.relays.len() <= MAX_SENT, "{}", audience.relays.len());
 }
 
-// A message for everybody goes through some instances of each failure domain. Each gets it, and nobody
-// sends it to more than a few dozen.
+// Guards against broadcasts that miss instances or load a sender's link: they go through a few
+// instances of each failure domain, and none sends more than a few dozen datagrams.
 #[test]
-fn message_reaches_everybody_through_a_few() {
-    let sender = view(0, ALL, &[]);
+fn broadcast_reaches_every_instance_through_few_relays() {
+    let sender = view(0, INSTANCES, &[]);
     let audience = sender.broadcast_recipients(RelayOrder::LastHeard, NOW);
-    assert!(audience.direct.len() + audience.relays.len() <= MOST_SENT);
-    let mut got: BTreeSet<SocketAddr> = audience.direct.iter().copied().collect();
-    let numbers: BTreeMap<SocketAddr, u16> = (0..ALL).map(|n| (seat(n).beacon, n)).collect();
+    assert!(audience.direct.len() + audience.relays.len() <= MAX_SENT);
+    let mut recipients: BTreeSet<SocketAddr> = audience.direct.iter().copied().collect();
+    let numbers: BTreeMap<SocketAddr, u16> =
+        (0..INSTANCES).map(|n| (addresses(n).beacon, n)).collect();
     for (relay, share) in audience.relays {
-        let sent = view(numbers[&relay], ALL, &[]).neighbours_in_part(share);
-        assert!(sent.len() <= MOST_SENT, "{}", sent.len());
-        got.insert(relay);
-        got.extend(sent);
+        let sent = view(numbers[&relay], INSTANCES, &[]).neighbours_in_part(share);
+        assert!(sent.len() <= MAX_SENT, "{}", sent.len());
+        recipients.insert(relay);
+        recipients.extend(sent);
     }
-    got.remove(&seat(0).beacon);
-    assert_eq!(got.len(), usize::from(ALL) - 1);
+    recipients.remove(&addresses(0).beacon);
+    assert_eq!(recipients.len(), usize::from(INSTANCES) - 1);
 }
 
-// Each change of placed work takes its own way through the fleet, hundreds of datagrams a second for each instance.
+// Guards against load changes that each take a different path, hundreds of datagrams a second at
+// each instance: senders share their forwarders.
 #[test]
 fn senders_share_their_forwarders() {
-    let forwarders: BTreeSet<SocketAddr> = (0..ALL)
+    let forwarders: BTreeSet<SocketAddr> = (0..INSTANCES)
         .step_by(7)
-        .flat_map(|own| view(own, ALL, &[]).broadcast_recipients(RelayOrder::Common, NOW).relays)
+        .flat_map(|own| {
+            view(own, INSTANCES, &[]).broadcast_recipients(RelayOrder::Common, NOW).relays
+        })
         .map(|(address, _)| address)
         .collect();
-    // Four for each failure domain of 75. Neighbours hear of it from the sender.
+    // Four for each failure domain of 75; instances of its own domain get the change from the
+    // sender.
     assert!(forwarders.len() <= usize::from(DOMAINS) * 4, "{}", forwarders.len());
-    assert_eq!(view(0, ALL, &[]).broadcast_recipients(RelayOrder::Common, NOW).direct.len(), 74);
+    assert_eq!(
+        view(0, INSTANCES, &[]).broadcast_recipients(RelayOrder::Common, NOW).direct.len(),
+        74
+    );
 }
 
-// In an outage each instance that finds the store away is passed over, until the whole fleet has asked.
+// Guards against an outage in which the whole fleet polls the store, because each reader that fails
+// is replaced by another one.
 #[test]
-fn outage_is_found_out_by_few() {
+fn outage_is_detected_by_few_instances() {
     let asks_within = |own: u16, wait: Duration| {
-        let mut view = FleetView::new(&name(own), &seat(own), &[]);
-        for other in (0..ALL).filter(|other| *other != own) {
+        let mut view = FleetView::new(&name(own), &addresses(own), &[]);
+        for other in (0..INSTANCES).filter(|other| *other != own) {
             view.hear(&FleetBeacon { reads: false, ..beacon(other, 10) }, NOW);
         }
         view.is_reader(NOW) && view.takeover_wait(NOW) <= wait
     };
-    let count = |ms| (0..ALL).filter(|n| asks_within(*n, Duration::from_millis(ms))).count();
+    let count = |ms| (0..INSTANCES).filter(|n| asks_within(*n, Duration::from_millis(ms))).count();
     assert_eq!(count(0), 6);
     assert!(count(4_000) <= 20, "{}", count(4_000));
-    assert_eq!(count(600_000), usize::from(ALL));
+    assert_eq!(count(600_000), usize::from(INSTANCES));
 }
 
-// An instance dies. Clients of its failure domain hear of it for no longer than in a small fleet, though
-// each instance hears each of its seventy-four neighbours only now and then.
+// Guards against a dead instance that is named to clients longer than in a small fleet, because
+// each instance hears each of its 74 neighbours only occasionally.
 #[test]
 fn dead_neighbour_is_not_named_for_long() {
-    let mut view = view(0, ALL, &[]);
-    let near = seat(0).domain;
+    let mut view = view(0, INSTANCES, &[]);
+    let near = addresses(0).domain;
     let after = |ms| NOW.after(Duration::from_millis(ms));
-    for other in (4..ALL).filter(|n| n % DOMAINS == 0 && *n != 8) {
+    for other in (4..INSTANCES).filter(|n| n % DOMAINS == 0 && *n != 8) {
         view.hear(&beacon(other, 11), after(4_000));
     }
     let named = view.entries(Some(&near), false, after(5_000));
     assert_eq!(named.len(), 74);
-    assert!(!named.contains(&seat(8).client));
+    assert!(!named.contains(&addresses(8).client));
 }
 
-// An instance is cut off from all others for two minutes, and they from it. All have forgotten each other;
-// it still knows where to begin, and its heartbeats go there.
+// Guards against an instance that never rejoins after two minutes of partition, when all have
+// forgotten each other: its heartbeats go to its seed addresses.
 #[test]
-fn instance_that_was_cut_off_comes_back() {
-    let seeds = [seat(1).beacon, seat(2).beacon];
+fn partitioned_instance_rejoins() {
+    let seeds = [addresses(1).beacon, addresses(2).beacon];
     let mut view = view(0, 7, &seeds);
     view.forget(NOW.after(Duration::from_mins(2)));
     assert_eq!(view.targets(), seeds);
--- a/tests/suite/state/membership.rs
+++ b/tests/suite/state/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: which count, and what they cost.
+//! Membership: which heartbeats count, and their size.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use nutmeggrade_state::membership::Membership;
 use rstest::rstest;
 
-const SILENCE: Duration = Duration::from_secs(2);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 const NOW: Moment = Moment::from_millis(10_000);
 const PEERS: u64 = 6;
 const KEY: [u8; 32] = [1; 32];
@@ -42,35 +42,37 @@
 }
 
 #[rstest]
-fn known_peer_is_heard_without_its_addresses() {
-    let mut members = Membership::new(&entry("node-0", 1), SILENCE);
+fn known_peer_is_accepted_without_addresses() {
+    let mut members = Membership::new(&entry("node-0", 1), SILENCE_TIMEOUT);
     members.learn(&entry("node-1", 1));
     assert!(members.hear(&beacon(&entry("node-1", 1), 2), NOW));
     assert_eq!(members.live(NOW).len(), 1);
 }
 
-// An instance restarts on its old address while the platform is down. Its heartbeats come without
-// addresses at first; were they counted for its earlier life, callers would be sent to whatever that
-// one listened on. They count from the first that carries the new addresses.
+// Guards against callers that are sent to the ports of an instance's earlier incarnation. It
+// restarted on the same peer address while the platform is down, and its first heartbeats carry no
+// addresses; they count from the first one that does.
 #[rstest]
-fn new_life_counts_once_its_addresses_came() {
-    let mut members = Membership::new(&entry("node-0", 1), SILENCE);
+fn new_incarnation_counts_once_its_addresses_arrived() {
+    let mut members = Membership::new(&entry("node-0", 1), SILENCE_TIMEOUT);
     members.learn(&entry("node-1", 1));
-    let reborn = entry("node-1", 2);
-    assert!(!members.hear(&beacon(&reborn, 2), NOW));
+    let restarted = entry("node-1", 2);
+    assert!(!members.hear(&beacon(&restarted, 2), NOW));
     assert!(members.live(NOW).is_empty());
-    let introduced = (3..=11).find(|n| Beacon::includes_introduction(*n)).expect("one in eight");
-    assert!(members.hear(&beacon(&reborn, introduced), NOW));
-    assert_eq!(members.live(NOW), [&reborn]);
+    let introduced = (3..=11)
+        .find(|n| Beacon::includes_introduction(*n))
+        .expect("an introduction in every eighth heartbeat");
+    assert!(members.hear(&beacon(&restarted, introduced), NOW));
+    assert_eq!(members.live(NOW), [&restarted]);
 }
 
 #[rstest]
 fn heartbeat_among_seven_stays_small() {
-    let mut usual = beacon(&entry("node-0", 1_796_255_567_169_621), 100_002);
+    let mut typical = beacon(&entry("node-0", 1_796_255_567_169_621), 100_002);
     for n in 1..=PEERS {
         let echo = Echo { incarnation: 1_796_255_567_169_621 + n, sequence: 100_000 };
-        usual.echoes.insert(InstanceId::new(&format!("node-{n}")).expect("id"), echo);
+        typical.echoes.insert(InstanceId::new(&format!("node-{n}")).expect("id"), echo);
     }
-    let bytes = seal(&usual, &KEY).expect("seal").len();
+    let bytes = seal(&typical, &KEY).expect("seal").len();
     assert!(bytes <= 300, "{bytes} bytes");
 }
--- a/tests/suite/state/read_range.rs
+++ b/tests/suite/state/read_range.rs
@@ -1,26 +1,28 @@
-//! How far one kind of object is read.
+//! The range of revisions up to which a kind of object was read.
 
 use nutmeggrade_state::read_range::ReadRange;
 
-// Objects of other kinds change, and peers take the next news of this kind for incomplete.
+// Guards against peers that treat an update as incomplete because objects of other kinds changed in
+// between.
 #[test]
-fn peers_need_not_have_read_what_brought_nothing() {
-    let (mut reader, mut told) = (ReadRange::default(), ReadRange::default());
+fn changes_of_other_kinds_leave_no_gap() {
+    let (mut reader, mut peer) = (ReadRange::default(), ReadRange::default());
     reader.note_listing(10, 7);
-    told.note_listing(10, 7);
+    peer.note_listing(10, 7);
     reader.note(25, 0);
-    assert!(told.read() >= reader.since());
+    assert!(peer.read() >= reader.since());
     reader.note(30, 30);
-    told.note(30, 30);
+    peer.note(30, 30);
     reader.note(44, 0);
-    assert!(told.read() >= reader.since());
+    assert!(peer.read() >= reader.since());
 }
 
-// An object that was removed between the listings of two instances stays known to the earlier one.
+// Guards against a removed object that stays known to the instance whose listing is the earlier
+// one.
 #[test]
-fn listing_hides_what_was_removed_before() {
-    let (mut reader, mut told) = (ReadRange::default(), ReadRange::default());
-    told.note_listing(92, 90);
+fn later_listing_hides_earlier_removals() {
+    let (mut reader, mut peer) = (ReadRange::default(), ReadRange::default());
+    peer.note_listing(92, 90);
     reader.note_listing(100, 90);
-    assert!(told.read() < reader.since());
+    assert!(peer.read() < reader.since());
 }
--- a/tests/suite/state/registry.rs
+++ b/tests/suite/state/registry.rs
@@ -1,4 +1,4 @@
-//! Endpoints that register, leave, lapse and come back.
+//! The registry of endpoints, which register, leave, expire and return.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -28,27 +28,28 @@
 
 const NOW: Moment = Moment::from_millis(10_000);
 
-// An endpoint said that it leaves. An older entry that arrives late must not bring it back; its next
-// life under the same id may come.
+// Guards against a leaving endpoint that gets requests again because an older entry arrives late;
+// its next incarnation under the same id may get them.
 #[test]
-fn leaving_stays_until_the_next_life() {
+fn leaving_endpoint_stays_out_until_its_next_incarnation() {
     let mut registry = Registry::new();
     assert!(matches!(registry.put(&info(1), NOW), Some(Change::Joined(_))));
     let leaving = EndpointInfo { leaving: true, ..info(1) };
     assert!(matches!(registry.put(&leaving, NOW), Some(Change::Left(_, Leaving::Draining))));
     assert_eq!(registry.put(&info(1), NOW), None);
     assert!(!registry.may_send(&id(1)));
-    let reborn = EndpointInfo { born: 6, ..info(1) };
-    assert!(matches!(registry.put(&reborn, NOW), Some(Change::Joined(_))));
+    let restarted = EndpointInfo { born: 6, ..info(1) };
+    assert!(matches!(registry.put(&restarted, NOW), Some(Change::Joined(_))));
     assert!(registry.may_send(&id(1)));
     assert_eq!(registry.put(&leaving, NOW), None);
     assert!(registry.may_send(&id(1)));
 }
 
-// Entries are missing in the first listing after an outage. They count until they had time to come
-// back; without an outage they are gone at once.
+// Guards against endpoints that are dropped because the first listing after an outage lacks their
+// entries: they stay until the entries had time to return. Without an outage they are removed at
+// once.
 #[test]
-fn missing_after_an_outage_has_time() {
+fn missing_entry_after_an_outage_has_time_to_return() {
     let mut registry = Registry::new();
     registry.replace(&[info(1), info(2), info(3)], false, NOW);
     assert_eq!(registry.replace(&[info(1), info(2)], false, NOW).len(), 1);
@@ -57,13 +58,13 @@
     assert!(registry.may_send(&id(1)));
     let later = NOW.after(Duration::from_millis(1_700));
     assert!(registry.expire(later).is_empty());
-    let over = NOW.after(Duration::from_millis(1_800));
-    assert_eq!(registry.expire(over), [Change::Left(info(1), Leaving::Removed)]);
+    let expired_at = NOW.after(Duration::from_millis(1_800));
+    assert_eq!(registry.expire(expired_at), [Change::Left(info(1), Leaving::Removed)]);
     assert!(!registry.may_send(&id(1)));
     assert!(registry.may_send(&id(2)));
 }
 
-// An entry that was missing comes back in time, and is not dropped later.
+// Guards against an endpoint that is dropped after its missing entry returned.
 #[test]
 fn entry_that_comes_back_stays() {
     let mut registry = Registry::new();
@@ -74,9 +75,9 @@
     assert!(registry.may_send(&id(1)));
 }
 
-// An endpoint leaves without a word just after an outage, and its entry vanishes as a lapsed one would.
-// What runs there goes elsewhere at once: whoever waits until the entry could have come back has no time
-// left for it. Where most are missing the store has lost them, and nothing moves.
+// Guards against work that stays at an endpoint which vanished just after an outage, when its entry
+// may only have expired: the work moves at once, since no time is left for it after a wait for the
+// entry. Where most entries are missing, the store has lost them, and nothing moves.
 #[test]
 fn what_runs_at_few_missing_endpoints_moves() {
     let mut registry = Registry::new();
@@ -93,9 +94,10 @@
     assert!(!registry.should_move_work(&id(1)));
 }
 
-// A failure domain is out. Its endpoints get nothing, and are back as soon as it is.
+// Guards against requests to a failure domain that is out, and against endpoints that stay out
+// after it returned.
 #[test]
-fn domain_that_is_out_is_out() {
+fn domain_that_is_out_gets_no_requests() {
     let mut registry = Registry::new();
     registry.put(&info(1), NOW);
     registry.set_out_domains(&BTreeSet::from([info(1).domain]));
@@ -105,35 +107,39 @@
     assert!(registry.may_send(&id(1)));
 }
 
-fn of(number: u8, version: &str, born: u64) -> EndpointInfo {
+fn versioned(number: u8, version: &str, born: u64) -> EndpointInfo {
     let version = Some(VersionId::new(version).expect("an id"));
     EndpointInfo { version, born, ..info(number) }
 }
 
-// An instance that has just started does not know yet whether one of two versions is held back. It uses the one
-// that was there first.
+// Guards against requests to a held version from an instance that has just started and has not read
+// the orders: it uses the version that registered first.
 #[test]
 fn oldest_version_serves_first() {
     let mut registry = Registry::new();
-    registry.replace(&[of(1, "v2", 50), of(2, "v1", 20), of(3, "v1", 70)], false, NOW);
+    registry.replace(
+        &[versioned(1, "v2", 50), versioned(2, "v1", 20), versioned(3, "v1", 70)],
+        false,
+        NOW,
+    );
     registry.set_versions(registry.provisional_rules(false, NOW));
     assert_eq!([1, 2, 3].map(|n| registry.may_send(&id(n))), [false, true, true]);
     registry.set_versions(registry.provisional_rules(true, NOW));
     assert!(registry.may_send(&id(1)));
-    registry.replace(&[of(1, "v2", 50)], false, NOW);
+    registry.replace(&[versioned(1, "v2", 50)], false, NOW);
     assert!(registry.provisional_rules(false, NOW).is_empty());
 }
 
-// Endpoints of a new version register while the watch of orders has gone silent. They get nothing until the order
-// could be read, and their full part then if there is none.
+// Guards against requests to a new version while the watch of orders is silent: its endpoints get
+// none until the order could be read, and their full share then if there is no order.
 #[test]
 fn new_version_waits_for_its_order() {
     let mut registry = Registry::new();
-    registry.replace(&[of(1, "v1", 20)], false, NOW);
-    assert!(!registry.is_first_of_version(&of(2, "v1", 90)));
-    assert!(registry.is_first_of_version(&of(2, "v2", 90)));
+    registry.replace(&[versioned(1, "v1", 20)], false, NOW);
+    assert!(!registry.is_first_of_version(&versioned(2, "v1", 90)));
+    assert!(registry.is_first_of_version(&versioned(2, "v2", 90)));
     let later = |ms| NOW.after(Duration::from_millis(ms));
-    registry.put(&of(2, "v2", 90), later(5_000));
+    registry.put(&versioned(2, "v2", 90), later(5_000));
     registry.set_versions(registry.provisional_rules(true, later(5_500)));
     assert_eq!([1, 2].map(|n| registry.may_send(&id(n))), [true, false]);
     registry.set_versions(registry.provisional_rules(true, later(6_000)));
--- a/tests/suite/state/rollouts.rs
+++ b/tests/suite/state/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs as instances know them.
+//! Roll-out state as instances hold it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,13 +58,13 @@
     }
 }
 
-/// Returns which endpoints get work: the old one, the new one.
+/// Returns whether the old and the new endpoint get requests.
 fn serves(registry: &Registry) -> (bool, bool) {
     let may = |id: &str| registry.may_send(&EndpointId::new(id).expect("an id"));
     (may("old"), may("new"))
 }
 
-// Notices overtake each other and are heard twice. No phase goes back by it.
+// Guards against a phase that goes back when notices arrive reordered or twice.
 #[test]
 fn phases_only_advance() {
     let mut table = RolloutTable::new();
@@ -77,8 +77,8 @@
     assert_eq!(phase(&table), Some(RolloutPhase::Reverting));
 }
 
-// Two instances take themselves for the judge, and one has completed what the other wants to revert. What
-// the store took first holds, and nothing is written after it.
+// Guards against two concurrent judges, of which one has completed what the other wants to revert:
+// the state that the store accepted first is final, and no later one is written.
 #[test]
 fn store_decides_between_two_judges() {
     let mut table = RolloutTable::new();
@@ -92,10 +92,10 @@
     assert!(table.unwritten_states().is_empty());
 }
 
-// The operator changes the version while a roll-out runs. The new order begins anew, and a late word of the
-// old one does not bring that back.
+// Guards against a replaced order that returns by a late notice: the new order starts from the
+// beginning.
 #[test]
-fn changed_order_begins_anew() {
+fn changed_order_starts_over() {
     let mut table = RolloutTable::new();
     table.put(&stored(10, Some(RolloutState::InProgress)), NOW);
     table.hear(&notice(10, RolloutPhase::Switching), NOW);
@@ -106,22 +106,22 @@
     assert_eq!(phase(&table), Some(RolloutPhase::Held));
 }
 
-// An instance that can't read the store hears of an order by a peer. It must hold the new version as all
-// others do, and for as long as they.
+// Guards against an instance without access to the store that serves a new version too early: it
+// learns the order from a peer and holds the version as long as the others.
 #[test]
-fn order_is_heard_of() {
+fn order_is_learned_from_a_peer() {
     let mut table = RolloutTable::new();
     assert!(table.hear(&notice(10, RolloutPhase::Canary), NOW));
     let view = table.view(&service(), NOW).expect("a roll-out");
     assert_eq!((view.phase, view.age), (RolloutPhase::Canary, Duration::from_secs(3)));
-    // Whoever has not read the object can't write its state.
-    let mut heard = RolloutTable::new();
-    heard.hear(&notice(0, RolloutPhase::Reverting), NOW);
-    assert!(heard.unwritten_states().is_empty());
+    // An instance that has not read the object can't write its state.
+    let mut without_object = RolloutTable::new();
+    without_object.hear(&notice(0, RolloutPhase::Reverting), NOW);
+    assert!(without_object.unwritten_states().is_empty());
 }
 
-// An instance starts while a roll-out runs, later than its order. Taken for as young as the instance itself, the
-// order would be decided late by it.
+// Guards against a late decision by an instance that started after the order and counts the order's
+// age from its own start.
 #[test]
 fn order_is_older_than_the_instance() {
     let started = Moment::from_millis(500);
@@ -133,10 +133,10 @@
     assert_eq!(age(Moment::from_millis(1_500)), Some(Duration::from_secs(4)));
 }
 
-// Two peers tell of two orders, one of which was replaced. Whoever has read neither must not change between
-// them.
+// Guards against an instance without access to the store that alternates between a replaced order
+// and its successor, which it hears from two peers.
 #[test]
-fn newer_order_is_heard_of() {
+fn newer_order_replaces_an_older_one() {
     let newer = RolloutNotice { order: order(9, "v3"), ..notice(12, RolloutPhase::Held) };
     let mut table = RolloutTable::new();
     table.hear(&notice(10, RolloutPhase::Canary), NOW);
@@ -145,7 +145,8 @@
     assert_eq!(phase(&table), Some(RolloutPhase::Held));
 }
 
-// Whoever grants a part of the requests dies. Nothing goes to the new version a moment later.
+// Guards against requests that keep going to the new version after the instance that granted its
+// share died.
 #[test]
 fn grant_runs_out() {
     let mut table = RolloutTable::new();
@@ -156,7 +157,7 @@
     assert!(table.share(&service(), later(2)) == 0.0);
 }
 
-/// Checks which versions serve in a phase: old, new.
+/// Checks whether the old and the new version serve in a phase.
 fn serve(phase: RolloutPhase, expected: (bool, bool)) {
     let mut table = RolloutTable::new();
     table.put(&stored(10, None), NOW);
@@ -177,7 +178,8 @@
     withdrawn: RolloutPhase::Withdrawn, (true, false);
 }}
 
-// The service runs the ordered version already. Holding that back would leave nothing to serve.
+// Guards against a service without endpoints because its only version, which is the ordered one, is
+// held.
 #[test]
 fn only_version_serves() {
     let mut table = RolloutTable::new();
@@ -188,8 +190,9 @@
     assert!(serves(&registry).1);
 }
 
-// A roll-out was completed, and a replacement of an old version registers later. It may serve, once those
-// that stopped are surely gone; an instance that starts then has nothing to hold back.
+// Guards against endpoints of an old version that are held long after a completed roll-out: they
+// may serve once those that were stopped are certainly gone. An instance that starts afterwards
+// holds none.
 #[test]
 fn completed_rollout_is_over() {
     let mut table = RolloutTable::new();
@@ -202,14 +205,14 @@
     assert!(fresh.rules(NOW).is_empty());
 }
 
-// An order is taken back before it is decided. The new version stays held, and the order is forgotten with
-// its last endpoint.
+// Guards against a new version that serves because its order was removed before a decision: it
+// stays held, and the order is forgotten with the version's last endpoint.
 #[test]
 fn removed_order_holds_the_new_version() {
     let mut table = RolloutTable::new();
     table.put(&stored(10, None), NOW);
-    let told = table.replace(&[], NOW);
-    assert_eq!(told.first().map(|n| n.phase), Some(RolloutPhase::Withdrawn));
+    let notices = table.replace(&[], NOW);
+    assert_eq!(notices.first().map(|n| n.phase), Some(RolloutPhase::Withdrawn));
     table.forget(|_, _| true);
     assert!(table.rules(NOW).contains_key(&service()));
     table.forget(|_, _| false);
@@ -223,8 +226,8 @@
     RolloutReport { instance, incarnation, service: service(), id, phase, running, tally }
 }
 
-// An instance is killed and starts anew. What it counted before still counts, and an old report that
-// arrives late takes nothing away.
+// Guards against lost counts when an instance is killed and restarted: those of its earlier
+// incarnation still count, and a late report reduces nothing.
 #[test]
 fn counts_of_earlier_lives_remain() {
     let mut table = RolloutTable::new();
@@ -236,10 +239,10 @@
     assert_eq!((tally.requests, tally.exposed), (250, 25));
 }
 
-// The old endpoints stop at once when the state is written. One instance has not answered, has not heard of
-// the switch, or still has a request there: its answer would be cut.
+// Guards against cut responses: old endpoints stop as soon as the state is written, while an
+// instance has not reported, has not heard of the switch, or still has a request there.
 #[test]
-fn nobody_may_run_at_the_old_version() {
+fn old_version_stops_only_when_no_request_runs_there() {
     let mut table = RolloutTable::new();
     table.put(&stored(10, None), NOW);
     table.hear(&notice(10, RolloutPhase::Switching), NOW);
@@ -253,7 +256,7 @@
     table.take_report(&report(1, 30, RolloutPhase::Switching, 0));
     assert!(is_clear(&table, 0));
     assert!(!is_clear(&table, 1));
-    // It was killed, and its next life takes requests without knowing of the switch.
+    // The instance restarts and takes requests before it hears of the switch.
     table.take_report(&report(2, 1, RolloutPhase::Canary, 0));
     assert!(!is_clear(&table, 0));
 }
--- a/tests/suite/state/sources.rs
+++ b/tests/suite/state/sources.rs
@@ -1,4 +1,4 @@
-//! Which peer an instance asks for what it has missed.
+//! Choice of the peer from which an instance fetches a missed change.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use super::heartbeat::heartbeat;
 
 const DOMAINS: u16 = 5;
-const ALL: u16 = 300;
+const INSTANCES: u16 = 300;
 const NOW: Moment = Moment::from_millis(60_000);
 /// Revision that every instance has read.
 const OLD: u64 = 10;
-/// Revision of a change that some have read.
+/// Revision of a change that some instances have read.
 const NEW: u64 = 11;
 
 fn name(number: u16) -> InstanceId {
@@ -25,72 +25,75 @@
     number % DOMAINS
 }
 
-fn seat(number: u16) -> InstanceAddresses {
+fn addresses(number: u16) -> InstanceAddresses {
     let [high, low] = number.to_be_bytes();
     let at = |port| SocketAddr::from(([10, 0, high, low], port));
     let domain = DomainId::new(&format!("d-{}", domain(number))).expect("an id");
     InstanceAddresses { domain, client: at(80), beacon: at(90), control: at(70) }
 }
 
-/// Returns the view of an instance that has heard all others, and who of them has read the change.
+/// Returns the view of an instance that has heard all others, of which some have read the change.
 fn view(own: u16, has_read: &BTreeSet<u16>) -> FleetView {
-    let mut view = FleetView::new(&name(own), &seat(own), &[]);
-    for other in (0..ALL).filter(|other| *other != own) {
+    let mut view = FleetView::new(&name(own), &addresses(own), &[]);
+    for other in (0..INSTANCES).filter(|other| *other != own) {
         let config = if has_read.contains(&other) { NEW } else { OLD };
         let revisions = Revisions { config, ..Revisions::default() };
-        let beacon = heartbeat(&name(other), &seat(other), 10);
+        let beacon = heartbeat(&name(other), &addresses(other), 10);
         view.hear(&FleetBeacon { revisions, ..beacon }, NOW);
     }
     view
 }
 
-/// Returns whom an instance asks for the change.
-fn source(own: u16, has_read: &BTreeSet<u16>, reach: SourceScope) -> Option<u16> {
+/// Returns the instance from which an instance fetches the change.
+fn source(own: u16, has_read: &BTreeSet<u16>, scope: SourceScope) -> Option<u16> {
     let is_ahead = |revisions: &Revisions| revisions.config > OLD;
     let (address, is_near) =
-        view(own, has_read).source(is_ahead, reach, usize::from(own / DOMAINS), NOW)?;
-    let asked = (0..ALL).find(|n| seat(*n).control == address).expect("an instance");
-    assert_eq!(is_near, domain(asked) == domain(own));
-    Some(asked)
+        view(own, has_read).source(is_ahead, scope, usize::from(own / DOMAINS), NOW)?;
+    let source_instance =
+        (0..INSTANCES).find(|n| addresses(*n).control == address).expect("an instance");
+    assert_eq!(is_near, domain(source_instance) == domain(own));
+    Some(source_instance)
 }
 
-// All instances ask the one that has read a change, and its link is full for seconds.
+// Guards against a link that is saturated for seconds because all instances fetch a change from the
+// only one that has read it.
 #[test]
 fn change_crosses_to_each_domain_once() {
     let has_read = BTreeSet::from([0]);
     let askers: Vec<u16> =
-        (1..ALL).filter(|n| source(*n, &has_read, SourceScope::Near).is_some()).collect();
+        (1..INSTANCES).filter(|n| source(*n, &has_read, SourceScope::Near).is_some()).collect();
     let far = askers.iter().filter(|n| domain(**n) != domain(0));
     assert_eq!(far.count(), usize::from(DOMAINS) - 1);
 }
 
-// All instances of a failure domain ask the same neighbour.
+// Guards against an instance that serves all others of its failure domain.
 #[test]
 fn neighbours_share_the_calls() {
     let has_read: BTreeSet<u16> = (0..25).collect();
-    let asked: BTreeSet<u16> = (25..ALL)
+    let sources: BTreeSet<u16> = (25..INSTANCES)
         .map(|own| {
-            let asked = source(own, &has_read, SourceScope::Near).expect("a neighbour");
-            assert_eq!(domain(asked), domain(own));
-            asked
+            let source_instance = source(own, &has_read, SourceScope::Near).expect("a neighbour");
+            assert_eq!(domain(source_instance), domain(own));
+            source_instance
         })
         .collect();
-    assert_eq!(asked, has_read);
+    assert_eq!(sources, has_read);
 }
 
-// The first instance of a failure domain can't reach those that have the change, and its neighbours wait for it.
+// Guards against a failure domain that waits for its first instance when that one can't reach those
+// that have the change.
 #[test]
-fn whoever_has_waited_asks_far_away() {
+fn other_domains_are_asked_after_a_wait() {
     let has_read = BTreeSet::from([0]);
-    assert!((1..ALL).all(|own| source(own, &has_read, SourceScope::Everywhere) == Some(0)));
+    assert!((1..INSTANCES).all(|own| source(own, &has_read, SourceScope::Everywhere) == Some(0)));
 }
 
-// An instance asks a peer that knows no more, or that is about to end.
+// Guards against fetches from a peer that has no newer revision, or that is leaving.
 #[test]
 fn nobody_is_asked_without_need() {
     assert_eq!(source(1, &BTreeSet::new(), SourceScope::Everywhere), None);
     let mut view = view(1, &BTreeSet::from([6]));
-    let leaving = FleetBeacon { leaving: true, ..heartbeat(&name(6), &seat(6), 11) };
+    let leaving = FleetBeacon { leaving: true, ..heartbeat(&name(6), &addresses(6), 11) };
     let revisions = Revisions { config: NEW, ..Revisions::default() };
     view.hear(&FleetBeacon { revisions, ..leaving }, NOW);
     assert_eq!(view.source(|r| r.config > OLD, SourceScope::Everywhere, 0, NOW), None);
