--- a/tests/suite/core.rs
+++ b/tests/suite/core.rs
@@ -1,4 +1,4 @@
-//! Ids, event ids, envelopes, presets and settings.
+//! Event ids, message envelopes, heartbeats, orders, presets, roll-outs and settings.
 
 mod envelope;
 mod event_id;
--- a/tests/suite/core/envelope.rs
+++ b/tests/suite/core/envelope.rs
@@ -1,4 +1,4 @@
-//! Messages between instances need the peers' key.
+//! Messages between instances are authenticated by the peers' key.
 
 use nutmeggrade_core::peer::{EnvelopeError, MAX_FRAME_BYTES, open, seal};
 
--- a/tests/suite/core/event_id.rs
+++ b/tests/suite/core/event_id.rs
@@ -1,4 +1,4 @@
-//! Event ids can't be forged or used across workspaces.
+//! Event ids can't be forged or used by another workspace.
 
 use nutmeggrade_core::event_id::EventId;
 use nutmeggrade_core::prelude::*;
@@ -28,7 +28,7 @@
     assert_eq!(EventId::open(&text, &workspace("staatsbos"), &KEY), Some(last));
 }
 
-// A workspace copies the event id of another one, to read its answer. It gets nothing.
+// Guards against a workspace that reads another one's response with a copied event id.
 #[rstest]
 fn of_another_workspace_is_refused() {
     let text = id().seal(&workspace("staatsbos"), &KEY);
--- a/tests/suite/core/fleet_beacon.rs
+++ b/tests/suite/core/fleet_beacon.rs
@@ -8,9 +8,9 @@
 use rstest::rstest;
 
 const KEY: [u8; 32] = [9; 32];
-/// Bytes of a heartbeat of an instance with three requests at three endpoints; some seventy a second then
-/// are 12 KB/s.
-const MOST: usize = 160;
+/// Largest heartbeat of an instance with three requests at three endpoints; at about seventy a
+/// second, that is 12 KB/s.
+const MAX_HEARTBEAT_BYTES: usize = 160;
 
 fn beacon() -> FleetBeacon {
     let placed = Placed { requests: 1, memory: 3_900, ..Placed::default() };
@@ -28,11 +28,12 @@
     }
 }
 
-// Heartbeats are most of what instances send each other. Grown, they fill the links of small machines.
+// Guards against larger heartbeats, which are most of the traffic between instances and would
+// saturate the links of small machines.
 #[rstest]
 fn stays_small() {
     let frame = seal(&FleetMessage::Beacon(beacon()), &KEY).expect("seal");
-    assert!(frame.len() <= MOST, "{} bytes", frame.len());
+    assert!(frame.len() <= MAX_HEARTBEAT_BYTES, "{} bytes", frame.len());
 }
 
 #[rstest]
--- a/tests/suite/core/order.rs
+++ b/tests/suite/core/order.rs
@@ -1,4 +1,4 @@
-//! What an owner does next to bring an engine where operators want it.
+//! Next steps of an engine's owner towards the state that operators ordered.
 
 use std::collections::BTreeSet;
 
@@ -8,13 +8,13 @@
 use nutmeggrade_state::order_table::OrderTable;
 use rstest::rstest;
 
-fn load(text: &str) -> ModelRef {
-    ModelRef::parse(text).expect("load")
+fn model_ref(text: &str) -> ModelRef {
+    ModelRef::parse(text).expect("a model reference")
 }
 
 fn reads(text: &str, expected: Option<&str>) {
-    let read = ModelRef::parse(text).ok().map(|l| l.to_string());
-    assert_eq!(read.as_deref(), expected);
+    let parsed = ModelRef::parse(text).ok().map(|l| l.to_string());
+    assert_eq!(parsed.as_deref(), expected);
 }
 
 cases!(reads {
@@ -37,11 +37,11 @@
 }
 
 fn loads(text: &str) -> Order {
-    Order::Load { load: load(text) }
+    Order::Load { load: model_ref(text) }
 }
 
 fn unloads(text: &str) -> Order {
-    Order::Unload { load: load(text) }
+    Order::Unload { load: model_ref(text) }
 }
 
 fn role(role: Role) -> Order {
@@ -49,7 +49,8 @@
 }
 
 fn state(fence: u64, loaded: &[&str], loading: &[&str], role: Role) -> EngineState {
-    let set = |names: &[&str]| -> BTreeSet<ModelRef> { names.iter().map(|n| load(n)).collect() };
+    let set =
+        |names: &[&str]| -> BTreeSet<ModelRef> { names.iter().map(|n| model_ref(n)).collect() };
     EngineState { fence, loaded: set(loaded), loading: set(loading), role }
 }
 
@@ -72,8 +73,8 @@
         &NextStep::Busy;
 });
 
-// An old version of what is wanted comes late, from a watch that started over. It does not undo the
-// newer order.
+// Guards against a late version of the desired state, from a restarted watch, that undoes the newer
+// order.
 #[rstest]
 fn late_version_is_dropped() {
     let endpoint = EndpointId::new("engine-0").expect("id");
--- a/tests/suite/core/preset.rs
+++ b/tests/suite/core/preset.rs
@@ -1,4 +1,4 @@
-//! A preset is checked as a whole before anybody sees it in force.
+//! Presets are validated as a whole before they take effect.
 
 use std::fs;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-fn good() -> Value {
+fn valid_preset() -> Value {
     json!({
         "models": { "m": { "context": 1000 } },
         "tasks": { "t": { "long": false, "max_tokens": 10, "deadline_ms": 1000 } },
@@ -18,16 +18,16 @@
     })
 }
 
-fn with(place: &str, value: Value) -> String {
-    let mut preset = good();
-    *preset.pointer_mut(place).expect("place") = value;
+fn with(pointer: &str, value: Value) -> String {
+    let mut preset = valid_preset();
+    *preset.pointer_mut(pointer).expect("a valid pointer") = value;
     serde_json::to_string_pretty(&preset).expect("encode")
 }
 
 fn refuses(text: &str, expected: &[(Code, &str)]) {
     let problems = Preset::parse("f.json", text).expect_err("a mistake").0;
-    let found: Vec<_> = problems.iter().map(|p| (p.code, p.place.as_str())).collect();
-    assert_eq!(found, expected, "{problems:?}");
+    let codes: Vec<_> = problems.iter().map(|p| (p.code, p.place.as_str())).collect();
+    assert_eq!(codes, expected, "{problems:?}");
 }
 
 cases!(refuses {
@@ -50,7 +50,7 @@
 });
 
 #[rstest]
-fn the_examples_are_good() {
+fn the_examples_are_valid() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("root").join("presets");
     for deployment in ["permit-desk", "cooperative"] {
         for name in ["ordinary", "peak", "maintenance"] {
@@ -68,13 +68,16 @@
 fn judges(change: &Change, confirmed: u64, expected: Option<Code>) {
     let id = ChangeId::new("c1").expect("id");
     let name = PresetId::new("ordinary").expect("id");
-    let preset = Preset::parse("f.json", &good().to_string()).expect("good preset");
+    let preset = Preset::parse("f.json", &valid_preset().to_string()).expect("a valid preset");
     let first = Configuration::new(id.clone(), "anna", "start", &name, &preset);
     let out = Change::DomainOut { domain: domain("gooi") };
-    let now = first.next(id, "anna", "work", &out).expect("next");
+    let current = first.next(id, "anna", "work", &out).expect("next");
     let endpoints = [EndpointId::new("engine-0").expect("id")].into();
     let known = KnownNames { domains: [domain("gooi"), domain("veluwe")].into(), endpoints };
-    assert_eq!(known.check_change(Some(&now), change, confirmed).err().map(|f| f.code), expected);
+    assert_eq!(
+        known.check_change(Some(&current), change, confirmed).err().map(|f| f.code),
+        expected
+    );
 }
 
 fn out(name: &str) -> Change {
--- a/tests/suite/core/rollouts.rs
+++ b/tests/suite/core/rollouts.rs
@@ -1,4 +1,4 @@
-//! Orders of roll-outs and what is told of them.
+//! Roll-out orders, and the reports and notices about them.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use serde_json::{Value, json};
 
 const KEY: [u8; 32] = [9; 32];
-/// Largest datagram that instances read.
-const MOST: usize = 8 << 10;
+/// Receive buffer of an instance for one datagram.
+const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
 fn object(content: Value, status: Value) -> StoredObject {
     let name = "desk".to_owned();
@@ -29,7 +29,7 @@
     ServiceId::new("desk").expect("an id")
 }
 
-// A state that was written for another version is no state of this order.
+// Guards against a state that was written for another version and counts for this order.
 #[test]
 fn state_of_another_order_does_not_count() {
     let order = json!({ "service": "desk", "to": "v2", "duration_s": 12 });
@@ -46,7 +46,7 @@
     rollout::read(&object(content, Value::Null)).expect_err("refused");
 }
 
-// An order is not what it should be. It must not hold back any endpoint.
+// Guards against a malformed order that holds endpoints back.
 cases! {is_refused {
     of_another_service: json!({ "service": "writers", "to": "v2", "duration_s": 12 });
     without_a_version: json!({ "service": "desk", "duration_s": 12 });
@@ -55,20 +55,21 @@
     that_is_no_object: json!(7);
 }}
 
-/// Checks the time that an order gives.
+/// Checks the duration of an order.
 fn gives(content: Value, seconds: u64) {
     let order = rollout::read(&object(content, Value::Null)).expect("readable").order;
     assert_eq!(order.duration, Duration::from_secs(seconds));
 }
 
-// An order gives no time or more than any clock holds.
+// Guards against orders without a duration, or with one that exceeds the range of a clock.
 cases! {gives {
     no_time: json!({ "service": "desk", "to": "v2" }), 0;
     zero: json!({ "service": "desk", "to": "v2", "duration_s": 0 }), 0;
     enormous: json!({ "service": "desk", "to": "v2", "duration_s": 1e15 }), 24 * 3_600;
 }}
 
-// A report of many routes has to fit into a datagram, or those who judge never get it.
+// Guards against a report with many routes that does not fit into a datagram and so never reaches
+// the judge.
 #[test]
 fn report_fits_into_a_datagram() {
     let mut tally = RolloutTally { requests: 90_000, exposed: 9_000, ..RolloutTally::default() };
@@ -92,7 +93,7 @@
         tally,
     });
     let frame = seal(&report, &KEY).expect("seal");
-    assert!(frame.len() <= MOST, "{} bytes", frame.len());
+    assert!(frame.len() <= MAX_DATAGRAM_BYTES, "{} bytes", frame.len());
     assert_eq!(open::<FleetMessage>(&frame, &KEY), Ok(report));
 }
 
--- a/tests/suite/core/settings.rs
+++ b/tests/suite/core/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked as a whole and every mistake is listed.
+//! Settings are validated as a whole, and every mistake is listed.
 
 use std::collections::BTreeMap;
 
@@ -46,14 +46,14 @@
 
 #[rstest]
 fn flag_goes_before_variable() {
-    let values = load(&["--instance", "flag"], &[KEY, NAME]).expect("good settings");
+    let values = load(&["--instance", "flag"], &[KEY, NAME]).expect("valid settings");
     assert_eq!(values.text("instance"), "flag");
 }
 
 #[rstest]
 fn secret_from_file_is_never_shown() {
     let file = ("NUTMEGGRADE_PEER_KEY_FILE", "peer.key");
-    let values = load(&[], &[NAME, file]).expect("good settings");
+    let values = load(&[], &[NAME, file]).expect("valid settings");
     assert_eq!(values.text("peer-key"), "a-secret-from-a-file");
     assert!(values.lines().contains(&"peer-key=(hidden) origin=file".to_owned()));
 }
--- a/tests/suite/docs.rs
+++ b/tests/suite/docs.rs
@@ -1,4 +1,4 @@
-//! The documents say what the code says.
+//! The documentation agrees with the code.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -19,9 +19,9 @@
         (cells[1].to_owned(), cells[2].to_owned(), cells[3].to_owned())
     };
     let listed: Vec<_> = rows.map(row).collect();
-    let coded = |c: &Code| (c.number().to_string(), c.name().to_owned(), c.status().to_string());
-    let coded: Vec<_> = Code::ALL.iter().map(coded).collect();
-    assert_eq!(listed, coded);
+    let defined = |c: &Code| (c.number().to_string(), c.name().to_owned(), c.status().to_string());
+    let defined: Vec<_> = Code::ALL.iter().map(defined).collect();
+    assert_eq!(listed, defined);
 }
 
 #[rstest]
@@ -32,13 +32,14 @@
     }
 }
 
-const PROMISES: usize = 9;
-const INVARIANT: usize = 3;
-const PROOF: usize = 4;
-const RULES: usize = 17;
-const RULE_TESTS: usize = 3;
+const PROMISE_COUNT: usize = 9;
+const INVARIANT_COLUMN: usize = 3;
+const PROOF_COLUMN: usize = 4;
+const MIN_RULES: usize = 17;
+const TEST_COLUMN: usize = 3;
 
-/// Returns the rows of the promises' tables as their cells: the product's, and the platform's rules.
+/// Returns the tables of the promises page as rows of cells: the promises, and the platform's
+/// rules.
 fn tables() -> Vec<Vec<Vec<String>>> {
     let text = fs::read_to_string(root().join("docs/PROMISES.md")).expect("read promises");
     let cells = |l: &str| l.split('|').map(ToOwned::to_owned).collect();
@@ -51,36 +52,36 @@
     tables
 }
 
-/// Returns the rows of the promises' table as their cells.
+/// Returns the table of promises as rows of cells.
 fn promises() -> Vec<Vec<String>> {
     tables().remove(0)
 }
 
-/// Returns what stands between backticks.
+/// Returns the texts between backticks.
 fn quoted(cell: &str) -> Vec<String> {
     cell.split('`').skip(1).step_by(2).map(ToOwned::to_owned).collect()
 }
 
-/// Says whether `a::b::c` is a module of the suite, or a check `c` in the module `a::b`.
+/// Returns whether `a::b::c` is a module of the suite, or a test `c` in the module `a::b`.
 fn is_test(name: &str) -> bool {
     let file =
         |name: &str| root().join("tests/suite").join(name.replace("::", "/")).with_extension("rs");
-    let Some((module, check)) = name.rsplit_once("::") else { return false };
-    let holds = |text: String| text.contains(&format!("fn {check}("));
-    file(name).is_file() || fs::read_to_string(file(module)).is_ok_and(holds)
+    let Some((module, test)) = name.rsplit_once("::") else { return false };
+    let contains_test = |text: String| text.contains(&format!("fn {test}("));
+    file(name).is_file() || fs::read_to_string(file(module)).is_ok_and(contains_test)
 }
 
 #[rstest]
 fn every_proof_of_a_promise_exists() {
     let rows = promises();
-    for number in 1..=PROMISES {
+    for number in 1..=PROMISE_COUNT {
         let row = rows.iter().find(|r| r[1].trim().starts_with(&format!("{number}. ")));
         let row = row.unwrap_or_else(|| panic!("promise {number} has no row"));
-        let names = quoted(&row[PROOF]);
+        let names = quoted(&row[PROOF_COLUMN]);
         let names: Vec<_> = names.iter().filter(|n| !n.contains(' ')).collect();
         assert!(!names.is_empty(), "promise {number} names no proof");
     }
-    let proofs = rows.iter().flat_map(|r| quoted(&r[PROOF])).filter(|n| !n.contains(' '));
+    let proofs = rows.iter().flat_map(|r| quoted(&r[PROOF_COLUMN])).filter(|n| !n.contains(' '));
     for name in proofs {
         assert!(is_test(&name), "no test {name}");
     }
@@ -89,9 +90,9 @@
 #[rstest]
 fn every_rule_of_the_platform_has_tests() {
     let rows = tables().remove(1);
-    assert!(rows.len() >= RULES, "{} rows", rows.len());
+    assert!(rows.len() >= MIN_RULES, "{} rows", rows.len());
     for row in rows {
-        let names = quoted(&row[RULE_TESTS]);
+        let names = quoted(&row[TEST_COLUMN]);
         assert!(!names.is_empty(), "{} names no test", row[1]);
         for name in names {
             assert!(is_test(&name), "no test {name}");
@@ -102,7 +103,7 @@
 #[rstest]
 fn every_invariant_of_a_promise_is_asserted() {
     let asserted = sources(&root().join("crates"));
-    for name in promises().iter().flat_map(|r| quoted(&r[INVARIANT])) {
+    for name in promises().iter().flat_map(|r| quoted(&r[INVARIANT_COLUMN])) {
         assert!(asserted.contains(&format!("\"{name}\"")), "{name} is asserted nowhere");
     }
 }
--- a/tests/suite/stand_ins.rs
+++ b/tests/suite/fakes.rs
@@ -1,4 +1,4 @@
-//! The stand-ins play the failures that the system must bear.
+//! The fakes simulate the failures that the system must tolerate.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use rstest::rstest;
 
 const LAG: Duration = Duration::from_millis(300);
-const ALMOST: Duration = Duration::from_millis(299);
+const JUST_BELOW_LAG: Duration = Duration::from_millis(299);
 const EVENTS: u64 = 20;
 
-fn noted(at: Moment) -> CacheLog {
+fn log_of_events(at: Moment) -> CacheLog {
     let mut log = CacheLog::new(LAG);
     for prefix in 1..=EVENTS {
         log.note(CacheChange { prefix, kept: true }, at);
@@ -22,23 +22,23 @@
 #[rstest]
 fn cache_events_come_late() {
     let at = Moment::from_millis(1_000);
-    let log = noted(at);
-    assert!(log.after(0, at.after(ALMOST)).is_empty());
+    let log = log_of_events(at);
+    assert!(log.after(0, at.after(JUST_BELOW_LAG)).is_empty());
     assert!(!log.after(0, at.after(LAG)).is_empty());
 }
 
 #[rstest]
 fn cache_events_come_with_gaps() {
     let at = Moment::from_millis(1_000);
-    let seen = noted(at).after(0, at.after(LAG));
+    let seen = log_of_events(at).after(0, at.after(LAG));
     let numbers: Vec<_> = seen.iter().map(|e| e.number).collect();
-    let whole: Vec<_> = (1..=EVENTS).filter(|n| n % 7 != 0).collect();
-    assert_eq!(numbers, whole);
-    let rest = noted(at).after(EVENTS - 1, at.after(LAG));
+    let delivered: Vec<_> = (1..=EVENTS).filter(|n| n % 7 != 0).collect();
+    assert_eq!(numbers, delivered);
+    let rest = log_of_events(at).after(EVENTS - 1, at.after(LAG));
     assert_eq!(rest, [CacheEvent { number: EVENTS, prefix: EVENTS, kept: true }]);
 }
 
-fn order(n: u8, prompt: &str) -> GenerateRequest {
+fn generation_request(n: u8, prompt: &str) -> GenerateRequest {
     GenerateRequest {
         generation: GenerationId::new([n; 16]),
         model: ModelId::new("m").expect("id"),
@@ -48,15 +48,15 @@
     }
 }
 
-// An engine crashes when a step begins. Requests that reach it before the step would have ended must not
-// be taken by an engine that is down, be lost at once and count as a second crash.
+// Guards against an engine that accepts requests after it crashed at the start of a step; they
+// would be lost and count as a second crash.
 #[rstest]
 fn crashed_engine_takes_nothing() {
     let engine = Engine::new(&Spec::default(), LAG);
-    assert_eq!(engine.submit(&order(0, "a crash=now")), Ok(()));
+    assert_eq!(engine.submit(&generation_request(0, "a crash=now")), Ok(()));
     engine.begin_step();
     for n in 1..=4 {
-        assert_eq!(engine.submit(&order(n, "a len=1")), Err(Refusal::Down));
+        assert_eq!(engine.submit(&generation_request(n, "a len=1")), Err(Refusal::Down));
     }
     assert_eq!(engine.crashes(), 1);
 }
@@ -65,8 +65,8 @@
 fn cache_keeps_and_drops_prefixes() {
     let mut model = Model::new(&Spec { prefixes: 1, ..Spec::default() });
     for prefix in [1, 2] {
-        let order = order(prefix, &format!("a b c d prefix={prefix} len=1"));
-        model.submit(Job::read(&order), Moment::ZERO);
+        let request = generation_request(prefix, &format!("a b c d prefix={prefix} len=1"));
+        model.submit(Job::read(&request), Moment::ZERO);
         model.step(Moment::ZERO);
     }
     let change = |prefix, kept| CacheChange { prefix, kept };
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The test suite: a module per topic.
+//! The test suite, with a module for each topic.
 //!
 //! Tests under `process/` start real processes; `cargo build --workspace --bins --examples` builds
 //! them, as `./ci` does.
@@ -8,11 +8,11 @@
 
 mod core;
 mod docs;
+mod fakes;
 mod operators;
 mod policy;
 mod process;
 mod random;
 mod relay;
 mod soak;
-mod stand_ins;
 mod state;
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -1,4 +1,4 @@
-//! Real processes: the whole path, and failures brought about on it.
+//! Tests with real processes: complete request paths, and injected failures.
 
 mod bad_input;
 mod cold;
--- a/tests/suite/soak.rs
+++ b/tests/suite/soak.rs
@@ -1,32 +1,34 @@
-//! Short randomised soaks of real processes: seeds that once broke a promise, and one that never did.
+//! Short randomised soak tests of real processes: seeds that once broke a promise, and one that
+//! never did.
 //!
-//! A seed repeats what goes wrong and when, not how processes take turns. Promises that name a time are
-//! left out here, since a busy machine may not run everybody in time; `--example soak` checks them.
+//! A seed determines the faults and their times, not how processes are scheduled. Promises with a
+//! time limit are not checked here, since a busy machine may delay processes; `--example soak`
+//! checks them.
 
 use nutmeggrade_fakes::soak::{Plan, run as soak};
 use tokio::sync::Semaphore;
 
 use crate::support::run;
 
-/// Soaks that run at a time; each has four instances.
+/// Soaks that may run concurrently; each has four instances.
 static SLOTS: Semaphore = Semaphore::const_new(3);
 
-/// Runs the soak of a seed and checks that no promise was broken.
+/// Runs the soak test of a seed and checks that no promise was broken.
 fn keeps_promises(seed: u64) {
     run(async {
         let slot = SLOTS.acquire().await?;
         let verdict = soak(&Plan::new(seed).untimed()).await?;
         drop(slot);
-        let (asked, served) = verdict.asked;
+        let (requested, served) = verdict.asked;
         assert!(verdict.breaks.is_empty(), "{:#?} after {:#?}", verdict.breaks, verdict.acts);
-        assert!(served > 0 && asked > served, "{served} of {asked} served");
+        assert!(served > 0 && requested > served, "{served} of {requested} served");
         Ok(())
     });
 }
 
-// The first seed never failed. The second had answers of two endpoints joined, and an instance ended by
-// a settings signal during its start; in the others a search that found no room after an endpoint may
-// have run its request was about to be told as a refusal.
+// Seed 102 never failed. With seed 101 the responses of two endpoints were joined, and a signal to
+// reload the settings ended an instance during its start. With the others a search that found no
+// capacity, after an endpoint may have run the request, was nearly reported as a refusal.
 cases! {keeps_promises {
     never_failed: 102;
     joined_answers_and_early_signal: 101;
--- a/tests/suite/support.rs
+++ b/tests/suite/support.rs
@@ -1,18 +1,18 @@
-//! What the tests share.
+//! Helpers shared by the tests.
 
 use nutmeggrade_fakes::fleet::{Fleet, Plan};
 use tokio::runtime::Runtime;
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::{Duration, Instant, sleep};
 
-/// Fleets of processes that run at a time; more would starve each other of processor time.
-const FLEETS: usize = 3;
-const PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
+/// Fleets of processes that may run concurrently; more would starve each other of processor time.
+const MAX_FLEETS: usize = 3;
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-static SLOTS: Semaphore = Semaphore::const_new(FLEETS);
+static SLOTS: Semaphore = Semaphore::const_new(MAX_FLEETS);
 
-/// Names each case of a check: a module with one test a case.
+/// Defines a module for a check, with one test for each case.
 macro_rules! cases {
     ($check:ident { $($name:ident: $($arg:expr),+;)+ }) => {
         mod $check {
@@ -36,29 +36,29 @@
     }
 }
 
-/// Waits until a condition holds, for far longer than it takes on a busy machine.
+/// Waits until a condition holds; the timeout allows for a busy machine.
 pub async fn until<C>(what: &str, mut holds: C) -> anyhow::Result<()>
 where
     C: AsyncFnMut() -> anyhow::Result<bool>,
 {
     let start = Instant::now();
     while !holds().await? {
-        anyhow::ensure!(start.elapsed() < PATIENCE, "never: {what}");
-        sleep(POLL).await;
+        anyhow::ensure!(start.elapsed() < WAIT_TIMEOUT, "timed out: {what}");
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-/// A fleet with its place among those that may run at a time.
+/// A fleet that holds one of the slots for concurrent fleets.
 #[derive(Debug)]
-pub struct Held {
+pub struct RunningFleet {
     pub fleet: Fleet,
     _slot: SemaphorePermit<'static>,
 }
 
-/// Starts a fleet once there is room for it.
-pub async fn fleet(plan: &Plan) -> anyhow::Result<Held> {
+/// Starts a fleet once a slot is free.
+pub async fn fleet(plan: &Plan) -> anyhow::Result<RunningFleet> {
     let slot = SLOTS.acquire().await?;
     let fleet = Fleet::start(plan).await?;
-    Ok(Held { fleet, _slot: slot })
+    Ok(RunningFleet { fleet, _slot: slot })
 }
