--- a/tests/suite/core/envelope.rs
+++ b/tests/suite/core/envelope.rs
@@ -12,7 +12,7 @@
     seal(&"hello".to_owned(), &key).expect("seal")
 }
 
-fn changed(at: usize) -> Vec<u8> {
+fn changed_frame(at: usize) -> Vec<u8> {
     let mut frame = sealed(KEY);
     frame[at] ^= 1;
     frame
@@ -22,9 +22,9 @@
     empty: &[], EnvelopeError::Size;
     head_only: &[1; 20], EnvelopeError::Size;
     too_large: &vec![1; MAX_FRAME_BYTES + 1], EnvelopeError::Size;
-    other_version: &changed(0), EnvelopeError::Version;
+    other_version: &changed_frame(0), EnvelopeError::Version;
     other_key: &sealed([8; 32]), EnvelopeError::Tag;
-    changed_body: &changed(35), EnvelopeError::Tag;
+    changed_body: &changed_frame(35), EnvelopeError::Tag;
     other_type: &seal(&7_u8, &KEY).expect("seal"), EnvelopeError::Body;
 });
 
--- a/tests/suite/core/order.rs
+++ b/tests/suite/core/order.rs
@@ -36,15 +36,15 @@
     orders.iter().fold(None, next).expect("an order")
 }
 
-fn loads(text: &str) -> Order {
+fn load_order(text: &str) -> Order {
     Order::Load { load: model_ref(text) }
 }
 
-fn unloads(text: &str) -> Order {
+fn unload_order(text: &str) -> Order {
     Order::Unload { load: model_ref(text) }
 }
 
-fn role(role: Role) -> Order {
+fn role_order(role: Role) -> Order {
     Order::Role { role }
 }
 
@@ -59,17 +59,19 @@
 }
 
 cases!(plans {
-    first_load: &[loads("m@2")], &state(0, &["m@1"], &[], Role::Both),
-        &NextStep::Send(loads("m@2"));
-    loading: &[loads("m@2")], &state(5, &[], &["m@2"], Role::Both), &NextStep::Busy;
-    loaded: &[loads("m@2")], &state(5, &["m@1", "m@2"], &[], Role::Both), &NextStep::Done;
-    old_goes_first: &[loads("m@2"), unloads("m@1")], &state(5, &["m@1"], &[], Role::Both),
-        &NextStep::Send(unloads("m@1"));
-    role_differs: &[role(Role::Decode)], &state(5, &[], &[], Role::Both),
-        &NextStep::Send(role(Role::Decode));
-    last_order_wins: &[loads("m"), unloads("m")], &state(5, &[], &[], Role::Both), &NextStep::Done;
-    other_owner: &[loads("m")], &state(6, &[], &[], Role::Both), &NextStep::Outdated;
-    other_order_still_runs: &[role(Role::Decode)], &state(5, &[], &["m"], Role::Both),
+    first_load: &[load_order("m@2")], &state(0, &["m@1"], &[], Role::Both),
+        &NextStep::Send(load_order("m@2"));
+    loading: &[load_order("m@2")], &state(5, &[], &["m@2"], Role::Both), &NextStep::Busy;
+    loaded: &[load_order("m@2")], &state(5, &["m@1", "m@2"], &[], Role::Both), &NextStep::Done;
+    old_goes_first: &[load_order("m@2"), unload_order("m@1")],
+        &state(5, &["m@1"], &[], Role::Both),
+        &NextStep::Send(unload_order("m@1"));
+    role_differs: &[role_order(Role::Decode)], &state(5, &[], &[], Role::Both),
+        &NextStep::Send(role_order(Role::Decode));
+    last_order_wins: &[load_order("m"), unload_order("m")], &state(5, &[], &[], Role::Both),
+        &NextStep::Done;
+    other_owner: &[load_order("m")], &state(6, &[], &[], Role::Both), &NextStep::Outdated;
+    other_order_still_runs: &[role_order(Role::Decode)], &state(5, &[], &["m"], Role::Both),
         &NextStep::Busy;
 });
 
@@ -79,8 +81,8 @@
 fn late_version_is_dropped() {
     let endpoint = EndpointId::new("engine-0").expect("id");
     let mut table = OrderTable::new();
-    table.offer(&endpoint, &desired(&[loads("m"), unloads("m")]));
-    table.offer(&endpoint, &desired(&[loads("m")]));
+    table.offer(&endpoint, &desired(&[load_order("m"), unload_order("m")]));
+    table.offer(&endpoint, &desired(&[load_order("m")]));
     let versions: Vec<_> = table.wanted().map(|(_, d)| d.version).collect();
     assert_eq!(versions, [2]);
 }
--- a/tests/suite/core/preset.rs
+++ b/tests/suite/core/preset.rs
@@ -80,7 +80,7 @@
     );
 }
 
-fn out(name: &str) -> Change {
+fn domain_out(name: &str) -> Change {
     Change::DomainOut { domain: domain(name) }
 }
 
@@ -89,11 +89,11 @@
 }
 
 cases!(judges {
-    misspelt_domain: &out("velwe"), 0, Some(Code::UnknownName);
-    misspelt_but_confirmed: &out("velwe"), 5011, None;
-    last_domain: &out("veluwe"), 0, Some(Code::LastDomain);
-    last_domain_with_other_confirmed: &out("veluwe"), 5011, Some(Code::LastDomain);
-    last_domain_confirmed: &out("veluwe"), 5012, None;
+    misspelt_domain: &domain_out("velwe"), 0, Some(Code::UnknownName);
+    misspelt_but_confirmed: &domain_out("velwe"), 5011, None;
+    last_domain: &domain_out("veluwe"), 0, Some(Code::LastDomain);
+    last_domain_with_other_confirmed: &domain_out("veluwe"), 5011, Some(Code::LastDomain);
+    last_domain_confirmed: &domain_out("veluwe"), 5012, None;
     unknown_endpoint: &endpoint_out("engine-9"), 0, Some(Code::UnknownName);
     known_endpoint: &endpoint_out("engine-0"), 0, None;
     vanished_domain_comes_back: &Change::DomainIn { domain: domain("haarlem") }, 0, None;
--- a/tests/suite/policy/dispatch.rs
+++ b/tests/suite/policy/dispatch.rs
@@ -245,7 +245,7 @@
 }
 
 // Guards against new requests that become late behind requests that already are: a request that can
-// start in time goes first, and a late one takes capacity that no other request wants.
+// start in time goes first, and a late one takes capacity that is otherwise unused.
 #[test]
 fn late_requests_wait_behind_those_in_time() {
     let mut dispatcher = dispatcher(vec![service_endpoint(0)]);
--- a/tests/suite/policy/fairness.rs
+++ b/tests/suite/policy/fairness.rs
@@ -77,7 +77,7 @@
         let short = scheduler.ask(&small, Moment::ZERO);
         (long == Verdict::Wait).then_some(matches!(short, Verdict::Go { .. }))
     };
-    // Decided by the lowest memory use at which a long request waits.
+    // Checked at the lowest memory use at which a long request waits.
     let first = (0..MEMORY_TOKENS).step_by(100).find_map(passes);
     assert_eq!(first, Some(true));
 }
--- a/tests/suite/policy/gaps.rs
+++ b/tests/suite/policy/gaps.rs
@@ -9,13 +9,13 @@
 
 use super::{endpoint, request, scheduler, warm_report};
 
-const TARGET: Duration = Duration::from_millis(50);
+const GAP_TARGET: Duration = Duration::from_millis(50);
 
 fn record_gaps(limit: &mut GapLimit, gap: u64, steps: u64, from: u64) -> u64 {
     let mut now = from;
     for _ in 0..steps {
         now += gap;
-        limit.record_gap(Duration::from_millis(gap), TARGET, 20, Moment::from_millis(now));
+        limit.record_gap(Duration::from_millis(gap), GAP_TARGET, 20, Moment::from_millis(now));
     }
     now
 }
--- a/tests/suite/random/cold.rs
+++ b/tests/suite/random/cold.rs
@@ -299,8 +299,8 @@
 
 // Guards against exceeding the limit of a cold engine, which would crash it repeatedly as it
 // starts. Instances die, freeze, resume, are cut off, see different sets of peers and write
-// competing epochs, so that two of them may both take themselves for the owner, or a new owner may
-// not count the load of its predecessor.
+// competing epochs, so that two of them might act as the owner, or a new owner might not count the
+// load of its predecessor.
 #[test]
 fn cold_engine_bears_what_it_gets() {
     let users = std::cell::Cell::new(0);
--- a/tests/suite/random/config.rs
+++ b/tests/suite/random/config.rs
@@ -247,11 +247,11 @@
         let wanted = self.nodes[n].config.wanted();
         let has_none = self.nodes[n].config.version() == 0;
         let Some(min_version) = wanted.or(has_none.then_some(1)) else { return };
-        let holds = |m: &usize| {
+        let has_version = |m: &usize| {
             let node = &self.nodes[*m];
             self.is_linked(n, *m) && !node.frozen && node.config.version() >= min_version
         };
-        let peer_config = (0..NODES).find(holds).and_then(|m| self.nodes[m].config.current());
+        let peer_config = (0..NODES).find(has_version).and_then(|m| self.nodes[m].config.current());
         let time = self.time;
         if let Some(config) = peer_config {
             self.nodes[n].offer(&config, time);
--- a/tests/suite/state/cold_rights.rs
+++ b/tests/suite/state/cold_rights.rs
@@ -19,12 +19,12 @@
     EndpointId::new("engine-0").expect("name")
 }
 
-fn own() -> InstanceId {
+fn own_id() -> InstanceId {
     InstanceId::new("node-0").expect("name")
 }
 
-fn alone(incarnation: u64) -> Assignment {
-    Assignment::new(BTreeMap::from([(own(), incarnation)]), LEASE)
+fn sole_owner(incarnation: u64) -> Assignment {
+    Assignment::new(BTreeMap::from([(own_id(), incarnation)]), LEASE)
 }
 
 fn sample(taken: u64, running: u32) -> LoadSample {
@@ -33,9 +33,9 @@
 
 /// Returns the rights of an owner since 1250 ms that confirmed its lease at 1500 ms.
 fn owner() -> ColdRights {
-    let mut rights = ColdRights::new(&own(), 7);
-    rights.learn(&alone(7), at(0), at(0));
-    rights.learn(&alone(7), at(1_500), at(1_510));
+    let mut rights = ColdRights::new(&own_id(), 7);
+    rights.learn(&sole_owner(7), at(0), at(0));
+    rights.learn(&sole_owner(7), at(1_500), at(1_510));
     rights
 }
 
@@ -57,17 +57,17 @@
     rights.note_load(&engine(), sample(1_520, 0));
     assert!(!rights.take_slot(&engine(), Slot(1), at(2_600)));
     // A response from the buffer belongs to a request from before the freeze.
-    rights.learn(&alone(7), at(1_590), at(2_610));
+    rights.learn(&sole_owner(7), at(1_590), at(2_610));
     assert_eq!(rights.owner_epoch(&engine(), at(2_610)), None);
-    rights.learn(&alone(7), at(2_620), at(2_630));
+    rights.learn(&sole_owner(7), at(2_620), at(2_630));
     assert_eq!(rights.owner_epoch(&engine(), at(2_630)), Some(1));
 }
 
 #[rstest]
 fn new_epoch_waits_for_the_old_lease() {
-    let mut rights = ColdRights::new(&own(), 7);
-    rights.learn(&alone(7), at(0), at(0));
-    rights.learn(&alone(7), at(1_200), at(1_200));
+    let mut rights = ColdRights::new(&own_id(), 7);
+    rights.learn(&sole_owner(7), at(0), at(0));
+    rights.learn(&sole_owner(7), at(1_200), at(1_200));
     assert_eq!(rights.owner_epoch(&engine(), at(1_249)), None);
     assert_eq!(rights.owner_epoch(&engine(), at(1_250)), Some(1));
 }
@@ -76,7 +76,7 @@
 #[rstest]
 fn former_incarnation_owns_nothing() {
     let mut rights = owner();
-    rights.learn(&alone(7).next(BTreeMap::from([(own(), 8)]), LEASE), at(1_600), at(1_600));
+    rights.learn(&sole_owner(7).next(BTreeMap::from([(own_id(), 8)]), LEASE), at(1_600), at(1_600));
     assert_eq!(rights.owner_epoch(&engine(), at(1_600)), None);
     assert_eq!(rights.owner_epoch(&engine(), at(9_000)), None);
 }
@@ -84,15 +84,15 @@
 #[rstest]
 fn owner_that_stays_waits_for_nobody() {
     let mut rights = owner();
-    let more = BTreeMap::from([(own(), 7)]);
-    rights.learn(&alone(7).next(more, LEASE), at(1_600), at(1_600));
+    let more = BTreeMap::from([(own_id(), 7)]);
+    rights.learn(&sole_owner(7).next(more, LEASE), at(1_600), at(1_600));
     assert_eq!(rights.owner_epoch(&engine(), at(1_600)), Some(2));
 }
 
 #[rstest]
 fn peers_hint_gives_no_right() {
-    let mut rights = ColdRights::new(&own(), 7);
-    rights.hint(&alone(7), at(0));
+    let mut rights = ColdRights::new(&own_id(), 7);
+    rights.hint(&sole_owner(7), at(0));
     assert_eq!(rights.owner_epoch(&engine(), at(1_300)), None);
 }
 
--- a/tests/suite/state/fleet_view.rs
+++ b/tests/suite/state/fleet_view.rs
@@ -79,8 +79,8 @@
     assert!(view.is_live(&name(2), later(3_000)));
 }
 
-// Guards against instances that stay unknown to each other: each starts with one address, and
-// heartbeats spread the others until all know all.
+// Guards against instances that never learn of each other: each starts with one address, and
+// heartbeats spread the others until each instance has all of them.
 #[test]
 fn addresses_spread() {
     let mut views: Vec<FleetView> = (1..=9).map(view).collect();
@@ -162,7 +162,7 @@
     assert!(!view.hear(&restarted, later(300)));
 }
 
-// Guards against clients that know too few instances: a client in a failure domain with three
+// Guards against clients that are given too few instances: a client in a failure domain with three
 // instances gets those, and one in a domain with two gets all, since two may well fail together.
 #[test]
 fn clients_are_sent_to_their_own_domain_if_it_is_large_enough() {
@@ -258,8 +258,8 @@
     assert_eq!(view.live(later(15_000)).count(), 0);
 }
 
-// Guards against an instance that joins a large fleet slowly: the one peer it knows sends it all
-// contacts at once. An instance that knows many already gets none.
+// Guards against an instance that joins a large fleet slowly: the one peer in contact with it sends
+// it all contacts at once. An instance that has many already gets none.
 #[test]
 fn new_instance_gets_the_contacts_of_others() {
     let mut views = large_fleet();
--- a/tests/suite/state/forward_queue.rs
+++ b/tests/suite/state/forward_queue.rs
@@ -7,8 +7,8 @@
 use nutmeggrade_core::routing::Placed;
 use nutmeggrade_state::forward_queue::ForwardQueue;
 
-const WHOLE: DomainPart = DomainPart { part: 0, of: 1 };
-const HALF: DomainPart = DomainPart { part: 1, of: 2 };
+const WHOLE_DOMAIN: DomainPart = DomainPart { part: 0, of: 1 };
+const SECOND_HALF: DomainPart = DomainPart { part: 1, of: 2 };
 
 fn change(instance: u16, endpoint: &str, requests: u32) -> InstanceLoad {
     let endpoint = EndpointId::new(endpoint).expect("an id");
@@ -22,9 +22,9 @@
 #[test]
 fn later_change_replaces_the_earlier() {
     let mut queue = ForwardQueue::new();
-    assert!(queue.add(WHOLE, &[change(1, "e-1", 1)]));
-    assert!(!queue.add(WHOLE, &[change(1, "e-1", 0)]));
-    assert_eq!(queue.take(), [(WHOLE, vec![change(1, "e-1", 0)])]);
+    assert!(queue.add(WHOLE_DOMAIN, &[change(1, "e-1", 1)]));
+    assert!(!queue.add(WHOLE_DOMAIN, &[change(1, "e-1", 0)]));
+    assert_eq!(queue.take(), [(WHOLE_DOMAIN, vec![change(1, "e-1", 0)])]);
     assert!(queue.take().is_empty());
 }
 
@@ -33,10 +33,10 @@
 #[test]
 fn urgent_change_is_not_undone() {
     let mut queue = ForwardQueue::new();
-    queue.add(WHOLE, &[change(1, "e-1", 1)]);
-    queue.add(WHOLE, &[change(1, "e-2", 1)]);
-    queue.add(HALF, &[change(1, "e-1", 1)]);
-    queue.add(WHOLE, &[change(2, "e-1", 1)]);
+    queue.add(WHOLE_DOMAIN, &[change(1, "e-1", 1)]);
+    queue.add(WHOLE_DOMAIN, &[change(1, "e-2", 1)]);
+    queue.add(SECOND_HALF, &[change(1, "e-1", 1)]);
+    queue.add(WHOLE_DOMAIN, &[change(2, "e-1", 1)]);
     queue.drop_superseded(&change(1, "e-1", 2));
     let remaining: Vec<InstanceLoad> = queue.take().into_iter().flat_map(|(_, all)| all).collect();
     assert_eq!(remaining, [change(1, "e-2", 1), change(2, "e-1", 1)]);
@@ -46,12 +46,12 @@
 #[test]
 fn parts_stay_apart() {
     let mut queue = ForwardQueue::new();
-    queue.add(WHOLE, &[change(1, "e-1", 1)]);
-    queue.add(WHOLE, &[change(1, "e-2", 1)]);
-    queue.add(HALF, &[change(2, "e-1", 1)]);
+    queue.add(WHOLE_DOMAIN, &[change(1, "e-1", 1)]);
+    queue.add(WHOLE_DOMAIN, &[change(1, "e-2", 1)]);
+    queue.add(SECOND_HALF, &[change(2, "e-1", 1)]);
     let messages = queue.take();
     let sizes: Vec<(DomainPart, usize)> = messages.iter().map(|(s, all)| (*s, all.len())).collect();
-    assert_eq!(sizes, [(WHOLE, 1), (HALF, 1)]);
+    assert_eq!(sizes, [(WHOLE_DOMAIN, 1), (SECOND_HALF, 1)]);
     assert_eq!(messages[0].1[0].placed.len(), 2);
 }
 
@@ -62,7 +62,7 @@
     const MAX_DATAGRAM_BYTES: usize = 8 << 10;
     let mut queue = ForwardQueue::new();
     for instance in 0..300 {
-        queue.add(WHOLE, &[change(instance, "an-endpoint-with-a-long-name", 1)]);
+        queue.add(WHOLE_DOMAIN, &[change(instance, "an-endpoint-with-a-long-name", 1)]);
     }
     let messages = queue.take();
     assert_eq!(messages.iter().map(|(_, all)| all.len()).sum::<usize>(), 300);
--- a/tests/suite/state/intent.rs
+++ b/tests/suite/state/intent.rs
@@ -41,7 +41,7 @@
 }
 
 // Guards against a retry that gets different bytes: a response may be binary, or exceed a platform
-// value once encoded, and then the record says that the body was not kept.
+// value once encoded, and then the record states that the body was not kept.
 cases!(keeps {
     text: b"{\"number\":1}", true;
     empty: b"", true;
--- a/tests/suite/state/rollouts.rs
+++ b/tests/suite/state/rollouts.rs
@@ -77,8 +77,8 @@
     assert_eq!(phase(&table), Some(RolloutPhase::Reverting));
 }
 
-// Guards against two concurrent judges, of which one has completed what the other wants to revert:
-// the state that the store accepted first is final, and no later one is written.
+// Guards against two concurrent judges, of which one has completed the version that the other
+// reverts: the state that the store accepted first is final, and no later one is written.
 #[test]
 fn store_decides_between_two_judges() {
     let mut table = RolloutTable::new();
--- a/tests/suite/state/sources.rs
+++ b/tests/suite/state/sources.rs
@@ -13,9 +13,9 @@
 const INSTANCES: u16 = 300;
 const NOW: Moment = Moment::from_millis(60_000);
 /// Revision that every instance has read.
-const OLD: u64 = 10;
+const OLD_REVISION: u64 = 10;
 /// Revision of a change that some instances have read.
-const NEW: u64 = 11;
+const NEW_REVISION: u64 = 11;
 
 fn name(number: u16) -> InstanceId {
     InstanceId::new(&format!("i-{number}")).expect("an id")
@@ -36,7 +36,7 @@
 fn view(own: u16, has_read: &BTreeSet<u16>) -> FleetView {
     let mut view = FleetView::new(&name(own), &addresses(own), &[]);
     for other in (0..INSTANCES).filter(|other| *other != own) {
-        let config = if has_read.contains(&other) { NEW } else { OLD };
+        let config = if has_read.contains(&other) { NEW_REVISION } else { OLD_REVISION };
         let revisions = Revisions { config, ..Revisions::default() };
         let beacon = heartbeat(&name(other), &addresses(other), 10);
         view.hear(&FleetBeacon { revisions, ..beacon }, NOW);
@@ -46,7 +46,7 @@
 
 /// Returns the instance from which an instance fetches the change.
 fn source(own: u16, has_read: &BTreeSet<u16>, scope: SourceScope) -> Option<u16> {
-    let is_ahead = |revisions: &Revisions| revisions.config > OLD;
+    let is_ahead = |revisions: &Revisions| revisions.config > OLD_REVISION;
     let (address, is_near) =
         view(own, has_read).source(is_ahead, scope, usize::from(own / DOMAINS), NOW)?;
     let source_instance =
@@ -90,11 +90,11 @@
 
 // Guards against fetches from a peer that has no newer revision, or that is leaving.
 #[test]
-fn nobody_is_asked_without_need() {
+fn no_peer_is_asked_without_need() {
     assert_eq!(source(1, &BTreeSet::new(), SourceScope::Everywhere), None);
     let mut view = view(1, &BTreeSet::from([6]));
     let leaving = FleetBeacon { leaving: true, ..heartbeat(&name(6), &addresses(6), 11) };
-    let revisions = Revisions { config: NEW, ..Revisions::default() };
+    let revisions = Revisions { config: NEW_REVISION, ..Revisions::default() };
     view.hear(&FleetBeacon { revisions, ..leaving }, NOW);
-    assert_eq!(view.source(|r| r.config > OLD, SourceScope::Everywhere, 0, NOW), None);
+    assert_eq!(view.source(|r| r.config > OLD_REVISION, SourceScope::Everywhere, 0, NOW), None);
 }
