--- a/tests/suite/policy/dispatch.rs
+++ b/tests/suite/policy/dispatch.rs
@@ -268,7 +268,7 @@
 
 // Guards against work sent to a dead engine whose entry remains while the store is unavailable: its
 // load is gone, so it looks the emptiest. Once a peer reports a refused connection, requests and
-// copies avoid it until its next heartbeat is due, and then it is retried.
+// copies avoid the engine until the peer's next heartbeat is due, and then it is retried.
 #[test]
 fn engine_that_a_peer_found_gone_is_left_alone() {
     let mut dispatcher = dispatcher((0..2).map(engine).collect());
