--- a/tests/suite/core/order.rs
+++ b/tests/suite/core/order.rs
@@ -1,4 +1,4 @@
-//! What an owner does next to bring an engine where operators want it.
+//! Next steps of an engine's owner towards the state that operators ordered.
 
 use std::collections::BTreeSet;
 
@@ -8,13 +8,13 @@
 use nutmeggrade_state::order_table::OrderTable;
 use rstest::rstest;
 
-fn load(text: &str) -> ModelRef {
-    ModelRef::parse(text).expect("load")
+fn model_ref(text: &str) -> ModelRef {
+    ModelRef::parse(text).expect("a model reference")
 }
 
 fn reads(text: &str, expected: Option<&str>) {
-    let read = ModelRef::parse(text).ok().map(|l| l.to_string());
-    assert_eq!(read.as_deref(), expected);
+    let parsed = ModelRef::parse(text).ok().map(|l| l.to_string());
+    assert_eq!(parsed.as_deref(), expected);
 }
 
 cases!(reads {
@@ -36,20 +36,21 @@
     orders.iter().fold(None, next).expect("an order")
 }
 
-fn loads(text: &str) -> Order {
-    Order::Load { load: load(text) }
+fn load_order(text: &str) -> Order {
+    Order::Load { load: model_ref(text) }
 }
 
-fn unloads(text: &str) -> Order {
-    Order::Unload { load: load(text) }
+fn unload_order(text: &str) -> Order {
+    Order::Unload { load: model_ref(text) }
 }
 
-fn role(role: Role) -> Order {
+fn role_order(role: Role) -> Order {
     Order::Role { role }
 }
 
 fn state(fence: u64, loaded: &[&str], loading: &[&str], role: Role) -> EngineState {
-    let set = |names: &[&str]| -> BTreeSet<ModelRef> { names.iter().map(|n| load(n)).collect() };
+    let set =
+        |names: &[&str]| -> BTreeSet<ModelRef> { names.iter().map(|n| model_ref(n)).collect() };
     EngineState { fence, loaded: set(loaded), loading: set(loading), role }
 }
 
@@ -58,28 +59,30 @@
 }
 
 cases!(plans {
-    first_load: &[loads("m@2")], &state(0, &["m@1"], &[], Role::Both),
-        &NextStep::Send(loads("m@2"));
-    loading: &[loads("m@2")], &state(5, &[], &["m@2"], Role::Both), &NextStep::Busy;
-    loaded: &[loads("m@2")], &state(5, &["m@1", "m@2"], &[], Role::Both), &NextStep::Done;
-    old_goes_first: &[loads("m@2"), unloads("m@1")], &state(5, &["m@1"], &[], Role::Both),
-        &NextStep::Send(unloads("m@1"));
-    role_differs: &[role(Role::Decode)], &state(5, &[], &[], Role::Both),
-        &NextStep::Send(role(Role::Decode));
-    last_order_wins: &[loads("m"), unloads("m")], &state(5, &[], &[], Role::Both), &NextStep::Done;
-    other_owner: &[loads("m")], &state(6, &[], &[], Role::Both), &NextStep::Outdated;
-    other_order_still_runs: &[role(Role::Decode)], &state(5, &[], &["m"], Role::Both),
+    first_load: &[load_order("m@2")], &state(0, &["m@1"], &[], Role::Both),
+        &NextStep::Send(load_order("m@2"));
+    loading: &[load_order("m@2")], &state(5, &[], &["m@2"], Role::Both), &NextStep::Busy;
+    loaded: &[load_order("m@2")], &state(5, &["m@1", "m@2"], &[], Role::Both), &NextStep::Done;
+    old_goes_first: &[load_order("m@2"), unload_order("m@1")],
+        &state(5, &["m@1"], &[], Role::Both),
+        &NextStep::Send(unload_order("m@1"));
+    role_differs: &[role_order(Role::Decode)], &state(5, &[], &[], Role::Both),
+        &NextStep::Send(role_order(Role::Decode));
+    last_order_wins: &[load_order("m"), unload_order("m")], &state(5, &[], &[], Role::Both),
+        &NextStep::Done;
+    other_owner: &[load_order("m")], &state(6, &[], &[], Role::Both), &NextStep::Outdated;
+    other_order_still_runs: &[role_order(Role::Decode)], &state(5, &[], &["m"], Role::Both),
         &NextStep::Busy;
 });
 
-// An old version of what is wanted comes late, from a watch that started over. It does not undo the
-// newer order.
+// Guards against a late version of the desired state, from a restarted watch, that undoes the newer
+// order.
 #[rstest]
 fn late_version_is_dropped() {
     let endpoint = EndpointId::new("engine-0").expect("id");
     let mut table = OrderTable::new();
-    table.offer(&endpoint, &desired(&[loads("m"), unloads("m")]));
-    table.offer(&endpoint, &desired(&[loads("m")]));
+    table.offer(&endpoint, &desired(&[load_order("m"), unload_order("m")]));
+    table.offer(&endpoint, &desired(&[load_order("m")]));
     let versions: Vec<_> = table.wanted().map(|(_, d)| d.version).collect();
     assert_eq!(versions, [2]);
 }
