--- a/crates/nutmeggrade/src/admin.rs
+++ b/crates/nutmeggrade/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' and probes' side of an instance.
+//! HTTP API for operators, probes and peers.
 
 mod audit;
 mod config;
@@ -22,11 +22,11 @@
 use crate::front::{Limits, listen, node};
 use crate::node::{Node, Phase};
 
-/// Most connections of operators and probes.
-const CONNECTIONS: usize = 64;
-const HEADER_WAIT: Duration = Duration::from_secs(5);
+/// Maximum number of connections of operators, probes and peers.
+const MAX_CONNECTIONS: usize = 64;
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves operators and probes until the planned stop.
+/// Serves operators, probes and peers until the instance has stopped.
 pub async fn serve<P: Platform>(node: Arc<Node<P>>, socket: TcpListener) {
     let router = Router::new()
         .get("/live", health::live)
@@ -38,20 +38,20 @@
         .post("/config", config::post::<P>)
         .post(SYNC_PATH, sync::post::<P>)
         .with(types::State::new(Arc::clone(&node)));
-    // Operators and probes follow a planned stop to its end.
+    // Stays available during a planned stop, so that operators and probes can observe it.
     let limits = Limits {
-        connections: CONNECTIONS,
-        header_wait: HEADER_WAIT,
+        connections: MAX_CONNECTIONS,
+        header_wait: HEADER_TIMEOUT,
         write_wait: node.settings.write_wait,
         until: Phase::Stopped,
     };
     listen(socket, router, &limits, node.watch_phase()).await;
 }
 
-/// Refuses a request without the operators' token.
+/// Returns an error for a request without the operators' token.
 fn authorize<P: Platform>(node: &Node<P>, req: &Request) -> Result<(), Failure> {
-    let given = req.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
-    let token = given.and_then(|t| t.strip_prefix("Bearer ")).unwrap_or("");
+    let authorization = req.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
+    let token = authorization.and_then(|t| t.strip_prefix("Bearer ")).unwrap_or("");
     if node.settings.operator_token.matches(token) {
         return Ok(());
     }
@@ -59,7 +59,7 @@
     Err(Failure::new(Code::BadToken, "the operators' token is missing or wrong"))
 }
 
-/// Returns the first part of the path, so that refused guesses are counted together.
+/// Returns the first segment of the path, so that refused guesses share one audit entry.
 fn route(req: &Request) -> &str {
     req.uri().path().split('/').nth(1).unwrap_or("")
 }
--- a/crates/nutmeggrade/src/admin/audit.rs
+++ b/crates/nutmeggrade/src/admin/audit.rs
@@ -1,4 +1,4 @@
-//! `GET /audit`: the accepted changes and the deeds of this instance lately.
+//! `GET /audit`: recent configuration changes and audit entries of this instance.
 
 use nutmeggrade_platform::Platform;
 use serde_json::json;
@@ -7,7 +7,7 @@
 use crate::front::{Reply, failure, json as json_reply};
 use crate::tables::lock;
 
-/// Answers with both lists, oldest first; the platform may be down.
+/// Returns both lists, oldest first; works while the platform is down.
 pub async fn get<P: Platform>(req: Request) -> Reply {
     let node = super::node::<P>(&req)?;
     if let Err(refusal) = super::authorize(&node, &req) {
--- a/crates/nutmeggrade/src/admin/config.rs
+++ b/crates/nutmeggrade/src/admin/config.rs
@@ -1,4 +1,4 @@
-//! `POST /config`: an accepted configuration, pushed by the operators' command.
+//! `POST /config`: pushes an accepted configuration, as the operators' command does.
 
 use nutmeggrade_core::audit::AuditEvent;
 use nutmeggrade_core::prelude::*;
@@ -9,22 +9,22 @@
 use crate::front::{Reply, failure, json as json_reply};
 use crate::tables::lock;
 
-/// Largest configuration: the platform's limit on a value.
-const MAX_CONFIG: u64 = 1 << 20;
+/// Maximum size of a configuration: the platform's limit on a value.
+const MAX_CONFIG_BYTES: u64 = 1 << 20;
 
-/// Puts a configuration in force that the platform has accepted; answers with the version in force.
+/// Puts a configuration in force that the platform has accepted; returns the version in force.
 pub async fn post<P: Platform>(mut req: Request) -> Reply {
     let node = super::node::<P>(&req)?;
     if let Err(refusal) = super::authorize(&node, &req) {
         return Ok(failure(&refusal));
     }
-    let body = match req.bytes_with(None, MAX_CONFIG).await {
+    let body = match req.bytes_with(None, MAX_CONFIG_BYTES).await {
         Ok(body) => body,
         Err(e) => return Ok(failure(&Failure::new(Code::BodyTooLarge, &e.to_string()))),
     };
     match serde_json::from_slice::<Configuration>(&body) {
         Ok(config) => {
-            node.offer_config(&config, "operator");
+            node.apply_config(&config, "operator");
             let version = lock(&node.tables.config).version();
             if config.version < version {
                 let detail = format!("pushed={} in_force={version}", config.version);
--- a/crates/nutmeggrade/src/admin/explain.rs
+++ b/crates/nutmeggrade/src/admin/explain.rs
@@ -1,4 +1,4 @@
-//! `GET /explain/{request}`: what this instance decided about a request.
+//! `GET /explain/{request}`: decisions of this instance about a request.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
@@ -8,18 +8,18 @@
 use crate::front::{Reply, failure, json as json_reply};
 use crate::tables::lock;
 
-/// Answers with the steps of a request, oldest first.
+/// Returns the steps of a request, oldest first.
 pub async fn get<P: Platform>(req: Request) -> Reply {
     let node = super::node::<P>(&req)?;
     if let Err(refusal) = super::authorize(&node, &req) {
         return Ok(failure(&refusal));
     }
     let name = req.param::<String>("request").unwrap_or_default();
-    let found = match RequestId::new(&name) {
+    let record = match RequestId::new(&name) {
         Ok(request) => lock(&node.tables.explain).get(&request).cloned(),
         Err(error) => return Ok(failure(&Failure::new(Code::BadHeader, &error.to_string()))),
     };
-    let Some(record) = found else {
+    let Some(record) = record else {
         let detail = format!("{name} is not remembered here");
         return Ok(failure(&Failure::new(Code::RequestUnknown, &detail)));
     };
@@ -28,8 +28,8 @@
         .steps
         .iter()
         .map(|s| {
-            let after = u64::try_from(s.at.since(start).as_millis()).unwrap_or(u64::MAX);
-            json!({ "after_ms": after, "step": s.step, "detail": s.detail })
+            let after_ms = u64::try_from(s.at.since(start).as_millis()).unwrap_or(u64::MAX);
+            json!({ "after_ms": after_ms, "step": s.step, "detail": s.detail })
         })
         .collect();
     Ok(json_reply(&json!({
--- a/crates/nutmeggrade/src/admin/health.rs
+++ b/crates/nutmeggrade/src/admin/health.rs
@@ -1,4 +1,4 @@
-//! `GET /live` and `GET /ready`.
+//! `GET /live` and `GET /ready`: liveness and readiness probes.
 
 use nutmeggrade_platform::Platform;
 use serde_json::json;
@@ -6,15 +6,15 @@
 
 use crate::front::{Reply, failure, json as json_reply};
 
-/// Answers that the process runs.
+/// Reports that the process runs.
 pub async fn live(_req: Request) -> Reply {
     Ok(json_reply(&json!({ "live": true })))
 }
 
-/// Answers whether new work may be taken, and why not.
+/// Reports whether the instance accepts new work, or the reason why not.
 pub async fn ready<P: Platform>(req: Request) -> Reply {
     let node = super::node::<P>(&req)?;
-    match node.may_work() {
+    match node.check_ready() {
         Ok(()) => Ok(json_reply(&json!({ "ready": true }))),
         Err(reason) => Ok(failure(&reason)),
     }
--- a/crates/nutmeggrade/src/admin/metrics.rs
+++ b/crates/nutmeggrade/src/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! `GET /metrics`.
+//! `GET /metrics`: metrics for Prometheus.
 
 use nutmeggrade_platform::Platform;
 use viz::{Request, Response, ResponseExt};
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Answers in the Prometheus text format.
+/// Returns the metrics in the Prometheus text format.
 pub async fn get<P: Platform>(req: Request) -> Reply {
     let node = super::node::<P>(&req)?;
     for (kind, count) in node.platform.calls() {
@@ -19,18 +19,18 @@
         let bytes = i64::try_from(bytes).unwrap_or(i64::MAX);
         node.metrics.platform_bytes.with_label_values(&[direction]).set(bytes);
     }
-    show_records(&node);
-    Ok(Response::text(node.metrics.text().unwrap_or_default()))
+    update_table_gauges(&node);
+    Ok(Response::text(node.metrics.encode().unwrap_or_default()))
 }
 
-fn show_records<P: Platform>(node: &Node<P>) {
+fn update_table_gauges<P: Platform>(node: &Node<P>) {
     let gauge = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
     let (records, bytes) = {
         let explain = lock(&node.tables.explain);
         (explain.len(), explain.bytes())
     };
-    node.metrics.remembered.set(gauge(records));
-    node.metrics.remembered_bytes.set(gauge(bytes));
+    node.metrics.explain_records.set(gauge(records));
+    node.metrics.explain_bytes.set(gauge(bytes));
     let lost = lock(&node.tables.audit).lost();
     node.metrics.audit_lost.set(i64::try_from(lost).unwrap_or(i64::MAX));
 }
--- a/crates/nutmeggrade/src/admin/status.rs
+++ b/crates/nutmeggrade/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! `GET /status`: what this instance sees.
+//! `GET /status`: state of this instance.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
@@ -8,7 +8,7 @@
 use crate::front::{Reply, failure, json as json_reply};
 use crate::tables::lock;
 
-/// Answers with the configuration in force, the peers and the endpoints.
+/// Returns the configuration in force, the peers and the endpoints.
 pub async fn get<P: Platform>(req: Request) -> Reply {
     let node = super::node::<P>(&req)?;
     if let Err(refusal) = super::authorize(&node, &req) {
@@ -20,7 +20,7 @@
     let (epoch, endpoints) = {
         let table = lock(&node.tables.endpoints);
         let rights = lock(&node.tables.rights);
-        let row = |e: &Endpoint| {
+        let to_json = |e: &Endpoint| {
             json!({
                 "endpoint": e,
                 "in_service": table.in_service(e),
@@ -28,7 +28,7 @@
                 "cold_right": rights.cold_right(&e.id, now),
             })
         };
-        let rows: Vec<_> = table.all().map(row).collect();
+        let rows: Vec<_> = table.all().map(to_json).collect();
         (rights.epoch(), rows)
     };
     let (in_flight, waiting) = {
--- a/crates/nutmeggrade/src/admin/sync.rs
+++ b/crates/nutmeggrade/src/admin/sync.rs
@@ -1,4 +1,4 @@
-//! `POST /peer/sync`: what a peer asks for when it can't ask the platform.
+//! `POST /peer/sync`: sends state to a peer that can't reach the platform.
 
 use nutmeggrade_core::peer::{MAX_MESSAGE, SyncReply, SyncRequest, Topic, open, seal};
 use nutmeggrade_core::prelude::*;
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Answers a question that carries the peers' key; the asker becomes known here by it.
+/// Handles a request that is authenticated with the peer key, and adds its sender as a peer.
 pub async fn post<P: Platform>(mut req: Request) -> Reply {
     let node = super::node::<P>(&req)?;
     let body = match req.bytes_with(None, MAX_MESSAGE as u64).await {
@@ -21,18 +21,18 @@
         Ok(request) => request,
         Err(reason) => {
             let reason = reason.to_string();
-            node.metrics.dropped.with_label_values(&[reason.as_str()]).inc();
+            node.metrics.dropped_messages.with_label_values(&[reason.as_str()]).inc();
             return Ok(failure(&Failure::new(Code::BadToken, "not a message of a peer")));
         }
     };
-    node.meet(&request.entry);
-    match seal(&answer(&node, request.topic), &key) {
+    node.add_peer(&request.entry);
+    match seal(&reply(&node, request.topic), &key) {
         Ok(frame) => Ok(Response::new(http_body_util::Full::from(frame).into())),
         Err(e) => Ok(failure(&Failure::new(Code::NotReady, &e.to_string()))),
     }
 }
 
-fn answer<P: Platform>(node: &Node<P>, topic: Topic) -> SyncReply {
+fn reply<P: Platform>(node: &Node<P>, topic: Topic) -> SyncReply {
     match topic {
         Topic::Config => {
             let config = lock(&node.tables.config).current();
--- a/crates/nutmeggrade/src/caller.rs
+++ b/crates/nutmeggrade/src/caller.rs
@@ -1,88 +1,90 @@
-//! What the headers of a request say about its caller.
+//! Reads the caller's identity and deadline from request headers.
 
 use std::time::Duration;
 
 use http::{HeaderMap, HeaderValue};
 use nutmeggrade_core::prelude::*;
 
-/// Header that names the workspace.
-pub const WORKSPACE: &str = "nutmeggrade-workspace";
-/// Header that names the task class.
-pub const TASK: &str = "nutmeggrade-task";
-/// Header that gives the time left until the deadline, in milliseconds.
-pub const DEADLINE: &str = "nutmeggrade-deadline-ms";
-/// Header that names the request in logs.
-pub const REQUEST: &str = "nutmeggrade-request";
+/// Header with the workspace.
+pub const WORKSPACE_HEADER: &str = "nutmeggrade-workspace";
+/// Header with the task class.
+pub const TASK_HEADER: &str = "nutmeggrade-task";
+/// Header with the time until the deadline, in milliseconds.
+pub const DEADLINE_HEADER: &str = "nutmeggrade-deadline-ms";
+/// Header with the request id.
+pub const REQUEST_HEADER: &str = "nutmeggrade-request";
 
-/// Longest deadline that is accepted.
+/// Maximum accepted deadline.
 const MAX_DEADLINE: Duration = Duration::from_hours(6);
 
-/// Who asks, for what, and until when.
+/// Identity and deadline of a request.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The request's id, given or drawn.
+    /// Request id, set by the caller or generated.
     pub request: RequestId,
-    /// The workspace.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The task class.
+    /// Task class of the request.
     pub task: TaskId,
-    /// When the answer is worth nothing any more.
+    /// Time after which the response is useless.
     pub deadline: Moment,
 }
 
 impl Caller {
-    /// Reads the headers; `usual` is the deadline of a request that names none.
+    /// Reads the headers; `default_deadline` applies to a request that sets none.
     pub fn read(
         headers: &HeaderMap,
         task: &TaskId,
-        usual: Duration,
+        default_deadline: Duration,
         now: Moment,
     ) -> Result<Self, Failure> {
         Ok(Self {
             request: request(headers)?,
             workspace: workspace(headers)?,
             task: task.clone(),
-            deadline: now.after(deadline(headers)?.unwrap_or(usual)),
+            deadline: now.after(deadline(headers)?.unwrap_or(default_deadline)),
         })
     }
 }
 
 /// Reads the workspace header.
 pub fn workspace(headers: &HeaderMap) -> Result<WorkspaceId, Failure> {
-    let Some(text) = text(headers, WORKSPACE) else {
-        let detail = format!("header {WORKSPACE} is missing");
+    let Some(text) = header_text(headers, WORKSPACE_HEADER) else {
+        let detail = format!("header {WORKSPACE_HEADER} is missing");
         return Err(Failure::new(Code::BadWorkspace, &detail));
     };
     WorkspaceId::new(text).map_err(|e| Failure::new(Code::BadWorkspace, &e.to_string()))
 }
 
-/// Returns a header's text, if it is present and readable.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// Returns a header's text: `None` if it is absent, empty if it is not readable as text.
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).map(|v| v.to_str().unwrap_or(""))
 }
 
-/// Reads the request's id; [`name`] has put one where the caller gave none.
+/// Reads the request id; [`ensure_request_id`] sets one if the caller has not.
 pub fn request(headers: &HeaderMap) -> Result<RequestId, Failure> {
-    let given = text(headers, REQUEST).unwrap_or("");
-    RequestId::new(given).map_err(|e| Failure::new(Code::BadHeader, &format!("{REQUEST}: {e}")))
+    let id = header_text(headers, REQUEST_HEADER).unwrap_or("");
+    RequestId::new(id).map_err(|e| Failure::new(Code::BadHeader, &format!("{REQUEST_HEADER}: {e}")))
 }
 
-/// Draws an id for a request that has none, so that logs and the answer name the same one.
-pub fn name(headers: &mut HeaderMap) {
-    if headers.contains_key(REQUEST) {
+/// Generates an id for a request that has none, so that logs and the response have the same one.
+pub fn ensure_request_id(headers: &mut HeaderMap) {
+    if headers.contains_key(REQUEST_HEADER) {
         return;
     }
-    let drawn = GenerationId::new(rand::random()).to_string();
-    if let Ok(value) = HeaderValue::from_str(&drawn) {
-        headers.insert(REQUEST, value);
+    let generated = GenerationId::new(rand::random()).to_string();
+    if let Ok(value) = HeaderValue::from_str(&generated) {
+        headers.insert(REQUEST_HEADER, value);
     }
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Failure> {
-    let Some(text) = text(headers, DEADLINE) else { return Ok(None) };
-    let bad = |why: &str| Err(Failure::new(Code::BadDeadline, &format!("{DEADLINE}: {why}")));
-    let Ok(ms) = text.parse::<i64>() else { return bad("not a whole number of milliseconds") };
-    let Ok(ms @ 1..) = u64::try_from(ms) else { return bad("already past") };
-    let left = Duration::from_millis(ms);
-    if left > MAX_DEADLINE { bad("more than six hours") } else { Ok(Some(left)) }
+    let Some(text) = header_text(headers, DEADLINE_HEADER) else { return Ok(None) };
+    let reject = |reason: &str| {
+        Err(Failure::new(Code::BadDeadline, &format!("{DEADLINE_HEADER}: {reason}")))
+    };
+    let Ok(ms) = text.parse::<i64>() else { return reject("not a whole number of milliseconds") };
+    let Ok(ms @ 1..) = u64::try_from(ms) else { return reject("already past") };
+    let remaining = Duration::from_millis(ms);
+    if remaining > MAX_DEADLINE { reject("more than six hours") } else { Ok(Some(remaining)) }
 }
--- a/crates/nutmeggrade/src/cmd.rs
+++ b/crates/nutmeggrade/src/cmd.rs
@@ -11,18 +11,18 @@
 use nutmeggrade::Settings;
 use nutmeggrade_core::settings::Mistake;
 
-/// Exit code for mistakes in the settings; nothing was started.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings; nothing was started.
+const INVALID_SETTINGS: u8 = 2;
 
-/// Loads the settings or prints every mistake in them.
+/// Loads the settings, or prints every error in them.
 fn load(args: &[String]) -> Result<Settings, ExitCode> {
-    Settings::load(args).map_err(|mistakes| report(&mistakes))
+    Settings::load(args).map_err(|errors| report_errors(&errors))
 }
 
-/// Prints every mistake in the settings.
-fn report(mistakes: &[Mistake]) -> ExitCode {
-    for mistake in mistakes {
-        eprintln!("nutmeggrade: {mistake}");
+/// Prints every error in the settings.
+fn report_errors(errors: &[Mistake]) -> ExitCode {
+    for error in errors {
+        eprintln!("nutmeggrade: {error}");
     }
-    ExitCode::from(BAD_SETTINGS)
+    ExitCode::from(INVALID_SETTINGS)
 }
--- a/crates/nutmeggrade/src/cmd/relay.rs
+++ b/crates/nutmeggrade/src/cmd/relay.rs
@@ -11,10 +11,10 @@
 
 /// Runs the subcommand.
 ///
-/// One thread serves: an instance has a part of one processor, and a second thread would only take
-/// turns with the first.
+/// Serves on one thread: an instance has a fraction of one processor, so a second thread would only
+/// compete with the first.
 pub fn run(args: &[String]) -> ExitCode {
-    let caught = catch_signals();
+    let setup = install_signals();
     let path = nutmeggrade_wire::settings::path();
     let settings = match load(args, path.as_ref()) {
         Ok(settings) => settings,
@@ -23,21 +23,21 @@
     let logs = LogBuffer::new();
     let writer = logs.clone();
     let filter = EnvFilter::new(&settings.log);
-    let lines = tracing_logfmt::builder().with_target(false).layer();
-    let lines = lines.with_writer(move || writer.clone());
-    tracing_subscriber::registry().with(filter).with(lines).init();
-    let served = caught.and_then(|(runtime, signals)| {
+    let layer = tracing_logfmt::builder().with_target(false).layer();
+    let layer = layer.with_writer(move || writer.clone());
+    tracing_subscriber::registry().with(filter).with(layer).init();
+    let result = setup.and_then(|(runtime, signals)| {
         start_writer(&logs, std::io::stdout())?;
         runtime.block_on(nutmeggrade_relay::run(&settings, args, path, &logs, signals))
     });
-    let code = match served {
+    let code = match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!(event = "stopped", error = format!("{error:#}"));
             ExitCode::FAILURE
         }
     };
-    // Nobody reads any more; there is nowhere left to say so.
+    // A failed write is ignored: there is no other output to report it on.
     drop(logs.drain(std::io::stdout()));
     code
 }
@@ -56,11 +56,11 @@
 }
 
 fn load(args: &[String], path: Option<&PathBuf>) -> Result<Settings, ExitCode> {
-    Settings::load(args, path).map_err(|mistakes| super::report(&mistakes))
+    Settings::load(args, path).map_err(|errors| super::report_errors(&errors))
 }
 
-/// Catches signals in the runtime that is to serve.
-fn catch_signals() -> anyhow::Result<(Runtime, Signals)> {
+/// Creates the runtime and installs its signal handlers.
+fn install_signals() -> anyhow::Result<(Runtime, Signals)> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let entered = runtime.enter();
     let signals = Signals::catch()?;
--- a/crates/nutmeggrade/src/cmd/run.rs
+++ b/crates/nutmeggrade/src/cmd/run.rs
@@ -14,8 +14,8 @@
         Err(code) => return code,
     };
     let filter = EnvFilter::new(&settings.log);
-    let lines = tracing_logfmt::builder().with_target(false).layer().with_writer(std::io::stderr);
-    tracing_subscriber::registry().with(filter).with(lines).init();
+    let layer = tracing_logfmt::builder().with_target(false).layer().with_writer(std::io::stderr);
+    tracing_subscriber::registry().with(filter).with(layer).init();
     match serve(&settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/nutmeggrade/src/engine_client.rs
+++ b/crates/nutmeggrade/src/engine_client.rs
@@ -18,41 +18,41 @@
 use nutmeggrade_platform::{body_bytes, call, call_if, json_body};
 use tokio::time::timeout;
 
-/// How long a connection for load reports is kept: longer than the time between two.
-const REPORT_IDLE: Duration = Duration::from_secs(30);
-/// Largest load report, in bytes.
-const MAX_REPORT: usize = 64 << 10;
+/// Idle time after which a connection for load reports closes; longer than the report interval.
+const REPORT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum size of a load report.
+const MAX_REPORT_BYTES: usize = 64 << 10;
 
-/// Why an engine did not start or resume a stream.
+/// Reason why a stream can't be resumed.
 #[derive(Debug)]
-pub enum EngineError {
-    /// It does not know the generation.
+pub enum ResumeError {
+    /// The engine does not have the generation.
     Gone,
-    /// Anything else.
+    /// The request failed otherwise.
     Failed(anyhow::Error),
 }
 
-/// Why an engine did not start a generation.
+/// Reason why a generation was not started.
 #[derive(Debug)]
 pub enum StartError {
-    /// Proved not to have run: no connection was made, or the engine refused.
+    /// Certainly not run: the request was not sent, or the engine refused it.
     NotRun(anyhow::Error),
-    /// The order was handed over and its fate is unknown.
+    /// The request was sent, and it is unknown whether it ran.
     Unknown(anyhow::Error),
 }
 
-/// Tokens as an engine sends them; an error or an early end means the connection broke.
-pub struct Tokens {
+/// Stream of an engine's tokens; an error or an early end means that the connection broke.
+pub struct TokenStream {
     events: Pin<Box<eventsource_stream::EventStream<BodyDataStream<Incoming>>>>,
 }
 
-impl std::fmt::Debug for Tokens {
+impl std::fmt::Debug for TokenStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Tokens")
+        f.write_str("TokenStream")
     }
 }
 
-impl Tokens {
+impl TokenStream {
     fn new(body: Incoming) -> Self {
         Self { events: Box::pin(BodyDataStream::new(body).eventsource()) }
     }
@@ -65,7 +65,7 @@
         Ok(Some(token))
     }
 
-    /// Returns bounds on the events that are left.
+    /// Returns bounds on the number of remaining events.
     pub fn size_hint(&self) -> (usize, Option<usize>) {
         self.events.size_hint()
     }
@@ -73,35 +73,36 @@
 
 /// Client of the model engines.
 ///
-/// Each call has a connection of its own, but for load reports: asking for one twice does no harm.
+/// Each call opens its own connection, except for load reports: these reuse connections, since
+/// requesting a report twice is harmless.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
-    connect: Duration,
-    reports: Client<HttpConnector, Full<bytes::Bytes>>,
+    connect_timeout: Duration,
+    report_client: Client<HttpConnector, Full<bytes::Bytes>>,
 }
 
 impl EngineClient {
-    /// Makes a client that waits at most `connect` for a connection.
-    pub fn new(connect: Duration) -> Self {
+    /// Creates a client that waits at most `connect_timeout` for a connection.
+    pub fn new(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(connect));
+        connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
-        let reports = Client::builder(TokioExecutor::new())
+        let report_client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(REPORT_IDLE)
+            .pool_idle_timeout(REPORT_IDLE_TIMEOUT)
             .pool_max_idle_per_host(1)
             .build(connector);
-        Self { connect, reports }
+        Self { connect_timeout, report_client }
     }
 
-    /// Starts a generation if `may_send` agrees immediately before the order goes out.
+    /// Starts a generation; `may_send` can still refuse immediately before the request is sent.
     pub async fn start(
         &self,
         address: SocketAddr,
-        order: &Generate,
+        request: &Generate,
         may_send: impl FnOnce() -> anyhow::Result<()>,
-    ) -> Result<Tokens, StartError> {
-        let body = json_body(order).map_err(StartError::NotRun)?;
+    ) -> Result<TokenStream, StartError> {
+        let body = json_body(request).map_err(StartError::NotRun)?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(GENERATIONS_PATH)
@@ -109,7 +110,7 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(body)
             .map_err(|e| StartError::NotRun(e.into()))?;
-        let response = match call_if(address, request, self.connect, may_send).await {
+        let response = match call_if(address, request, self.connect_timeout, may_send).await {
             Ok(response) => response,
             Err(e) if e.not_sent() => return Err(StartError::NotRun(e.into())),
             Err(e) => return Err(StartError::Unknown(e.into())),
@@ -117,8 +118,8 @@
         let status = response.status();
         let error = anyhow::anyhow!("engine answered {status}");
         match status {
-            s if s.is_success() => Ok(Tokens::new(response.into_body())),
-            // A gateway's or a dying engine's 500 or 502 may come after the work began.
+            s if s.is_success() => Ok(TokenStream::new(response.into_body())),
+            // A gateway or a crashing engine may answer 500 or 502 after the work began.
             s if s.is_client_error() || s == StatusCode::SERVICE_UNAVAILABLE => {
                 Err(StartError::NotRun(error))
             }
@@ -126,54 +127,59 @@
         }
     }
 
-    /// Takes up a generation again from an offset.
+    /// Resumes a generation from an offset.
     pub async fn resume(
         &self,
         address: SocketAddr,
         generation: GenerationId,
         from: u64,
-    ) -> Result<Tokens, EngineError> {
+    ) -> Result<TokenStream, ResumeError> {
         let path = format!("{GENERATIONS_PATH}/{generation}?from={from}");
-        let request = bodiless(Method::GET, &path, address).map_err(EngineError::Failed)?;
-        let response = call(address, request, self.connect)
+        let request = empty_request(Method::GET, &path, address).map_err(ResumeError::Failed)?;
+        let response = call(address, request, self.connect_timeout)
             .await
-            .map_err(|e| EngineError::Failed(e.into()))?;
+            .map_err(|e| ResumeError::Failed(e.into()))?;
         match response.status() {
-            s if s.is_success() => Ok(Tokens::new(response.into_body())),
-            StatusCode::NOT_FOUND | StatusCode::GONE => Err(EngineError::Gone),
-            s => Err(EngineError::Failed(anyhow::anyhow!("engine answered {s}"))),
+            s if s.is_success() => Ok(TokenStream::new(response.into_body())),
+            StatusCode::NOT_FOUND | StatusCode::GONE => Err(ResumeError::Gone),
+            s => Err(ResumeError::Failed(anyhow::anyhow!("engine answered {s}"))),
         }
     }
 
-    /// Cancels a generation.
+    /// Cancels a generation at its engine.
     pub async fn cancel(
         &self,
         address: SocketAddr,
         generation: GenerationId,
     ) -> anyhow::Result<()> {
         let path = format!("{GENERATIONS_PATH}/{generation}");
-        let request = bodiless(Method::DELETE, &path, address)?;
-        let response = call(address, request, self.connect).await?;
+        let request = empty_request(Method::DELETE, &path, address)?;
+        let response = call(address, request, self.connect_timeout).await?;
         anyhow::ensure!(response.status().is_success(), "engine answered {}", response.status());
         Ok(())
     }
 
-    /// Asks for the load and whether the engine stays; `wait` bounds the whole exchange.
-    pub async fn standing(&self, address: SocketAddr, wait: Duration) -> anyhow::Result<Standing> {
+    /// Requests the load report and whether the engine is leaving; `limit` bounds the whole
+    /// exchange.
+    pub async fn load_report(
+        &self,
+        address: SocketAddr,
+        limit: Duration,
+    ) -> anyhow::Result<Standing> {
         let uri = format!("http://{address}{LOAD_PATH}");
         let request = Request::builder().uri(uri).body(Full::default()).context("build request")?;
         let exchange = async {
-            let response = self.reports.request(request).await.context("load report")?;
+            let response = self.report_client.request(request).await.context("load report")?;
             let status = response.status();
             anyhow::ensure!(status.is_success(), "engine answered {status}");
-            let body = body_bytes(response.into_body(), MAX_REPORT).await?;
+            let body = body_bytes(response.into_body(), MAX_REPORT_BYTES).await?;
             serde_json::from_slice(&body).context("decode load report")
         };
-        timeout(wait, exchange).await.context("load report: timeout")?
+        timeout(limit, exchange).await.context("load report: timeout")?
     }
 }
 
-fn bodiless(
+fn empty_request(
     method: Method,
     path: &str,
     address: SocketAddr,
--- a/crates/nutmeggrade/src/explain.rs
+++ b/crates/nutmeggrade/src/explain.rs
@@ -1,4 +1,4 @@
-//! Notes of what was decided about a request, and the one log line at its end.
+//! Records the decisions about a request, and logs one line at its end.
 
 use nutmeggrade_core::audit::AuditEvent;
 use nutmeggrade_core::prelude::*;
@@ -10,43 +10,43 @@
 use crate::tables::lock;
 
 impl<P: Platform> Node<P> {
-    /// Notes a decision about a request with the numbers it was made on.
-    pub fn note(&self, request: &RequestId, step: &'static str, detail: &str) {
+    /// Records a decision about a request with the numbers behind it.
+    pub fn record_step(&self, request: &RequestId, step: &'static str, detail: &str) {
         lock(&self.tables.explain).note(request, step, detail, self.now());
     }
 
-    /// Notes whether the scheduler let a generation in, after which wait, and where to.
-    pub fn note_admission(
+    /// Records the scheduler's verdict on a generation with the time it waited and its endpoint.
+    pub fn record_admission(
         &self,
         request: &RequestId,
         ask: &Ask,
-        asked: Moment,
+        queued_at: Moment,
         verdict: &Result<Placement<P>, Failure>,
     ) {
         let now = self.now();
-        let waited = now.since(asked).as_millis();
+        let waited = now.since(queued_at).as_millis();
         let left = ask.deadline.since(now).as_millis();
         let waiting = lock(&self.tables.scheduler).waiting();
-        let (prompt, most) = (ask.prompt, ask.max_tokens);
-        let numbers = format!(
-            "waited_ms={waited} left_ms={left} waiting={waiting} prompt={prompt} max_tokens={most}"
+        let (prompt, max) = (ask.prompt, ask.max_tokens);
+        let figures = format!(
+            "waited_ms={waited} left_ms={left} waiting={waiting} prompt={prompt} max_tokens={max}"
         );
         match verdict {
-            Ok(place) => {
-                let (endpoint, priority) = (&place.endpoint, place.priority);
-                let place = format!("endpoint={endpoint} priority={priority} {numbers}");
-                self.note(request, "let_in", &place);
+            Ok(placement) => {
+                let (endpoint, priority) = (&placement.endpoint, placement.priority);
+                let detail = format!("endpoint={endpoint} priority={priority} {figures}");
+                self.record_step(request, "let_in", &detail);
             }
             Err(failure) => {
                 let code = failure.code;
-                self.note(request, "turned_away", &format!("code={code} {numbers}"));
+                self.record_step(request, "turned_away", &format!("code={code} {figures}"));
             }
         }
     }
 
-    /// Notes and logs how a request ended: one line a request.
-    pub fn note_end(&self, request: &RequestId, workspace: &str, code: u16, detail: &str) {
-        self.note(request, "end", &format!("code={code} {detail}"));
+    /// Records and logs how a request ended, in one line per request.
+    pub fn record_end(&self, request: &RequestId, workspace: &str, code: u16, detail: &str) {
+        self.record_step(request, "end", &format!("code={code} {detail}"));
         if code == Code::Fenced.number() {
             self.audit(AuditEvent::WorkRefused, "cut off from the platform and the peers");
         }
--- a/crates/nutmeggrade/src/front.rs
+++ b/crates/nutmeggrade/src/front.rs
@@ -1,4 +1,4 @@
-//! The callers' side: HTTP listener, paths and answers.
+//! HTTP API for callers: listener, routes and responses.
 
 mod body;
 mod completions;
@@ -18,9 +18,9 @@
 
 pub use listener::{Limits, listen};
 pub use nutmeggrade_relay::bind;
-pub use reply::{Reply, failure, json, success};
+pub use reply::{Reply, failure, json, result_code};
 
-/// Serves callers until the planned stop is over and every connection has ended.
+/// Serves callers until a planned stop drains the instance and every connection has ended.
 pub async fn serve<P: Platform>(node: Arc<Node<P>>, socket: TcpListener) {
     let router = Router::new()
         .get("/v1/entries", entries::get::<P>)
@@ -37,9 +37,9 @@
     listen(socket, router, &limits, node.watch_phase()).await;
 }
 
-/// Returns the instance that a handler belongs to, of callers or of operators.
+/// Returns the instance from the state of a request, in the API of callers or of operators.
 pub fn node<P: Platform>(req: &Request) -> Result<Arc<Node<P>>, viz::Error> {
     use viz::IntoResponse;
-    let missing = || http::StatusCode::INTERNAL_SERVER_ERROR.into_error();
-    req.state::<Arc<Node<P>>>().ok_or_else(missing)
+    let missing_state = || http::StatusCode::INTERNAL_SERVER_ERROR.into_error();
+    req.state::<Arc<Node<P>>>().ok_or_else(missing_state)
 }
--- a/crates/nutmeggrade/src/front/completions.rs
+++ b/crates/nutmeggrade/src/front/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`: generations, streamed or whole.
+//! `POST /v1/completions`: generations, streamed or in one response.
 
 use std::sync::Arc;
 
@@ -12,30 +12,30 @@
 
 use super::{body, entries, reply};
 use crate::caller::{self, Caller};
-use crate::generation::{Chunk, Completion, Item, Session, resume, start, whole};
+use crate::generation::{Chunk, Completion, Session, SessionEvent, full_response, resume, start};
 use crate::node::{Node, Phase};
 use crate::tables::lock;
 
 const PATH: &str = "completions";
-const LAST_EVENT: &str = "last-event-id";
+const LAST_EVENT_HEADER: &str = "last-event-id";
 const END_OF_STREAM: &str = "[DONE]";
 
-/// Answers one request for a completion.
+/// Handles one completion request.
 pub async fn post<P: Platform>(mut req: Request) -> reply::Reply {
     let node = super::node::<P>(&req)?;
-    caller::name(req.headers_mut());
+    caller::ensure_request_id(req.headers_mut());
     let result = match body::read(&node, &mut req).await {
         Ok(body) => complete(&node, &req, &body).await,
         Err(failure) => Err(failure),
     };
-    let code = reply::success(&result);
+    let code = reply::result_code(&result);
     node.metrics.requests.with_label_values(&[PATH, &code.to_string()]).inc();
     let request = caller::request(req.headers()).ok();
     if let Err(f) = &result {
-        let workspace = caller::text(req.headers(), caller::WORKSPACE).unwrap_or("");
+        let workspace = caller::header_text(req.headers(), caller::WORKSPACE_HEADER).unwrap_or("");
         let detail = format!("path={PATH} run={} {}", f.run.as_str(), f.detail);
         if let Some(request) = &request {
-            node.note_end(request, workspace, code, &detail);
+            node.record_end(request, workspace, code, &detail);
         }
     }
     let response = result.unwrap_or_else(|f| super::failure(&f));
@@ -54,7 +54,7 @@
     let preset = config.as_ref().and_then(|c| c.preset());
     let Some(preset) = preset else {
         return Err(node
-            .may_work()
+            .check_ready()
             .err()
             .unwrap_or_else(|| Failure::new(Code::NotReady, "no preset in force")));
     };
@@ -62,7 +62,7 @@
         let detail = format!("no model {}", completion.model);
         return Err(Failure::new(Code::UnknownModel, &detail));
     };
-    let (task, class) = task(preset, headers)?;
+    let (task, class) = select_task(preset, headers)?;
     completion.max_tokens = completion.max_tokens.min(class.max_tokens);
     if completion.prompt_tokens() >= model.context {
         return Err(Failure::new(
@@ -71,57 +71,57 @@
         ));
     }
     let caller = Caller::read(headers, &task, class.deadline, node.now())?;
-    let session = if let Some(text) = caller::text(headers, LAST_EVENT) {
+    let session = if let Some(text) = caller::header_text(headers, LAST_EVENT_HEADER) {
         let Some(last) = EventId::open(text, &caller.workspace, &node.event_key) else {
             return Err(Failure::new(Code::BadEventId, "the last event id is not valid here"));
         };
         resume(node, &caller, &completion, &last).await?
     } else {
-        node.may_work()?;
+        node.check_ready()?;
         tokio::select! {
             started = start(node, &caller, &completion, class.long) => started?,
-            failure = closing(node) => return Err(failure),
+            failure = shutdown_failure(node) => return Err(failure),
         }
     };
-    if completion.stream { Ok(streamed(session)) } else { collected(session).await }
+    if completion.stream { Ok(stream_response(session)) } else { full_completion(session).await }
 }
 
-/// Waits until a planned stop lets nothing wait any longer.
-async fn closing<P: Platform>(node: &Node<P>) -> Failure {
-    // The sender lives as long as the node, so the wait can't fail.
+/// Waits until a planned stop ends waiting requests, and returns their failure.
+async fn shutdown_failure<P: Platform>(node: &Node<P>) -> Failure {
+    // The wait can't fail: the sender is a field of the node.
     drop(node.watch_phase().wait_for(|p| *p >= Phase::Closing).await);
     let failure = Failure::new(Code::Leaving, "this instance stopped; ask another");
     failure.with_run(Run::Unknown).with_retry_after(node.settings.beacon)
 }
 
-fn task<'a>(
+fn select_task<'a>(
     preset: &'a Preset,
     headers: &http::HeaderMap,
 ) -> Result<(TaskId, &'a nutmeggrade_core::config::TaskClass), Failure> {
-    let found = match caller::text(headers, caller::TASK) {
+    let found = match caller::header_text(headers, caller::TASK_HEADER) {
         Some(name) => preset.tasks.iter().find(|(id, _)| id.as_str() == name),
         None => preset.tasks.iter().next(),
     };
     let (id, class) = found.ok_or_else(|| {
         let known: Vec<_> = preset.tasks.keys().map(TaskId::as_str).collect();
-        let detail = format!("{} must be one of: {}", caller::TASK, known.join(", "));
+        let detail = format!("{} must be one of: {}", caller::TASK_HEADER, known.join(", "));
         Failure::new(Code::UnknownTask, &detail)
     })?;
     Ok((id.clone(), class))
 }
 
-fn streamed<P: Platform>(session: Session<P>) -> Response {
+fn stream_response<P: Platform>(session: Session<P>) -> Response {
     let events = stream::unfold(Some(session), |session| async {
         let mut session = session?;
         let Some(item) = session.next().await else {
             return Some((Event::default().data(END_OF_STREAM), None));
         };
-        let (event, more) = match item {
-            Item::Token(token) => (token_event(&session, &token), true),
-            Item::Failed(failure) => (failure_event(&session, &failure), false),
-            Item::Moved => (moved_event(&session), false),
+        let (event, has_more) = match item {
+            SessionEvent::Token(token) => (token_event(&session, &token), true),
+            SessionEvent::Failed(failure) => (failure_event(&session, &failure), false),
+            SessionEvent::Moved => (moved_event(&session), false),
         };
-        Some((event, more.then_some(session)))
+        Some((event, has_more.then_some(session)))
     });
     Sse::new(events).into_response()
 }
@@ -145,31 +145,31 @@
     Event::default().event("error").data(serde_json::to_string(failure).unwrap_or_default())
 }
 
-/// Tells a caller whose instance stops where to go on with the id of its last event.
+/// Creates the event that refers a caller to other entries, where it can resume.
 fn moved_event<P: Platform>(session: &Session<P>) -> Event {
     let node = session.node();
     let entries = entries::list(node);
-    let others = entries.iter().filter(|e| e.instance != node.entry.instance);
-    let addresses: Vec<_> = others.map(|e| e.caller_address).collect();
+    let other_entries = entries.iter().filter(|e| e.instance != node.entry.instance);
+    let addresses: Vec<_> = other_entries.map(|e| e.caller_address).collect();
     Event::default().event("moved").data(json!({ "entries": addresses }).to_string())
 }
 
-async fn collected<P: Platform>(mut session: Session<P>) -> Result<Response, Failure> {
+async fn full_completion<P: Platform>(mut session: Session<P>) -> Result<Response, Failure> {
     let mut text = String::new();
     let mut finish = None;
     while let Some(item) = session.next().await {
         match item {
-            Item::Token(token) => {
+            SessionEvent::Token(token) => {
                 text.push_str(&token.text);
                 finish = token.finish;
             }
-            Item::Failed(failure) => return Err(failure),
-            Item::Moved => {
+            SessionEvent::Failed(failure) => return Err(failure),
+            SessionEvent::Moved => {
                 let failure = Failure::new(Code::Leaving, "this instance stopped; ask another");
-                let wait = session.node().settings.beacon;
-                return Err(failure.with_run(Run::Ran).with_retry_after(wait));
+                let delay = session.node().settings.beacon;
+                return Err(failure.with_run(Run::Ran).with_retry_after(delay));
             }
         }
     }
-    Ok(super::json(&whole(&session.model, session.generation(), &text, finish)))
+    Ok(super::json(&full_response(&session.model, session.generation(), &text, finish)))
 }
--- a/crates/nutmeggrade/src/front/listener.rs
+++ b/crates/nutmeggrade/src/front/listener.rs
@@ -21,29 +21,30 @@
 use super::write_limit::WriteLimit;
 use crate::node::Phase;
 
-/// Pause after a failed accept, as when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Connections beyond the limit that are told so at a time; more wait in the listen queue.
-const REFUSALS: usize = 64;
-/// Bytes of a request's head, and of answers that wait for a caller who reads slowly.
-const BUFFER: usize = 64 << 10;
-/// Limits on connections, and how long a planned stop keeps them.
+/// Delay after a failed accept, for example when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum number of connections that are refused concurrently; others wait in the listen queue.
+const MAX_REFUSALS: usize = 64;
+/// Maximum size of a request's head, and of a response buffered for a slow reader.
+const MAX_BUFFER_BYTES: usize = 64 << 10;
+
+/// Limits on connections, and the phase that ends them.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Most connections at a time.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
-    /// Most time for a request's head, counted on an idle connection too.
+    /// Timeout for a request's head, which also applies to an idle connection.
     pub header_wait: Duration,
-    /// Most time in which a caller takes no byte of its answer.
+    /// Maximum time in which a caller reads no byte of its response.
     pub write_wait: Duration,
-    /// The phase of a planned stop from which no connection is accepted.
+    /// Phase of a planned stop from which no connection is accepted.
     pub until: Phase,
 }
 
 /// Serves a router until the phase in `limits` and until every connection has ended.
 ///
-/// The library's own `serve` sets no header timeout and no connection limit, so that a few clients
-/// that send nothing could hold all of an instance's memory.
+/// The `serve` function of `viz` sets no header timeout and no connection limit, so that idle
+/// clients could use up an instance's memory.
 pub async fn listen(
     socket: TcpListener,
     router: Router,
@@ -57,7 +58,7 @@
         phase: phase.clone(),
     };
     let permits = Arc::new(Semaphore::new(limits.connections));
-    let refusals = Arc::new(Semaphore::new(REFUSALS));
+    let refusals = Arc::new(Semaphore::new(MAX_REFUSALS));
     let until = limits.until;
     loop {
         let accepted = tokio::select! {
@@ -68,8 +69,8 @@
             server.admit(stream, &permits, &refusals).await;
         }
     }
-    // Connections that the kernel took before the socket closes would be reset, and their callers
-    // could not tell whether their request ran.
+    // Closing the socket would reset connections that the kernel has already accepted, and their
+    // callers could not tell whether their requests ran.
     while let Some(Some(stream)) = accept(&socket).now_or_never() {
         server.admit(stream, &permits, &refusals).await;
     }
@@ -85,7 +86,7 @@
         }
         Err(error) => {
             tracing::warn!(event = "accept_failed", %error);
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
@@ -99,10 +100,10 @@
 }
 
 impl Server {
-    /// Serves a connection, or says at once that there are too many.
+    /// Serves a connection, or refuses it at once if there are too many.
     ///
-    /// A connection that only waited in the listen queue would look established to its caller, which
-    /// would wait for its whole deadline in place of asking another entry.
+    /// To its caller, a connection in the listen queue looks established: the caller would wait for
+    /// its whole deadline instead of trying another entry.
     async fn admit(&self, stream: TcpStream, permits: &Arc<Semaphore>, refusals: &Arc<Semaphore>) {
         if let Ok(permit) = Arc::clone(permits).try_acquire_owned() {
             let responder = Responder::new(Arc::clone(&self.tree), stream.peer_addr().ok());
@@ -112,18 +113,20 @@
                 let responder = Arc::clone(&responder);
                 let phase = phase.clone();
                 async move {
-                    let mut answer = responder.call(req).await?;
-                    // Read last: a connection that is kept must not outlive the leaving phase.
+                    let mut response = responder.call(req).await?;
+                    // Checked last: keep-alive connections must not outlast the leaving phase.
                     if *phase.borrow() > Phase::Serving {
-                        close(&mut answer);
+                        set_close(&mut response);
                     }
-                    Ok::<_, Infallible>(answer)
+                    Ok::<_, Infallible>(response)
                 }
             });
             self.spawn(stream, service, permit);
         } else if let Ok(permit) = Arc::clone(refusals).acquire_owned().await {
-            let wait = self.limits.header_wait;
-            let service = service_fn(move |_| async move { Ok::<_, Infallible>(too_many(wait)) });
+            let retry_after = self.limits.header_wait;
+            let service = service_fn(move |_| async move {
+                Ok::<_, Infallible>(too_many_connections(retry_after))
+            });
             self.spawn(stream, service, permit);
         }
     }
@@ -138,25 +141,25 @@
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(self.limits.header_wait)
-            .max_buf_size(BUFFER)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         let connection = self.graceful.watch(connection);
         tokio::spawn(async move {
-            // A broken connection ends its own request only; the handler has logged it.
+            // A connection error affects only its own request, which the handler has logged.
             drop(connection.await);
             drop(permit);
         });
     }
 }
 
-/// Tells a caller not to use the connection again.
-fn close(answer: &mut Response<Body>) {
-    answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+/// Announces that the connection closes after this response.
+fn set_close(response: &mut Response<Body>) {
+    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
 
-fn too_many(wait: Duration) -> Response<Body> {
+fn too_many_connections(retry_after: Duration) -> Response<Body> {
     let refusal = Failure::new(Code::TooManyConnections, "too many connections; use another entry");
-    let mut answer = failure(&refusal.with_retry_after(wait));
-    close(&mut answer);
-    answer
+    let mut response = failure(&refusal.with_retry_after(retry_after));
+    set_close(&mut response);
+    response
 }
--- a/crates/nutmeggrade/src/front/write_limit.rs
+++ b/crates/nutmeggrade/src/front/write_limit.rs
@@ -1,4 +1,4 @@
-//! A connection whose peer must go on reading.
+//! A connection with a write timeout.
 
 use std::io;
 use std::pin::Pin;
@@ -8,37 +8,37 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Sleep, sleep};
 
-/// A connection that fails once its peer has not taken a byte for a time.
+/// A connection whose writes fail after its peer has read no byte for a given time.
 ///
-/// A caller that stops reading fills the socket's buffer. From then on nothing polls its answer, so
-/// that no deadline of the answer is looked at, and the connection, its buffers and its place at an
-/// engine are held for ever; one notices open streams that bring no tokens. The timer runs from the
-/// first write that finds no room and ends the connection.
+/// A caller that stops reading fills the socket's buffer. Its response is then no longer polled, so
+/// no deadline of the response is checked, and the connection, its buffers and its slot on an
+/// engine stay occupied forever; this shows as open streams without tokens. The timer starts with
+/// the first write that finds the buffer full, and its expiry closes the connection.
 #[derive(Debug)]
 pub struct WriteLimit<S> {
     inner: S,
-    wait: Duration,
-    stalled: Option<Pin<Box<Sleep>>>,
+    max_stall: Duration,
+    stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S> WriteLimit<S> {
-    /// Wraps a connection; `wait` bounds the time in which no byte is taken.
-    pub const fn new(inner: S, wait: Duration) -> Self {
-        Self { inner, wait, stalled: None }
+    /// Wraps a connection; `max_stall` is the maximum time in which no byte is read.
+    pub const fn new(inner: S, max_stall: Duration) -> Self {
+        Self { inner, max_stall, stall_timer: None }
     }
 
-    fn limit<T>(
+    fn check_stall<T>(
         &mut self,
         cx: &mut Context<'_>,
         polled: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if polled.is_ready() {
-            self.stalled = None;
+            self.stall_timer = None;
             return polled;
         }
-        let wait = self.wait;
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(wait)));
-        ready!(stalled.as_mut().poll(cx));
+        let max_stall = self.max_stall;
+        let stall_timer = self.stall_timer.get_or_insert_with(|| Box::pin(sleep(max_stall)));
+        ready!(stall_timer.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
@@ -60,7 +60,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.inner).poll_write(cx, buf);
-        self.limit(cx, polled)
+        self.check_stall(cx, polled)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -77,7 +77,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.inner).poll_write_vectored(cx, bufs);
-        self.limit(cx, polled)
+        self.check_stall(cx, polled)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/nutmeggrade/src/generation.rs
+++ b/crates/nutmeggrade/src/generation.rs
@@ -1,4 +1,4 @@
-//! Generations: from a caller's request to the last token.
+//! Generations: from the request to the last token.
 
 mod admission;
 mod attempt;
@@ -7,16 +7,16 @@
 mod completion;
 mod reconnect;
 mod session;
-mod slot_hold;
+mod slot_guard;
 mod start;
-mod trial;
+mod suspect_guard;
 
 pub use admission::{Placement, admit};
 pub use cancel::cancel;
-pub use chunk::{Chunk, whole};
+pub use chunk::{Chunk, full_response};
 pub use completion::Completion;
-pub use reconnect::{Lost, reconnect};
-pub use session::{Item, Session};
-pub use slot_hold::{SLOT_PAUSE, SlotHold};
+pub use reconnect::{ReconnectError, reconnect};
+pub use session::{Session, SessionEvent};
+pub use slot_guard::{SLOT_RETRY_DELAY, SlotGuard};
 pub use start::{resume, start};
-pub use trial::Trial;
+pub use suspect_guard::SuspectGuard;
--- a/crates/nutmeggrade/src/generation/admission.rs
+++ b/crates/nutmeggrade/src/generation/admission.rs
@@ -1,4 +1,4 @@
-//! Waiting for the scheduler's verdict.
+//! Admission of generations by the scheduler.
 
 use std::sync::Arc;
 
@@ -8,31 +8,31 @@
 use nutmeggrade_state::cold_load::Slot;
 use tokio::sync::oneshot;
 
-use super::SlotHold;
+use super::SlotGuard;
 use crate::node::Node;
 use crate::tables::lock;
 
-/// A request's place in the scheduler; given back when it is dropped.
+/// A request that the scheduler admitted; removed from the scheduler on drop.
 #[derive(Debug)]
 pub struct Placement<P: Platform> {
     node: Arc<Node<P>>,
     ticket: Ticket,
-    /// The engine that it may start on.
+    /// Engine to start on.
     pub endpoint: EndpointId,
-    /// Higher is preempted later.
+    /// Priority; requests with a higher one are preempted later.
     pub priority: i32,
-    /// Its place on that engine.
-    pub slot: SlotHold<P>,
+    /// Slot on that engine.
+    pub slot: SlotGuard<P>,
     end: End,
 }
 
 impl<P: Platform> Placement<P> {
-    /// Notes a token.
-    pub fn token(&self) {
+    /// Records a token.
+    pub fn record_token(&self) {
         lock(&self.node.tables.scheduler).token(self.ticket, self.node.now());
     }
 
-    /// Says how the request ended.
+    /// Sets how the request ended.
     pub fn set_end(&mut self, end: End) {
         self.end = end;
     }
@@ -44,14 +44,14 @@
     }
 }
 
-/// Takes a request off the queue if its caller leaves while it waits.
-struct Waiting<P: Platform> {
+/// Removes a request from the queue on drop if its caller disconnects before the verdict.
+struct QueueGuard<P: Platform> {
     node: Arc<Node<P>>,
     ticket: Ticket,
     decided: bool,
 }
 
-impl<P: Platform> Drop for Waiting<P> {
+impl<P: Platform> Drop for QueueGuard<P> {
     fn drop(&mut self) {
         if self.decided {
             return;
@@ -62,18 +62,18 @@
     }
 }
 
-/// Asks the scheduler and waits for as long as it says.
+/// Requests admission from the scheduler and waits in its queue if needed.
 pub async fn admit<P: Platform>(node: &Arc<Node<P>>, ask: &Ask) -> Result<Placement<P>, Failure> {
     let ticket = ask.ticket;
     let (verdict, waiter) = {
         let mut scheduler = lock(&node.tables.scheduler);
         let verdict = scheduler.ask(ask, node.now());
-        // The waiter goes in before the scheduler's lock is given back, so that no verdict of the
-        // release task can find it missing.
+        // Inserted while the scheduler is locked, so that the release task always finds the waiter
+        // of its verdict.
         let waiter = (verdict == Verdict::Wait).then(|| {
             let (sender, receiver) = oneshot::channel();
             lock(&node.tables.waiters).insert(ticket, sender);
-            node.queued.notify_one();
+            node.queue_wakeup.notify_one();
             receiver
         });
         (verdict, waiter)
@@ -81,16 +81,16 @@
     let verdict = match waiter {
         None => verdict,
         Some(receiver) => {
-            let mut waiting = Waiting { node: Arc::clone(node), ticket, decided: false };
+            let mut queue_guard = QueueGuard { node: Arc::clone(node), ticket, decided: false };
             let verdict = receiver.await;
-            waiting.decided = true;
+            queue_guard.decided = true;
             verdict.unwrap_or(Verdict::Wait)
         }
     };
     match verdict {
         Verdict::Go { endpoint, priority } => {
             let node = Arc::clone(node);
-            let slot = SlotHold::new(&node, &endpoint, Slot(ticket.0));
+            let slot = SlotGuard::new(&node, &endpoint, Slot(ticket.0));
             Ok(Placement { node, ticket, endpoint, priority, slot, end: End::Cancelled })
         }
         Verdict::Refuse { code, retry_after } => {
--- a/crates/nutmeggrade/src/generation/attempt.rs
+++ b/crates/nutmeggrade/src/generation/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a first token, on one engine.
+//! One attempt to get a first token from one engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,40 +9,41 @@
 use nutmeggrade_policy::End;
 use tokio::time::timeout;
 
-use super::{Completion, Placement, Session, Trial, cancel};
+use super::{Completion, Placement, Session, SuspectGuard, cancel};
 use crate::caller::Caller;
-use crate::engine_client::{StartError, Tokens};
+use crate::engine_client::{StartError, TokenStream};
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Why an attempt brought no first token.
-pub(super) struct Broken {
-    /// What is known of the run.
+/// An attempt that ended before its first token.
+pub(super) struct FailedAttempt {
+    /// Whether the request ran.
     pub run: Run,
-    /// What happened, in words.
-    pub why: String,
-    /// Nothing was sent, because the engine had no slot left.
+    /// Description of the failure.
+    pub reason: String,
+    /// Whether nothing was sent because the engine had no free slot.
     pub slot_refused: bool,
 }
 
-impl Broken {
-    fn new(run: Run, why: &str) -> Self {
-        Self { run, why: why.to_owned(), slot_refused: false }
+impl FailedAttempt {
+    fn new(run: Run, reason: &str) -> Self {
+        Self { run, reason: reason.to_owned(), slot_refused: false }
     }
 }
 
-/// Cancels a generation unless a session took it over.
+/// Cancels a generation on drop unless a session took it over.
 ///
-/// A caller that leaves before the first token ends this request's task at any await, and the engine
-/// would go on for nobody. Without an event id nobody can resume it, so no grace is due.
-struct Started<P: Platform> {
+/// A caller that disconnects before the first token cancels this request's task at any await point,
+/// and the engine would go on generating. The caller has no event id to resume with, so the
+/// generation is cancelled without a grace period.
+struct CancelGuard<P: Platform> {
     node: Arc<Node<P>>,
     address: SocketAddr,
     generation: GenerationId,
     armed: bool,
 }
 
-impl<P: Platform> Drop for Started<P> {
+impl<P: Platform> Drop for CancelGuard<P> {
     fn drop(&mut self) {
         if self.armed {
             cancel(&self.node, self.address, self.generation);
@@ -50,75 +51,76 @@
     }
 }
 
-/// Runs a request on the engine of its placement up to the first token; gives the trial back if that
-/// can't be done.
+/// Runs a request on the engine of its placement up to the first token; returns the suspect guard
+/// on failure.
 pub(super) async fn attempt<P: Platform>(
     node: &Arc<Node<P>>,
     caller: &Caller,
     completion: &Completion,
     mut placement: Placement<P>,
-    trial: Trial<P>,
-) -> Result<Session<P>, (Broken, Trial<P>)> {
+    suspect_guard: SuspectGuard<P>,
+) -> Result<Session<P>, (FailedAttempt, SuspectGuard<P>)> {
     let endpoint = placement.endpoint.clone();
     let Some(address) = address(node, &endpoint) else {
         placement.set_end(End::Failed);
-        return Err((Broken::new(Run::NotRun, "the engine left the list"), trial));
+        return Err((FailedAttempt::new(Run::NotRun, "the engine left the list"), suspect_guard));
     };
-    let order = Generate {
+    let request = Generate {
         generation: GenerationId::new(rand::random()),
         model: completion.model.clone(),
         prompt: completion.prompt.clone(),
         max_tokens: completion.max_tokens,
         priority: placement.priority,
     };
-    match hand_over(node, caller, address, &order, &placement).await {
+    match send_request(node, caller, address, &request, &placement).await {
         Ok(tokens) => {
             let mut session = Session::new(node, caller, &completion.model, &endpoint, address)
-                .with_generation(order.generation, 0)
+                .with_generation(request.generation, 0)
                 .with_resumable(completion.stream)
                 .with_placement(placement)
-                .with_trial(trial);
+                .with_suspect_guard(suspect_guard);
             if let Some(tokens) = tokens {
                 session = session.with_tokens(tokens);
             }
-            session
-                .first()
-                .await
-                .map_err(|(failure, trial)| (Broken::new(failure.run, &failure.detail), trial))
+            session.wait_first_token().await.map_err(|(failure, suspect_guard)| {
+                (FailedAttempt::new(failure.run, &failure.detail), suspect_guard)
+            })
         }
-        Err(mut broken) => {
-            broken.slot_refused = placement.slot.was_refused();
-            if !broken.slot_refused {
+        Err(mut failed) => {
+            failed.slot_refused = placement.slot.was_refused();
+            if !failed.slot_refused {
                 placement.set_end(End::Failed);
             }
-            Err((broken, trial))
+            Err((failed, suspect_guard))
         }
     }
 }
 
-/// Hands the order over; without tokens the head of the answer was lost, and the session asks the
+/// Sends the request. `None` means that the response head was lost: the session then asks the
 /// engine whether it has the generation.
-async fn hand_over<P: Platform>(
+async fn send_request<P: Platform>(
     node: &Arc<Node<P>>,
     caller: &Caller,
     address: SocketAddr,
-    order: &Generate,
+    request: &Generate,
     placement: &Placement<P>,
-) -> Result<Option<Tokens>, Broken> {
-    let generation = order.generation;
-    let mut started = Started { node: Arc::clone(node), address, generation, armed: true };
-    let wait = node.settings.stall.min(caller.deadline.since(node.now()));
-    let may_send = || Ok(placement.slot.take()?);
-    let ended = timeout(wait, node.engines.start(address, order, may_send)).await;
-    started.armed = !matches!(ended, Ok(Ok(_) | Err(StartError::NotRun(_))));
-    match ended {
+) -> Result<Option<TokenStream>, FailedAttempt> {
+    let generation = request.generation;
+    let mut guard = CancelGuard { node: Arc::clone(node), address, generation, armed: true };
+    let limit = node.settings.stall.min(caller.deadline.since(node.now()));
+    let may_send = || Ok(placement.slot.acquire()?);
+    let result = timeout(limit, node.engines.start(address, request, may_send)).await;
+    guard.armed = !matches!(result, Ok(Ok(_) | Err(StartError::NotRun(_))));
+    match result {
         Ok(Ok(tokens)) => Ok(Some(tokens)),
-        Ok(Err(StartError::NotRun(error))) => Err(Broken::new(Run::NotRun, &format!("{error:#}"))),
+        Ok(Err(StartError::NotRun(error))) => {
+            Err(FailedAttempt::new(Run::NotRun, &format!("{error:#}")))
+        }
         Ok(Err(StartError::Unknown(_))) => {
-            started.armed = false;
+            guard.armed = false;
             Ok(None)
         }
-        Err(_) => Err(Broken::new(Run::Unknown, "the engine did not answer")),
+        Err(_) => Err(FailedAttempt::new(Run::Unknown, "the engine did not answer")),
     }
 }
 
--- a/crates/nutmeggrade/src/generation/chunk.rs
+++ b/crates/nutmeggrade/src/generation/chunk.rs
@@ -1,4 +1,4 @@
-//! The usual completion API's answer objects.
+//! Response objects of the completion API.
 
 use nutmeggrade_core::engine::{Finish, Token};
 use nutmeggrade_core::prelude::*;
@@ -11,7 +11,7 @@
     finish_reason: Option<Finish>,
 }
 
-/// One `text_completion` object, as a stream's chunk or as the whole answer.
+/// One `text_completion` object: a chunk of a stream or a full response.
 #[derive(Debug, Serialize)]
 pub struct Chunk<'a> {
     id: String,
@@ -21,7 +21,7 @@
 }
 
 impl<'a> Chunk<'a> {
-    /// Makes the chunk of one token.
+    /// Creates the chunk of one token.
     pub fn new(model: &'a ModelId, token: &'a Token) -> Self {
         Self::with_text(model, token.generation, &token.text, token.finish)
     }
@@ -42,8 +42,8 @@
     }
 }
 
-/// Makes the object of a whole answer.
-pub fn whole<'a>(
+/// Creates the object of a full response.
+pub fn full_response<'a>(
     model: &'a ModelId,
     generation: GenerationId,
     text: &'a str,
--- a/crates/nutmeggrade/src/generation/completion.rs
+++ b/crates/nutmeggrade/src/generation/completion.rs
@@ -1,36 +1,36 @@
-//! The caller's request for a completion.
+//! Body of a completion request.
 
 use nutmeggrade_core::prelude::*;
 use serde::Deserialize;
 
-/// Answer length if the caller names none.
+/// Maximum length of a response for which the caller sets none.
 const DEFAULT_MAX_TOKENS: u64 = 4_096;
-/// Bytes of text that count as one token in estimates.
+/// Bytes of text per token in estimates.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Start of the prompt that decides about prefix affinity, in bytes.
+/// Length of the prompt prefix that is hashed for prefix affinity.
 const PREFIX_BYTES: usize = 256;
 
-/// Body of `POST /v1/completions`; unknown fields of the usual API are ignored.
+/// Body of `POST /v1/completions`; other fields of the completion API are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Completion {
-    /// The model.
+    /// Requested model.
     pub model: ModelId,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Most tokens to generate.
-    #[serde(default = "default_max")]
+    /// Maximum number of tokens to generate.
+    #[serde(default = "default_max_tokens")]
     pub max_tokens: u64,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
 }
 
-const fn default_max() -> u64 {
+const fn default_max_tokens() -> u64 {
     DEFAULT_MAX_TOKENS
 }
 
 impl Completion {
-    /// Reads and checks a body.
+    /// Parses and validates a body.
     pub fn parse(body: &[u8]) -> Result<Self, Failure> {
         let parsed: Self = serde_json::from_slice(body)
             .map_err(|e| Failure::new(Code::BadJson, &format!("body: {e}")))?;
@@ -45,7 +45,7 @@
         self.prompt.len() as u64 / BYTES_PER_TOKEN + 1
     }
 
-    /// Hashes the start of the prompt; 0 if it is too short to be shared.
+    /// Returns a hash of the prompt's prefix, or 0 if the prompt is shorter than the prefix.
     pub fn prefix(&self) -> u64 {
         let Some(start) = self.prompt.as_bytes().get(..PREFIX_BYTES) else { return 0 };
         let hash = blake3::hash(start);
--- a/crates/nutmeggrade/src/generation/reconnect.rs
+++ b/crates/nutmeggrade/src/generation/reconnect.rs
@@ -1,4 +1,4 @@
-//! Taking a broken stream up again at its engine.
+//! Resumes a broken stream at its engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,56 +7,56 @@
 use nutmeggrade_platform::Platform;
 use tokio::time::{sleep, timeout};
 
-use crate::engine_client::{EngineError, Tokens};
+use crate::engine_client::{ResumeError, TokenStream};
 use crate::node::Node;
 
-/// First pause between attempts; it doubles.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Initial delay between attempts; doubles after each one.
+const INITIAL_DELAY: Duration = Duration::from_millis(50);
 
-/// Why a stream can't be taken up again.
+/// Reason why a stream can't be resumed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lost {
-    /// The engine answers, but no longer knows the generation.
+pub enum ReconnectError {
+    /// The engine responds, but no longer has the generation.
     Gone,
-    /// No connection to the engine is made.
+    /// The request to the engine failed.
     Unreachable,
-    /// The engine stands still, or the deadline passed.
+    /// The engine did not respond in time, or the deadline passed.
     Stalled,
 }
 
-impl Lost {
-    /// Says whether the engine must have crashed, so far as one can tell from here.
+impl ReconnectError {
+    /// Returns whether the error suggests that the engine crashed.
     pub const fn is_crash(self) -> bool {
         matches!(self, Self::Gone | Self::Unreachable)
     }
 }
 
-/// Asks the engine for the tokens from `next` on, up to `tries` times.
+/// Requests the tokens from offset `next` on, in up to `max_attempts` attempts.
 pub async fn reconnect<P: Platform>(
     node: &Node<P>,
     address: SocketAddr,
     generation: GenerationId,
     next: u64,
-    tries: u32,
+    max_attempts: u32,
     deadline: Moment,
-) -> Result<Tokens, Lost> {
-    let mut pause = PAUSE;
-    let mut lost = Lost::Stalled;
-    for _ in 0..tries {
+) -> Result<TokenStream, ReconnectError> {
+    let mut delay = INITIAL_DELAY;
+    let mut last_error = ReconnectError::Stalled;
+    for _ in 0..max_attempts {
         node.metrics.resumes.inc();
-        let left = deadline.since(node.now());
-        if left.is_zero() {
-            return Err(Lost::Stalled);
+        let remaining = deadline.since(node.now());
+        if remaining.is_zero() {
+            return Err(ReconnectError::Stalled);
         }
-        let resumed = node.engines.resume(address, generation, next);
-        lost = match timeout(node.settings.stall.min(left), resumed).await {
+        let request = node.engines.resume(address, generation, next);
+        last_error = match timeout(node.settings.stall.min(remaining), request).await {
             Ok(Ok(tokens)) => return Ok(tokens),
-            Ok(Err(EngineError::Gone)) => return Err(Lost::Gone),
-            Ok(Err(EngineError::Failed(_))) => Lost::Unreachable,
-            Err(_) => Lost::Stalled,
+            Ok(Err(ResumeError::Gone)) => return Err(ReconnectError::Gone),
+            Ok(Err(ResumeError::Failed(_))) => ReconnectError::Unreachable,
+            Err(_) => ReconnectError::Stalled,
         };
-        sleep(pause.min(left)).await;
-        pause *= 2;
+        sleep(delay.min(remaining)).await;
+        delay *= 2;
     }
-    Err(lost)
+    Err(last_error)
 }
--- a/crates/nutmeggrade/src/generation/session.rs
+++ b/crates/nutmeggrade/src/generation/session.rs
@@ -1,4 +1,4 @@
-//! One open answer: tokens from its engine, once and in order.
+//! One open response: delivers the tokens of its engine exactly once and in order.
 
 mod ending;
 mod opening;
@@ -15,67 +15,68 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use super::{Placement, Trial};
-use crate::engine_client::Tokens;
+use super::{Placement, SuspectGuard};
+use crate::engine_client::TokenStream;
 use crate::node::{Node, Phase};
 
-/// What comes next in an open answer.
+/// Next event of an open response.
 #[derive(Debug)]
-pub enum Item {
+pub enum SessionEvent {
     /// A token.
     Token(Token),
-    /// The answer broke; nothing follows.
+    /// The generation failed; nothing follows.
     Failed(Failure),
-    /// This instance stops; the caller resumes at another entry. Nothing follows.
+    /// This instance shuts down; the caller resumes at another entry. Nothing follows.
     Moved,
 }
 
-/// One open answer.
+/// One open response.
 #[derive(Debug)]
 pub struct Session<P: Platform> {
     node: Arc<Node<P>>,
     placement: Option<Placement<P>>,
-    trial: Option<Trial<P>>,
-    /// The workspace that it belongs to.
+    suspect_guard: Option<SuspectGuard<P>>,
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The request's id in logs.
+    /// Request id in logs.
     pub request: RequestId,
-    /// The model that answers.
+    /// Model that generates.
     pub model: ModelId,
     endpoint: EndpointId,
     address: SocketAddr,
     delivery: Delivery,
-    tokens: Option<Tokens>,
-    held: Option<Item>,
+    tokens: Option<TokenStream>,
+    pending_event: Option<SessionEvent>,
     deadline: Moment,
     phase: watch::Receiver<Phase>,
-    progress: Moment,
-    fruitless: u32,
+    last_progress: Moment,
+    idle_resumes: u32,
     resumable: bool,
     ending: Option<Ending>,
     code: Option<Code>,
 }
 
-/// How a session ended without the whole answer.
+/// Why a session ended before its last token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ending {
-    /// The caller was told.
-    Told,
+    /// The failure or the move was reported to the caller.
+    Reported,
     /// The engine no longer has the generation.
-    Lost,
-    /// The request goes on as another attempt.
+    GenerationLost,
+    /// The request continues in another attempt.
     Retried,
 }
 
-enum Pulled {
+/// Result of waiting for a token.
+enum Input {
     Token(Token),
     Broken(String),
-    Late,
+    DeadlinePassed,
     Closing,
 }
 
 impl<P: Platform> Session<P> {
-    /// Returns the generation.
+    /// Returns the generation's id.
     pub fn generation(&self) -> GenerationId {
         self.delivery.generation()
     }
@@ -86,114 +87,116 @@
         id.with_last(token.finish.is_some()).seal(&self.workspace, &self.node.event_key)
     }
 
-    /// Returns the instance that serves this answer.
+    /// Returns the instance that serves this response.
     pub fn node(&self) -> &Arc<Node<P>> {
         &self.node
     }
 
-    /// Waits for the first token, which [`Session::next`] then returns; a failure before it gives the
-    /// trial back for another attempt.
-    pub async fn first(mut self) -> Result<Self, (Failure, Trial<P>)> {
+    /// Waits for the first token, which [`Session::next`] then returns; a failure before it returns
+    /// the suspect guard for another attempt.
+    pub async fn wait_first_token(mut self) -> Result<Self, (Failure, SuspectGuard<P>)> {
         match self.next().await {
-            Some(Item::Failed(failure)) if self.trial.is_some() => match self.trial.take() {
-                Some(trial) => {
-                    if self.ending != Some(Ending::Lost) {
-                        self.cancel();
+            Some(SessionEvent::Failed(failure)) if self.suspect_guard.is_some() => {
+                match self.suspect_guard.take() {
+                    Some(suspect_guard) => {
+                        if self.ending != Some(Ending::GenerationLost) {
+                            self.cancel();
+                        }
+                        self.ending = Some(Ending::Retried);
+                        Err((failure, suspect_guard))
                     }
-                    self.ending = Some(Ending::Retried);
-                    Err((failure, trial))
+                    None => Ok(self),
                 }
-                None => Ok(self),
-            },
-            item => {
-                self.held = item;
+            }
+            event => {
+                self.pending_event = event;
                 Ok(self)
             }
         }
     }
 
-    /// Waits for what comes next; `None` after the last token or after a failure.
-    pub async fn next(&mut self) -> Option<Item> {
-        if let Some(item) = self.held.take() {
-            return Some(item);
+    /// Waits for the next event; returns `None` after the last token or after a failure.
+    pub async fn next(&mut self) -> Option<SessionEvent> {
+        if let Some(event) = self.pending_event.take() {
+            return Some(event);
         }
         if self.ending.is_some() || self.delivery.ended() {
             return None;
         }
         loop {
-            match self.pull().await {
-                Pulled::Token(token) => match self.delivery.accept(&token) {
+            match self.read_token().await {
+                Input::Token(token) => match self.delivery.accept(&token) {
                     Step::Deliver => return Some(self.deliver(token)),
                     Step::Repeat => {
                         self.node.metrics.repeats.inc();
-                        self.progress = self.node.now();
+                        self.last_progress = self.node.now();
                     }
-                    // Dropped without progress: a stream with nothing else counts as stalled.
+                    // Not counted as progress, so that a stream of only such tokens is stalled.
                     Step::Foreign => self.node.metrics.foreign.inc(),
                     Step::Gap => {
-                        if let Some(item) = self.resume("tokens are missing").await {
-                            return Some(item);
+                        if let Some(event) = self.resume("tokens are missing").await {
+                            return Some(event);
                         }
                     }
                 },
-                Pulled::Broken(reason) => {
-                    if let Some(item) = self.resume(&reason).await {
-                        return Some(item);
+                Input::Broken(reason) => {
+                    if let Some(event) = self.resume(&reason).await {
+                        return Some(event);
                     }
                 }
-                Pulled::Late => {
+                Input::DeadlinePassed => {
                     let failure = Failure::new(Code::DeadlinePassed, "the deadline passed");
                     return Some(self.fail(failure.with_run(Run::Ran)));
                 }
-                Pulled::Closing => {
-                    self.ending = Some(Ending::Told);
+                Input::Closing => {
+                    self.ending = Some(Ending::Reported);
                     self.code = Some(Code::Leaving);
-                    return Some(Item::Moved);
+                    return Some(SessionEvent::Moved);
                 }
             }
         }
     }
 
-    /// Waits for a token. The deadline and the planned stop go first: an engine that sends old tokens
-    /// without end would otherwise hold the answer open for ever.
-    async fn pull(&mut self) -> Pulled {
-        let Some(tokens) = self.tokens.as_mut() else { return Pulled::Broken("cut".to_owned()) };
+    /// Waits for a token. The deadline and the shutdown are polled first: an engine that repeats
+    /// old tokens without end would otherwise keep the response open forever.
+    async fn read_token(&mut self) -> Input {
+        let Some(tokens) = self.tokens.as_mut() else { return Input::Broken("cut".to_owned()) };
         let now = self.node.now();
-        let left = self.deadline.since(now);
-        let stall = self.node.settings.stall.saturating_sub(now.since(self.progress));
+        let remaining = self.deadline.since(now);
+        let stall = self.node.settings.stall.saturating_sub(now.since(self.last_progress));
         tokio::select! {
             biased;
-            () = sleep(left) => Pulled::Late,
-            _ = self.phase.wait_for(|p| *p >= Phase::Closing) => Pulled::Closing,
+            () = sleep(remaining) => Input::DeadlinePassed,
+            _ = self.phase.wait_for(|p| *p >= Phase::Closing) => Input::Closing,
             token = timeout(stall, tokens.next()) => match token {
-                Ok(Ok(Some(token))) => Pulled::Token(token),
-                Ok(Ok(None)) => Pulled::Broken("stream ended early".to_owned()),
-                Ok(Err(error)) => Pulled::Broken(format!("{error:#}")),
-                Err(_) => Pulled::Broken("stalled".to_owned()),
+                Ok(Ok(Some(token))) => Input::Token(token),
+                Ok(Ok(None)) => Input::Broken("stream ended early".to_owned()),
+                Ok(Err(error)) => Input::Broken(format!("{error:#}")),
+                Err(_) => Input::Broken("stalled".to_owned()),
             },
         }
     }
 
-    fn deliver(&mut self, token: Token) -> Item {
+    fn deliver(&mut self, token: Token) -> SessionEvent {
         self.node.metrics.tokens.inc();
-        self.fruitless = 0;
+        self.idle_resumes = 0;
         if token.offset == 0
             && let Some(placement) = &self.placement
         {
-            placement.slot.note_started();
+            placement.slot.record_first_token();
         }
-        self.progress = self.node.now();
-        if let Some(trial) = &self.trial
+        self.last_progress = self.node.now();
+        if let Some(suspect_guard) = &self.suspect_guard
             && (token.offset == 0 || token.finish.is_some())
         {
-            trial.clear(token.finish.is_some());
+            suspect_guard.clear(token.finish.is_some());
         }
         if let Some(placement) = &mut self.placement {
-            placement.token();
+            placement.record_token();
             if token.finish.is_some() {
                 placement.set_end(End::Finished);
             }
         }
-        Item::Token(token)
+        SessionEvent::Token(token)
     }
 }
--- a/crates/nutmeggrade/src/generation/session/opening.rs
+++ b/crates/nutmeggrade/src/generation/session/opening.rs
@@ -1,4 +1,4 @@
-//! How a session is opened.
+//! Construction of a session.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,12 +9,12 @@
 
 use super::Session;
 use crate::caller::Caller;
-use crate::engine_client::Tokens;
-use crate::generation::{Placement, Trial};
+use crate::engine_client::TokenStream;
+use crate::generation::{Placement, SuspectGuard};
 use crate::node::Node;
 
 impl<P: Platform> Session<P> {
-    /// Opens an answer of a generation on an engine.
+    /// Opens a session for a generation on an engine.
     pub fn new(
         node: &Arc<Node<P>>,
         caller: &Caller,
@@ -26,7 +26,7 @@
         Self {
             node: Arc::clone(node),
             placement: None,
-            trial: None,
+            suspect_guard: None,
             workspace: caller.workspace.clone(),
             request: caller.request.clone(),
             model: model.clone(),
@@ -34,11 +34,11 @@
             address,
             delivery: Delivery::new(GenerationId::new([0; 16])),
             tokens: None,
-            held: None,
+            pending_event: None,
             deadline: caller.deadline,
             phase: node.watch_phase(),
-            progress: node.now(),
-            fruitless: 0,
+            last_progress: node.now(),
+            idle_resumes: 0,
             resumable: false,
             ending: None,
             code: None,
@@ -52,38 +52,38 @@
         self
     }
 
-    /// Sets the engine's stream.
+    /// Sets the engine's token stream.
     #[must_use]
-    pub fn with_tokens(mut self, tokens: Tokens) -> Self {
+    pub fn with_tokens(mut self, tokens: TokenStream) -> Self {
         self.tokens = Some(tokens);
         self
     }
 
-    /// Sets whether the caller gets event ids to resume with.
+    /// Sets whether the caller receives event ids, with which it can resume.
     #[must_use]
     pub fn with_resumable(mut self, resumable: bool) -> Self {
         self.resumable = resumable;
         self
     }
 
-    /// Marks the answer as ended: the caller has its last token.
+    /// Marks the response as complete: the caller already has the last token.
     #[must_use]
     pub fn with_ended(mut self) -> Self {
         self.delivery.end();
         self
     }
 
-    /// Sets the place in the scheduler.
+    /// Sets the request's placement by the scheduler.
     #[must_use]
     pub fn with_placement(mut self, placement: Placement<P>) -> Self {
         self.placement = Some(placement);
         self
     }
 
-    /// Sets the request's pass through the suspects of crashes.
+    /// Sets the request's guard in the table of crash suspects.
     #[must_use]
-    pub fn with_trial(mut self, trial: Trial<P>) -> Self {
-        self.trial = Some(trial);
+    pub fn with_suspect_guard(mut self, suspect_guard: SuspectGuard<P>) -> Self {
+        self.suspect_guard = Some(suspect_guard);
         self
     }
 }
--- a/crates/nutmeggrade/src/generation/slot_hold.rs
+++ b/crates/nutmeggrade/src/generation/slot_guard.rs
@@ -1,4 +1,4 @@
-//! A generation's place on its endpoint.
+//! A generation's slot on its endpoint.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,20 +11,20 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Pause after a place was refused: about one look at the endpoints' load.
-pub const SLOT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a refused slot: about the interval between load reports of the endpoints.
+pub const SLOT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A place counted against what the endpoint bears while cold; given back when it is dropped.
+/// A slot that counts toward a cold endpoint's limit; released on drop.
 #[derive(Debug)]
-pub struct SlotHold<P: Platform> {
+pub struct SlotGuard<P: Platform> {
     node: Arc<Node<P>>,
     endpoint: EndpointId,
     slot: Slot,
     refused: AtomicBool,
 }
 
-impl<P: Platform> SlotHold<P> {
-    /// Makes a hold that has no place yet.
+impl<P: Platform> SlotGuard<P> {
+    /// Creates a guard that holds no slot yet.
     pub fn new(node: &Arc<Node<P>>, endpoint: &EndpointId, slot: Slot) -> Self {
         Self {
             node: Arc::clone(node),
@@ -34,19 +34,20 @@
         }
     }
 
-    /// Checks every right to send and takes the place, immediately before the first byte goes out.
-    pub fn take(&self) -> Result<(), Failure> {
-        let taken = self.check();
-        self.refused.store(taken.is_err(), Ordering::Relaxed);
-        taken
+    /// Checks that sending is allowed and acquires the slot, immediately before the first byte is
+    /// sent.
+    pub fn acquire(&self) -> Result<(), Failure> {
+        let result = self.try_acquire();
+        self.refused.store(result.is_err(), Ordering::Relaxed);
+        result
     }
 
-    /// Says whether the last check refused, so that nothing was sent.
+    /// Returns whether the last acquisition failed, so that nothing was sent.
     pub fn was_refused(&self) -> bool {
         self.refused.load(Ordering::Relaxed)
     }
 
-    fn check(&self) -> Result<(), Failure> {
+    fn try_acquire(&self) -> Result<(), Failure> {
         self.node.may_send(&self.endpoint)?;
         let now = self.node.now();
         let taken = lock(&self.node.tables.rights).take_slot(&self.endpoint, self.slot, now);
@@ -54,17 +55,17 @@
             return Ok(());
         }
         let detail = "the endpoint is cold and bears no more, or another instance owns it";
-        Err(Failure::new(Code::NoEndpoint, detail).with_retry_after(SLOT_PAUSE))
+        Err(Failure::new(Code::NoEndpoint, detail).with_retry_after(SLOT_RETRY_DELAY))
     }
 
-    /// Notes the first token.
-    pub fn note_started(&self) {
+    /// Records the first token.
+    pub fn record_first_token(&self) {
         let now = self.node.now();
         lock(&self.node.tables.rights).note_started(&self.endpoint, self.slot, now);
     }
 }
 
-impl<P: Platform> Drop for SlotHold<P> {
+impl<P: Platform> Drop for SlotGuard<P> {
     fn drop(&mut self) {
         let now = self.node.now();
         lock(&self.node.tables.rights).leave_slot(&self.endpoint, self.slot, now);
--- a/crates/nutmeggrade/src/generation/start.rs
+++ b/crates/nutmeggrade/src/generation/start.rs
@@ -1,4 +1,4 @@
-//! Getting a generation to its first token.
+//! Starts and resumes generations.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,61 +9,63 @@
 use nutmeggrade_policy::Ask;
 use tokio::time::sleep;
 
-use super::attempt::{Broken, attempt};
-use super::{Completion, Lost, SLOT_PAUSE, Session, Trial, admit, reconnect};
+use super::attempt::{FailedAttempt, attempt};
+use super::{
+    Completion, ReconnectError, SLOT_RETRY_DELAY, Session, SuspectGuard, admit, reconnect,
+};
 use crate::caller::Caller;
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Engines that one request is tried on.
-const ATTEMPTS: u32 = 3;
-/// Attempts to reach the engine of a caller that resumes.
-const RESUMES: u32 = 3;
+/// Maximum number of engines tried for one request.
+const MAX_ATTEMPTS: u32 = 3;
+/// Reconnect attempts when a caller resumes.
+const MAX_RECONNECTS: u32 = 3;
 
 /// Starts a generation and waits for its first token.
 ///
-/// Until a token reached the caller a failed engine costs nothing but time: the request starts again
-/// elsewhere as a new generation. After it, it never does. What is said of the run covers every
-/// attempt: a refusal after one that may have run is no proof of "not run".
+/// Before the first token has reached the caller, the request is retried on another engine as a new
+/// generation; afterwards never. The reported run state covers every attempt: a refusal after an
+/// attempt that may have run doesn't prove "not run".
 pub async fn start<P: Platform>(
     node: &Arc<Node<P>>,
     caller: &Caller,
     completion: &Completion,
     long: bool,
 ) -> Result<Session<P>, Failure> {
-    let mut ask = ask(node, caller, completion, long);
-    let mut tally = Tally { count: 0, run: Run::NotRun, why: String::new() };
-    let mut trial = Trial::new(node, caller, completion);
+    let mut ask = admission_request(node, caller, completion, long);
+    let mut summary = AttemptSummary { count: 0, run: Run::NotRun, reason: String::new() };
+    let mut suspect_guard = SuspectGuard::new(node, caller, completion);
     lock(&node.tables.retries).fresh();
-    while tally.count < ATTEMPTS {
+    while summary.count < MAX_ATTEMPTS {
         ask.ticket = node.ticket();
-        let told = |f: Failure| f.with_run(tally.run);
-        trial.pass(caller.deadline).await.map_err(told)?;
-        let asked = node.now();
+        let with_run_state = |f: Failure| f.with_run(summary.run);
+        suspect_guard.wait_until_allowed(caller.deadline).await.map_err(with_run_state)?;
+        let queued_at = node.now();
         let admitted = admit(node, &ask).await;
-        node.note_admission(&caller.request, &ask, asked, &admitted);
-        let placement = admitted.map_err(told)?;
+        node.record_admission(&caller.request, &ask, queued_at, &admitted);
+        let placement = admitted.map_err(with_run_state)?;
         let endpoint = placement.endpoint.clone();
-        match attempt(node, caller, completion, placement, trial).await {
+        match attempt(node, caller, completion, placement, suspect_guard).await {
             Ok(session) => {
-                let place = format!("endpoint={endpoint} generation={}", session.generation());
-                node.note(&caller.request, "first_token", &place);
+                let detail = format!("endpoint={endpoint} generation={}", session.generation());
+                node.record_step(&caller.request, "first_token", &detail);
                 return Ok(session);
             }
-            // Nothing was sent; what the load or the rights were at admission changed since.
-            Err((broken, back)) if broken.slot_refused => {
-                trial = back;
-                trial.end();
-                sleep(SLOT_PAUSE).await;
+            // Nothing was sent: the load or the rights changed since admission.
+            Err((failed, guard)) if failed.slot_refused => {
+                suspect_guard = guard;
+                suspect_guard.release();
+                sleep(SLOT_RETRY_DELAY).await;
             }
-            Err((broken, back)) => {
-                trial = back;
-                trial.end();
-                note_broken(node, caller, &endpoint, &broken);
-                tally.add(broken);
+            Err((failed, guard)) => {
+                suspect_guard = guard;
+                suspect_guard.release();
+                record_failure(node, caller, &endpoint, &failed);
+                summary.add(failed);
                 ask.avoid.insert(endpoint);
-                let more = tally.count < ATTEMPTS;
-                if more && !node.may_retry(tally.count, caller.deadline).await {
+                let can_retry = summary.count < MAX_ATTEMPTS;
+                if can_retry && !node.wait_for_retry(summary.count, caller.deadline).await {
                     break;
                 }
             }
@@ -72,50 +74,55 @@
             break;
         }
     }
-    Err(tally.failure(node, caller))
+    Err(summary.failure(node, caller))
 }
 
-/// What is known of the attempts so far.
-struct Tally {
+/// Combined result of the failed attempts.
+struct AttemptSummary {
     count: u32,
     run: Run,
-    why: String,
+    reason: String,
 }
 
-impl Tally {
-    fn add(&mut self, broken: Broken) {
+impl AttemptSummary {
+    fn add(&mut self, failed: FailedAttempt) {
         self.count += 1;
-        self.run = both(self.run, broken.run);
-        self.why = broken.why;
+        self.run = combine_runs(self.run, failed.run);
+        self.reason = failed.reason;
     }
 
     fn failure<P: Platform>(&self, node: &Node<P>, caller: &Caller) -> Failure {
-        let late = caller.deadline <= node.now();
-        let code = if late { Code::DeadlinePassed } else { Code::EndpointFailed };
-        let detail = format!("no engine brought a first token: {}", self.why);
+        let is_late = caller.deadline <= node.now();
+        let code = if is_late { Code::DeadlinePassed } else { Code::EndpointFailed };
+        let detail = format!("no engine brought a first token: {}", self.reason);
         let failure = Failure::new(code, &detail).with_run(self.run);
         failure.with_retry_after(node.settings.silence)
     }
 }
 
-fn note_broken<P: Platform>(
+fn record_failure<P: Platform>(
     node: &Node<P>,
     caller: &Caller,
     endpoint: &EndpointId,
-    broken: &Broken,
+    failed: &FailedAttempt,
 ) {
     tracing::warn!(
         event = "attempt_failed",
         request = %caller.request,
         %endpoint,
-        run = broken.run.as_str(),
-        error = broken.why
+        run = failed.run.as_str(),
+        error = failed.reason
     );
-    let detail = format!("endpoint={endpoint} error={}", broken.why);
-    node.note(&caller.request, "attempt_failed", &detail);
+    let detail = format!("endpoint={endpoint} error={}", failed.reason);
+    node.record_step(&caller.request, "attempt_failed", &detail);
 }
 
-fn ask<P: Platform>(node: &Node<P>, caller: &Caller, completion: &Completion, long: bool) -> Ask {
+fn admission_request<P: Platform>(
+    node: &Node<P>,
+    caller: &Caller,
+    completion: &Completion,
+    long: bool,
+) -> Ask {
     Ask {
         ticket: node.ticket(),
         workspace: caller.workspace.clone(),
@@ -130,8 +137,8 @@
     }
 }
 
-/// Joins what is known of two attempts: what surely ran goes before what may have run.
-fn both(a: Run, b: Run) -> Run {
+/// Combines the run states of two attempts: "ran" overrides "unknown", which overrides "not run".
+fn combine_runs(a: Run, b: Run) -> Run {
     match (a, b) {
         (Run::Ran, _) | (_, Run::Ran) => Run::Ran,
         (Run::Unknown, _) | (_, Run::Unknown) => Run::Unknown,
@@ -139,7 +146,7 @@
     }
 }
 
-/// Takes up a generation that the caller has up to an event.
+/// Resumes a generation after the last event that the caller received.
 pub async fn resume<P: Platform>(
     node: &Arc<Node<P>>,
     caller: &Caller,
@@ -149,23 +156,23 @@
     let model = &completion.model;
     let gone = || Failure::new(Code::GenerationGone, "the generation is gone").with_run(Run::Ran);
     let address = lock(&node.tables.endpoints).address(&last.endpoint).ok_or_else(gone)?;
-    let from = last.offset.checked_add(1).ok_or_else(gone)?;
+    let next = last.offset.checked_add(1).ok_or_else(gone)?;
     let session = Session::new(node, caller, model, &last.endpoint, address)
-        .with_generation(last.generation, from)
-        .with_trial(Trial::new(node, caller, completion))
+        .with_generation(last.generation, next)
+        .with_suspect_guard(SuspectGuard::new(node, caller, completion))
         .with_resumable(completion.stream);
     if last.last {
         return Ok(session.with_ended());
     }
     lock(&node.tables.orphans).resume(last.generation, node.now());
-    match reconnect(node, address, last.generation, from, RESUMES, caller.deadline).await {
+    match reconnect(node, address, last.generation, next, MAX_RECONNECTS, caller.deadline).await {
         Ok(tokens) => {
-            let place = format!("endpoint={} next={from}", last.endpoint);
-            node.note(&caller.request, "taken_up", &place);
+            let detail = format!("endpoint={} next={next}", last.endpoint);
+            node.record_step(&caller.request, "taken_up", &detail);
             Ok(session.with_tokens(tokens))
         }
-        Err(Lost::Gone) => Err(gone()),
-        Err(Lost::Unreachable | Lost::Stalled) => {
+        Err(ReconnectError::Gone) => Err(gone()),
+        Err(ReconnectError::Unreachable | ReconnectError::Stalled) => {
             let detail = "the engine can't be reached";
             let failure = Failure::new(Code::EndpointFailed, detail).with_run(Run::Ran);
             Err(failure.with_retry_after(node.settings.silence))
--- a/crates/nutmeggrade/src/generation/trial.rs
+++ b/crates/nutmeggrade/src/generation/suspect_guard.rs
@@ -1,4 +1,4 @@
-//! A request's pass through the suspects of crashes.
+//! Admission of a request that is suspected of crashing engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,19 +14,20 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Time between looks of a request that waits for its trial.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a waiting request checks whether it may start.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One request before the suspects; its wait or trial ends when it is dropped.
+/// One request in the table of crash suspects; its wait or trial run ends when the guard is
+/// dropped.
 #[derive(Debug)]
-pub struct Trial<P: Platform> {
+pub struct SuspectGuard<P: Platform> {
     node: Arc<Node<P>>,
     request: PromptHash,
     id: TrialId,
 }
 
-impl<P: Platform> Trial<P> {
-    /// Names a request by its workspace, model and prompt.
+impl<P: Platform> SuspectGuard<P> {
+    /// Creates a guard; the request is identified by a hash of its workspace, model and prompt.
     pub fn new(node: &Arc<Node<P>>, caller: &Caller, completion: &Completion) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(format!("{}~{}~", caller.workspace, completion.model).as_bytes());
@@ -37,8 +38,8 @@
     }
 
     /// Waits until the request may start.
-    pub async fn pass(&self, deadline: Moment) -> Result<(), Failure> {
-        let mut told = false;
+    pub async fn wait_until_allowed(&self, deadline: Moment) -> Result<(), Failure> {
+        let mut announced = false;
         loop {
             let now = self.node.now();
             let gate = lock(&self.node.tables.suspects).gate(self.request, self.id, now);
@@ -55,39 +56,40 @@
                 }
                 Gate::Wait => {}
             }
-            if !told {
-                self.node.news.notify_one();
-                told = true;
+            if !announced {
+                self.node.heartbeat_wakeup.notify_one();
+                announced = true;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Notes that the request's engine crashed.
-    pub fn crash(&self, engine: &EndpointId, first: bool) {
+    /// Records a crash of the request's engine; `first` is true before the first token.
+    pub fn record_crash(&self, engine: &EndpointId, first: bool) {
         let now = self.node.now();
         lock(&self.node.tables.suspects).crash(self.request, self.id, engine, first, now);
         self.node.metrics.crashes.inc();
-        self.node.news.notify_one();
+        self.node.heartbeat_wakeup.notify_one();
         tracing::warn!(event = "engine_crashed", request_hash = %self.request, %engine, first);
     }
 
-    /// Notes that the request's first token came, or that its answer is `whole`.
-    pub fn clear(&self, whole: bool) {
+    /// Clears the suspicion after the first token, or after the last one if the response is
+    /// `complete`.
+    pub fn clear(&self, complete: bool) {
         let now = self.node.now();
         let mut suspects = lock(&self.node.tables.suspects);
-        suspects.clear(self.request, whole, now);
+        suspects.clear(self.request, complete, now);
         suspects.end(self.id);
     }
 
-    /// Ends the wait or trial, before the request tries again.
-    pub fn end(&self) {
+    /// Ends the wait or trial run before the request is retried.
+    pub fn release(&self) {
         lock(&self.node.tables.suspects).end(self.id);
     }
 }
 
-impl<P: Platform> Drop for Trial<P> {
+impl<P: Platform> Drop for SuspectGuard<P> {
     fn drop(&mut self) {
-        self.end();
+        self.release();
     }
 }
--- a/crates/nutmeggrade/src/lib.rs
+++ b/crates/nutmeggrade/src/lib.rs
@@ -1,15 +1,16 @@
-//! The instance of nutmeggrade that stands between callers and endpoints.
+//! An instance of nutmeggrade: the proxy between callers and endpoints.
 //!
-//! All instances are equal and keep nothing. [`run`] starts one from its [`Settings`]; the binary
-//! adds the command line. What an instance decides is in `nutmeggrade-policy`, what it knows in
-//! `nutmeggrade-state`; this crate connects the two to HTTP, to nng and to the platform.
+//! All instances are equal and hold no durable state. [`run`] starts one from its [`Settings`]; the
+//! binary adds the command line. `nutmeggrade-policy` makes the decisions and `nutmeggrade-state`
+//! holds the state; this crate connects both to HTTP, to nng and to the platform.
 //!
 //! # Workers and locks
 //!
-//! Tokio's worker pool runs all tasks over the shared [`tables::Tables`]. A worker that needs more
-//! than one lock takes them in the order of the struct's fields: `config`, `members`, `endpoints`,
-//! `rights`, `orders`, `scheduler`, `picker`, `retries`, `fence`, `waiters`, `explain`, `changes`,
-//! `audit`, `intents`, `suspects`, `orphans`. No lock is held over an await.
+//! Tokio's worker pool runs all tasks over the shared [`tables::Tables`]. A worker that needs
+//! several locks acquires them in the order of the struct's fields: `config`, `members`,
+//! `endpoints`, `rights`, `orders`, `scheduler`, `picker`, `retries`, `fence`, `waiters`,
+//! `explain`, `changes`, `audit`, `intents`, `suspects`, `orphans`. No lock is held across an await
+//! point.
 
 pub mod admin;
 pub mod audit;
--- a/crates/nutmeggrade/src/metrics.rs
+++ b/crates/nutmeggrade/src/metrics.rs
@@ -1,83 +1,83 @@
-//! Counters and gauges of an instance.
+//! Metrics of an instance.
 
 use anyhow::Context;
 use nutmeggrade_state::invariant;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry, TextEncoder};
 
-/// Everything that `/metrics` shows.
+/// Metrics exposed at `/metrics`.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     /// Requests by path and code; code 0 is success.
     pub requests: IntCounterVec,
-    /// Tokens handed to callers.
+    /// Tokens delivered to callers.
     pub tokens: IntCounter,
-    /// Streams that are open.
+    /// Open streams.
     pub streams: IntGauge,
-    /// Generations started again before their first token.
+    /// Retries of generations before their first token.
     pub retries: IntCounter,
-    /// Streams taken up again at their engine.
+    /// Attempts to resume a stream at its engine.
     pub resumes: IntCounter,
-    /// Tokens that an engine sent again and that were dropped.
+    /// Repeated tokens, which were dropped.
     pub repeats: IntCounter,
-    /// Tokens of another generation that were dropped.
+    /// Tokens of another generation, which were dropped.
     pub foreign: IntCounter,
-    /// Generations cancelled after their callers left.
+    /// Generations cancelled because their callers left.
     pub cancels: IntCounter,
-    /// Engines seen to crash while they ran a request of this instance.
+    /// Engine crashes during a request of this instance.
     pub crashes: IntCounter,
     /// Requests refused because they crashed engines.
     pub suspects: IntGauge,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: IntGauge,
     /// Version of the configuration in force.
     pub config: IntGauge,
-    /// Newest epoch known.
+    /// Highest epoch received.
     pub epoch: IntGauge,
-    /// Whether new work is refused for being cut off, 1 or 0.
+    /// 1 while new work is refused because the instance is cut off, else 0.
     pub fenced: IntGauge,
-    /// Peers heard lately.
+    /// Peers with a recent heartbeat.
     pub peers: IntGauge,
     /// Calls to the platform by kind.
     pub platform: IntGaugeVec,
-    /// Bytes of HTTP to and from the platform.
+    /// Bytes exchanged with the platform over HTTP.
     pub platform_bytes: IntGaugeVec,
-    /// Bytes of messages to and from peers.
+    /// Bytes of messages exchanged with peers.
     pub peer_bytes: IntCounterVec,
-    /// Messages of peers that were dropped, by reason.
-    pub dropped: IntCounterVec,
-    /// Requests whose decisions are remembered.
-    pub remembered: IntGauge,
-    /// Bytes that they take.
-    pub remembered_bytes: IntGauge,
-    /// Audit entries given up while the platform was away.
+    /// Dropped messages of peers by reason.
+    pub dropped_messages: IntCounterVec,
+    /// Requests whose decisions can be explained.
+    pub explain_records: IntGauge,
+    /// Bytes of memory for these decisions.
+    pub explain_bytes: IntGauge,
+    /// Audit entries dropped while the platform was unavailable.
     pub audit_lost: IntGauge,
-    broken: IntGaugeVec,
+    violations: IntGaugeVec,
 }
 
 impl Metrics {
-    /// Registers everything.
+    /// Creates and registers all metrics.
     pub fn new() -> anyhow::Result<Self> {
         let registry = Registry::new_custom(Some("nutmeggrade".to_owned()), None)?;
         let counter = |name: &str, help: &str| -> anyhow::Result<IntCounter> {
-            let made = IntCounter::new(name, help)?;
-            registry.register(Box::new(made.clone())).context("register")?;
-            Ok(made)
+            let metric = IntCounter::new(name, help)?;
+            registry.register(Box::new(metric.clone())).context("register")?;
+            Ok(metric)
         };
         let counters = |name: &str, help: &str, labels: &[&str]| -> anyhow::Result<IntCounterVec> {
-            let made = IntCounterVec::new(Opts::new(name, help), labels)?;
-            registry.register(Box::new(made.clone())).context("register")?;
-            Ok(made)
+            let metric = IntCounterVec::new(Opts::new(name, help), labels)?;
+            registry.register(Box::new(metric.clone())).context("register")?;
+            Ok(metric)
         };
         let gauge = |name: &str, help: &str| -> anyhow::Result<IntGauge> {
-            let made = IntGauge::new(name, help)?;
-            registry.register(Box::new(made.clone())).context("register")?;
-            Ok(made)
+            let metric = IntGauge::new(name, help)?;
+            registry.register(Box::new(metric.clone())).context("register")?;
+            Ok(metric)
         };
         let gauges = |name: &str, help: &str, label: &str| -> anyhow::Result<IntGaugeVec> {
-            let made = IntGaugeVec::new(Opts::new(name, help), &[label])?;
-            registry.register(Box::new(made.clone())).context("register")?;
-            Ok(made)
+            let metric = IntGaugeVec::new(Opts::new(name, help), &[label])?;
+            registry.register(Box::new(metric.clone())).context("register")?;
+            Ok(metric)
         };
         Ok(Self {
             requests: counters("requests_total", "requests by path and code", &["path", "code"])?,
@@ -98,20 +98,24 @@
             platform: gauges("platform_calls", "calls to the platform", "kind")?,
             platform_bytes: gauges("platform_bytes", "HTTP with the platform", "direction")?,
             peer_bytes: counters("peer_bytes_total", "messages of peers", &["direction"])?,
-            dropped: counters("peer_messages_dropped_total", "dropped peer messages", &["reason"])?,
-            remembered: gauge("requests_remembered", "requests that can be explained")?,
-            remembered_bytes: gauge("requests_remembered_bytes", "bytes of their records")?,
+            dropped_messages: counters(
+                "peer_messages_dropped_total",
+                "dropped peer messages",
+                &["reason"],
+            )?,
+            explain_records: gauge("requests_remembered", "requests that can be explained")?,
+            explain_bytes: gauge("requests_remembered_bytes", "bytes of their records")?,
             audit_lost: gauge("audit_lost", "audit entries given up in an outage")?,
-            broken: gauges("invariants_broken", "must stay absent", "name")?,
+            violations: gauges("invariants_broken", "must stay absent", "name")?,
             registry,
         })
     }
 
-    /// Writes everything in the Prometheus text format.
-    pub fn text(&self) -> anyhow::Result<String> {
+    /// Encodes all metrics in the Prometheus text format.
+    pub fn encode(&self) -> anyhow::Result<String> {
         for (name, count) in invariant::broken() {
             let count = i64::try_from(count).unwrap_or(i64::MAX);
-            self.broken.with_label_values(&[name]).set(count);
+            self.violations.with_label_values(&[name]).set(count);
         }
         TextEncoder::new().encode_to_string(&self.registry.gather()).context("encode metrics")
     }
--- a/crates/nutmeggrade/src/node.rs
+++ b/crates/nutmeggrade/src/node.rs
@@ -1,4 +1,4 @@
-//! One instance: its settings, tables, clients and counters.
+//! State of one instance: settings, tables, clients and metrics.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,27 +16,27 @@
 use crate::tables::{Tables, lock};
 use nutmeggrade_relay::Clock;
 
-/// How far a planned stop has come.
+/// Phase of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Serving.
+    /// In normal service.
     Serving,
-    /// Out of the entries, still serving callers that kept the address.
+    /// No longer listed as an entry; still serves callers that have its address.
     Leaving,
-    /// Takes nothing new; streams finish.
+    /// Refuses new work; open streams finish.
     Draining,
-    /// Streams that could not finish are told where to resume.
+    /// Ends the remaining streams and refers their callers to other entries.
     Closing,
-    /// Callers are gone; operators and probes are the last.
+    /// All callers are disconnected; operators and probes are disconnected last.
     Stopped,
 }
 
-/// One instance, shared by all its workers.
+/// State of one instance, shared by all its workers.
 #[derive(Debug)]
 pub struct Node<P> {
-    /// Checked settings.
+    /// Validated settings.
     pub settings: Settings,
-    /// Name, life and addresses of this instance.
+    /// Name, incarnation and addresses of this instance.
     pub entry: Entry,
     /// The monotonic clock.
     pub clock: Clock,
@@ -44,24 +44,24 @@
     pub tables: Tables,
     /// The platform's object API.
     pub platform: P,
-    /// Sockets towards the peers.
+    /// Sockets for the peers' heartbeats.
     pub peers: Arc<Peers>,
     /// Client of the model engines.
     pub engines: EngineClient,
-    /// Counters.
+    /// Exposed metrics.
     pub metrics: Metrics,
-    /// Key of event ids.
+    /// Key that authenticates event ids.
     pub event_key: [u8; 32],
-    /// Wakes whoever lets waiting requests go.
-    pub queued: Notify,
-    /// Wakes the heartbeat at once for news that can't wait.
-    pub news: Notify,
+    /// Wakes the release task when a request is queued.
+    pub queue_wakeup: Notify,
+    /// Triggers a heartbeat before its interval has passed, to spread urgent changes.
+    pub heartbeat_wakeup: Notify,
     phase: watch::Sender<Phase>,
-    tickets: AtomicU64,
+    next_ticket: AtomicU64,
 }
 
 impl<P: Platform> Node<P> {
-    /// Makes an instance that serves nothing yet.
+    /// Creates an instance that doesn't serve yet.
     pub fn new(
         settings: &Settings,
         entry: &Entry,
@@ -78,10 +78,10 @@
             engines: EngineClient::new(settings.connect),
             metrics: Metrics::new()?,
             event_key: settings.peer_key.key("event ids"),
-            queued: Notify::new(),
-            news: Notify::new(),
+            queue_wakeup: Notify::new(),
+            heartbeat_wakeup: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
-            tickets: AtomicU64::new(1),
+            next_ticket: AtomicU64::new(1),
         })
     }
 
@@ -90,45 +90,45 @@
         self.clock.now()
     }
 
-    /// Waits before an attempt is repeated; says whether it may be, by budget and deadline.
-    pub async fn may_retry(&self, number: u32, deadline: Moment) -> bool {
-        let left = deadline.since(self.now());
-        let wait = lock(&self.tables.retries).retry(number, left);
-        let Some(wait) = wait else { return false };
+    /// Waits for the delay before a retry; returns false if the budget or the deadline forbids it.
+    pub async fn wait_for_retry(&self, number: u32, deadline: Moment) -> bool {
+        let remaining = deadline.since(self.now());
+        let delay = lock(&self.tables.retries).retry(number, remaining);
+        let Some(delay) = delay else { return false };
         self.metrics.retries.inc();
-        tokio::time::sleep(wait).await;
+        tokio::time::sleep(delay).await;
         true
     }
 
-    /// Draws a ticket for a new request.
+    /// Returns a ticket for a new request.
     pub fn ticket(&self) -> Ticket {
-        Ticket(self.tickets.fetch_add(1, Ordering::Relaxed))
+        Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Returns how far a planned stop has come.
+    /// Returns the phase of the planned stop.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Moves the planned stop on.
+    /// Sets the phase of the planned stop.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Follows the planned stop.
+    /// Returns a receiver of changes of the phase.
     pub fn watch_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Says whether new work may be taken, and why not.
-    pub fn may_work(&self) -> Result<(), Failure> {
+    /// Returns an error with the reason if new work must be refused.
+    pub fn check_ready(&self) -> Result<(), Failure> {
         if self.phase() >= Phase::Draining {
             let failure = Failure::new(Code::Leaving, "this instance is leaving");
             return Err(failure.with_retry_after(self.settings.beacon));
         }
-        self.is_current()?;
-        // An instance that is let in before its first list refuses its first callers with 3001, as
-        // if no endpoint were in service.
+        self.check_config()?;
+        // An instance that was ready before its first list of endpoints would refuse its first
+        // callers with 3001, as if no endpoint were in service.
         if !lock(&self.tables.endpoints).is_known() {
             let failure = Failure::new(Code::NotReady, "no list of endpoints yet");
             return Err(failure.with_retry_after(self.settings.refresh));
@@ -136,8 +136,8 @@
         Ok(())
     }
 
-    /// Says whether the configuration in force here can be trusted, and why not.
-    fn is_current(&self) -> Result<(), Failure> {
+    /// Returns an error with the reason if the configuration in force may be outdated.
+    fn check_config(&self) -> Result<(), Failure> {
         let (version, wanted) = {
             let config = lock(&self.tables.config);
             (config.version(), config.wanted())
@@ -156,13 +156,13 @@
         Err(Failure::new(Code::Fenced, detail).with_retry_after(self.settings.fence))
     }
 
-    /// Says whether work may be sent to an endpoint now; the last check before its first byte.
+    /// Checks whether work may be sent to an endpoint, immediately before the first byte.
     ///
-    /// Admission decided some time ago: the request waited, connected, or the process was frozen in
-    /// between. What was taken out meanwhile would get work after all; one would notice requests in
-    /// the endpoint's log long after the change.
+    /// Since its admission the request may have waited or connected, or the process may have been
+    /// suspended. Without this check an endpoint that was taken out of service meanwhile would
+    /// still get requests, which show in its log long after the change.
     pub fn may_send(&self, endpoint: &EndpointId) -> Result<(), Failure> {
-        self.is_current()?;
+        self.check_config()?;
         if lock(&self.tables.endpoints).may_send(endpoint) {
             return Ok(());
         }
@@ -170,31 +170,31 @@
         Err(failure.with_retry_after(self.settings.beacon))
     }
 
-    /// Returns the key that authenticates questions between peers.
+    /// Returns the key that authenticates messages between peers.
     pub fn peer_key(&self) -> [u8; 32] {
         self.settings.peer_key.key("peer messages")
     }
 
-    /// Learns of an instance and subscribes to its heartbeats.
-    pub fn meet(&self, entry: &Entry) {
+    /// Adds an instance to the members and subscribes to its heartbeats.
+    pub fn add_peer(&self, entry: &Entry) {
         let is_new = lock(&self.tables.members).learn(entry);
         if is_new && let Err(error) = self.peers.subscribe(entry) {
             tracing::warn!(event = "subscribe_failed", peer = %entry.instance, %error);
         }
     }
 
-    /// Puts a configuration in force if it is newer; says whether it was.
-    pub fn offer_config(&self, config: &Configuration, source: &str) -> bool {
-        let taken = {
+    /// Puts a configuration in force if it is newer than the current one; returns whether it was.
+    pub fn apply_config(&self, config: &Configuration, source: &str) -> bool {
+        let applied = {
             let mut table = lock(&self.tables.config);
-            let taken = table.offer(config);
-            if taken {
+            let applied = table.offer(config);
+            if applied {
                 lock(&self.tables.endpoints).set_config(config);
             }
-            taken
+            applied
         };
         lock(&self.tables.changes).note(config);
-        if !taken {
+        if !applied {
             return false;
         }
         self.metrics.config.set(i64::try_from(config.version).unwrap_or(i64::MAX));
@@ -213,7 +213,7 @@
         true
     }
 
-    /// Tells the scheduler which engines may get new work.
+    /// Updates the scheduler's list of engines that may get new work.
     pub fn sync_engines(&self) {
         let config = lock(&self.tables.config).current();
         let sharers = lock(&self.tables.members).live(self.now()).len() + 1;
@@ -222,9 +222,9 @@
         let engines: Vec<Engine> = {
             let table = lock(&self.tables.endpoints);
             let rights = lock(&self.tables.rights);
-            let right = |e: &Endpoint| rights.cold_right(&e.id, now);
-            let known = |e| engine(e, sharers, right(e), config.as_deref());
-            table.usable().filter_map(known).collect()
+            let cold_right = |e: &Endpoint| rights.cold_right(&e.id, now);
+            let to_engine = |e| engine(e, sharers, cold_right(e), config.as_deref());
+            table.usable().filter_map(to_engine).collect()
         };
         lock(&self.tables.scheduler).set_engines(&engines, self.now());
     }
--- a/crates/nutmeggrade/src/orders.rs
+++ b/crates/nutmeggrade/src/orders.rs
@@ -1,9 +1,10 @@
-//! Orders to engines: followed in the platform, given by the owner, read back.
+//! Orders to engines: read from the platform, sent by the owner, and confirmed by the engine's
+//! state.
 
 mod engine;
-mod follow;
 mod owner;
+mod watch;
 mod weights;
 
-pub use follow::run as follow;
-pub use owner::run as give;
+pub use owner::run as run_owner;
+pub use watch::run as watch_orders;
--- a/crates/nutmeggrade/src/orders/engine.rs
+++ b/crates/nutmeggrade/src/orders/engine.rs
@@ -1,4 +1,4 @@
-//! Giving an order to an engine and reading its state.
+//! Sends orders to engines and reads their state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,43 +10,43 @@
 use nutmeggrade_platform::{body_bytes, call, json_body};
 use tokio::time::timeout;
 
-/// Largest state, in bytes.
-const MAX_STATE: usize = 1 << 20;
+/// Maximum size of an engine state.
+const MAX_STATE_BYTES: usize = 1 << 20;
 
-/// What an engine made of an order.
+/// Response of an engine to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
-    /// Taken; its effect is to be read back.
-    Taken,
-    /// Refused for its old fencing number.
+pub enum OrderResponse {
+    /// Accepted; the engine's state shows its progress.
+    Accepted,
+    /// Refused because of an outdated fencing number.
     Outdated,
     /// Refused for another reason.
     Refused(StatusCode),
 }
 
-/// Reads what an engine has and does.
-pub async fn state(address: SocketAddr, wait: Duration) -> anyhow::Result<EngineState> {
+/// Fetches the state of an engine.
+pub async fn fetch_state(address: SocketAddr, limit: Duration) -> anyhow::Result<EngineState> {
     let request = Request::builder()
         .uri(ORDERS_PATH)
         .header(header::HOST, address.to_string())
         .body(Full::default())
         .context("build request")?;
     let exchange = async {
-        let response = call(address, request, wait).await?;
+        let response = call(address, request, limit).await?;
         let status = response.status();
         anyhow::ensure!(status.is_success(), "engine answered {status}");
-        let body = body_bytes(response.into_body(), MAX_STATE).await?;
+        let body = body_bytes(response.into_body(), MAX_STATE_BYTES).await?;
         serde_json::from_slice(&body).context("decode engine state")
     };
-    timeout(wait, exchange).await.context("engine state: timeout")?
+    timeout(limit, exchange).await.context("engine state: timeout")?
 }
 
-/// Gives an order; an error leaves open whether it was taken, which reading back shows.
-pub async fn give(
+/// Sends an order. After an error the order may have been accepted, which the engine's state shows.
+pub async fn send_order(
     address: SocketAddr,
     order: &FencedOrder,
-    wait: Duration,
-) -> anyhow::Result<Answer> {
+    limit: Duration,
+) -> anyhow::Result<OrderResponse> {
     let request = Request::builder()
         .method(Method::POST)
         .uri(ORDERS_PATH)
@@ -55,10 +55,10 @@
         .body(json_body(order)?)
         .context("build request")?;
     let response =
-        timeout(wait, call(address, request, wait)).await.context("order: timeout")??;
+        timeout(limit, call(address, request, limit)).await.context("order: timeout")??;
     Ok(match response.status() {
-        s if s.is_success() => Answer::Taken,
-        StatusCode::CONFLICT => Answer::Outdated,
-        s => Answer::Refused(s),
+        s if s.is_success() => OrderResponse::Accepted,
+        StatusCode::CONFLICT => OrderResponse::Outdated,
+        s => OrderResponse::Refused(s),
     })
 }
--- a/crates/nutmeggrade/src/orders/owner.rs
+++ b/crates/nutmeggrade/src/orders/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's work: one order at a time, each read back before the next.
+//! Sends orders to owned engines: one at a time, each confirmed before the next.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,39 +13,39 @@
 use nutmeggrade_state::order_plan::{NextStep, next_step};
 use tokio::time::sleep;
 
-use super::engine::{Answer, give, state};
+use super::engine::{OrderResponse, fetch_state, send_order};
 use super::weights;
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Pause between looks at the engines that this instance owns.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Interval between checks of the engines that this instance owns.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Looks until an engine that is as wanted is looked at again: it may restart and lose its weights, or
-/// obey a late order of an earlier owner.
-const RECHECK: u32 = 20;
+/// Check rounds between checks of an engine in its desired state: it may restart and lose its
+/// weights, or execute a late order of a previous owner.
+const RECHECK_ROUNDS: u32 = 20;
 
-/// What this owner wrote last about each engine, to write only what is new.
-type Written = BTreeMap<EndpointId, Effect>;
+/// Last status that this owner wrote for each engine; unchanged ones are not written again.
+type WrittenStatuses = BTreeMap<EndpointId, Effect>;
 
-/// One engine that this instance owns, and what is wanted of it.
-struct Owned {
+/// An engine that this instance owns, with its desired state.
+struct OwnedEngine {
     endpoint: EndpointId,
     address: SocketAddr,
     desired: Desired,
     epoch: u64,
 }
 
-/// Brings the engines that this instance owns where operators want them, and keeps them there.
+/// Brings the engines that this instance owns into their desired state, and keeps them there.
 pub async fn run<P: Platform>(node: Arc<Node<P>>) {
-    let mut written = Written::new();
+    let mut written = WrittenStatuses::new();
     let mut round = 0;
     loop {
-        sleep(PAUSE).await;
+        sleep(CHECK_INTERVAL).await;
         round += 1;
-        for owned in owned(&node) {
-            let done = written.get(&owned.endpoint) == Some(&done(&node, &owned));
-            if done && round % RECHECK != 0 {
+        for owned in owned_engines(&node) {
+            let is_done = written.get(&owned.endpoint) == Some(&done_status(&node, &owned));
+            if is_done && round % RECHECK_ROUNDS != 0 {
                 continue;
             }
             if let Err(error) = step(&node, &owned, &mut written).await {
@@ -56,40 +56,45 @@
     }
 }
 
-fn effect<P: Platform>(node: &Node<P>, owned: &Owned, progress: Progress, detail: &str) -> Effect {
+fn order_status<P: Platform>(
+    node: &Node<P>,
+    owned: &OwnedEngine,
+    progress: Progress,
+    detail: &str,
+) -> Effect {
     let instance = node.entry.instance.clone();
     let (version, epoch) = (owned.desired.version, owned.epoch);
     Effect { version, epoch, instance, progress, detail: detail.to_owned() }
 }
 
-fn done<P: Platform>(node: &Node<P>, owned: &Owned) -> Effect {
-    effect(node, owned, Progress::Done, "read back")
+fn done_status<P: Platform>(node: &Node<P>, owned: &OwnedEngine) -> Effect {
+    order_status(node, owned, Progress::Done, "read back")
 }
 
-fn owned<P: Platform>(node: &Node<P>) -> Vec<Owned> {
+fn owned_engines<P: Platform>(node: &Node<P>) -> Vec<OwnedEngine> {
     let endpoints = lock(&node.tables.endpoints);
     let rights = lock(&node.tables.rights);
     let orders = lock(&node.tables.orders);
     let now = node.now();
-    let one = |(endpoint, desired): (&EndpointId, &Desired)| {
+    let to_owned_engine = |(endpoint, desired): (&EndpointId, &Desired)| {
         let address = endpoints.get(endpoint)?.address;
         let epoch = rights.owner_epoch(endpoint, now)?;
-        Some(Owned { endpoint: endpoint.clone(), address, desired: desired.clone(), epoch })
+        Some(OwnedEngine { endpoint: endpoint.clone(), address, desired: desired.clone(), epoch })
     };
-    orders.wanted().filter_map(one).collect()
+    orders.wanted().filter_map(to_owned_engine).collect()
 }
 
 async fn step<P: Platform>(
     node: &Node<P>,
-    owned: &Owned,
-    written: &mut Written,
+    owned: &OwnedEngine,
+    written: &mut WrittenStatuses,
 ) -> anyhow::Result<()> {
-    let state = state(owned.address, node.settings.connect).await?;
+    let state = fetch_state(owned.address, node.settings.connect).await?;
     match next_step(&owned.desired, &state, owned.epoch) {
         NextStep::Busy => Ok(()),
         NextStep::Outdated => {
             let detail = format!("the engine has seen fence={}", state.fence);
-            refused(node, owned, &detail);
+            audit_refusal(node, owned, &detail);
             Ok(())
         }
         NextStep::Done => finish(node, owned, written).await,
@@ -99,14 +104,14 @@
 
 async fn finish<P: Platform>(
     node: &Node<P>,
-    owned: &Owned,
-    written: &mut Written,
+    owned: &OwnedEngine,
+    written: &mut WrittenStatuses,
 ) -> anyhow::Result<()> {
-    let done = done(node, owned);
+    let done = done_status(node, owned);
     if written.get(&owned.endpoint) == Some(&done) {
         return Ok(());
     }
-    weights::give_back(node, &owned.endpoint).await?;
+    weights::release(node, &owned.endpoint).await?;
     write(node, owned, done, written).await?;
     let (version, epoch) = (owned.desired.version, owned.epoch);
     let detail = format!("endpoint={} version={version} fence={epoch}", owned.endpoint);
@@ -116,69 +121,71 @@
 
 async fn send<P: Platform>(
     node: &Node<P>,
-    owned: &Owned,
+    owned: &OwnedEngine,
     order: &Order,
-    written: &mut Written,
+    written: &mut WrittenStatuses,
 ) -> anyhow::Result<()> {
     let detail = order.to_string();
     if matches!(order, Order::Load { .. })
-        && !weights::take(node, &owned.endpoint, owned.epoch).await?
+        && !weights::acquire(node, &owned.endpoint, owned.epoch).await?
     {
-        return write(node, owned, effect(node, owned, Progress::Waiting, &detail), written).await;
+        return write(node, owned, order_status(node, owned, Progress::Waiting, &detail), written)
+            .await;
     }
-    write(node, owned, effect(node, owned, Progress::Sent, &detail), written).await?;
-    // The calls above took time, and the process may have been frozen in them. An engine that does
-    // not check fencing numbers would obey an old owner; so the right is checked again last.
-    let still = lock(&node.tables.rights).owner_epoch(&owned.endpoint, node.now());
-    if still != Some(owned.epoch) {
+    write(node, owned, order_status(node, owned, Progress::Sent, &detail), written).await?;
+    // The process may have been suspended during the calls above, and an engine that does not check
+    // fencing numbers would execute the order of a previous owner. So ownership is checked again,
+    // immediately before the order is sent.
+    let current_epoch = lock(&node.tables.rights).owner_epoch(&owned.endpoint, node.now());
+    if current_epoch != Some(owned.epoch) {
         return Ok(());
     }
     let fenced = FencedOrder { fence: owned.epoch, order: order.clone() };
-    let text = format!("endpoint={} fence={} {order}", owned.endpoint, owned.epoch);
-    node.audit(AuditEvent::OrderSent, &text);
-    match give(owned.address, &fenced, node.settings.connect).await? {
-        Answer::Taken => Ok(()),
-        Answer::Outdated => {
-            refused(node, owned, &detail);
+    let audit_detail = format!("endpoint={} fence={} {order}", owned.endpoint, owned.epoch);
+    node.audit(AuditEvent::OrderSent, &audit_detail);
+    match send_order(owned.address, &fenced, node.settings.connect).await? {
+        OrderResponse::Accepted => Ok(()),
+        OrderResponse::Outdated => {
+            audit_refusal(node, owned, &detail);
             Ok(())
         }
-        Answer::Refused(status) => {
+        OrderResponse::Refused(status) => {
             let detail = format!("{detail}: {status}");
-            refused(node, owned, &detail);
-            write(node, owned, effect(node, owned, Progress::Refused, &detail), written).await
+            audit_refusal(node, owned, &detail);
+            write(node, owned, order_status(node, owned, Progress::Refused, &detail), written).await
         }
     }
 }
 
-fn refused<P: Platform>(node: &Node<P>, owned: &Owned, detail: &str) {
+fn audit_refusal<P: Platform>(node: &Node<P>, owned: &OwnedEngine, detail: &str) {
     let detail = format!("endpoint={} fence={} {detail}", owned.endpoint, owned.epoch);
     node.audit(AuditEvent::OrderRefused, &detail);
 }
 
-/// Writes what came of the orders, unless a later owner did.
+/// Writes the status of the orders, unless a later owner already has.
 async fn write<P: Platform>(
     node: &Node<P>,
-    owned: &Owned,
-    effect: Effect,
-    written: &mut Written,
+    owned: &OwnedEngine,
+    status: Effect,
+    written: &mut WrittenStatuses,
 ) -> anyhow::Result<()> {
-    if written.get(&owned.endpoint) == Some(&effect) {
+    if written.get(&owned.endpoint) == Some(&status) {
         return Ok(());
     }
     let key = Effect::key(&owned.endpoint);
-    let value = serde_json::to_value(&effect).context("encode effect")?;
+    let value = serde_json::to_value(&status).context("encode effect")?;
     match node.platform.read(&key).await? {
         None => node.platform.create(&key, &value).await?,
         Some(object) => {
-            let found: Effect = serde_json::from_value(object.value.unwrap_or_default())?;
+            let stored: Effect = serde_json::from_value(object.value.unwrap_or_default())?;
             anyhow::ensure!(
-                found.epoch <= owned.epoch,
+                stored.epoch <= owned.epoch,
                 "a later owner wrote epoch {}",
-                found.epoch
+                stored.epoch
             );
             node.platform.replace(&key, &value, object.version).await?
         }
     };
-    written.insert(owned.endpoint.clone(), effect);
+    written.insert(owned.endpoint.clone(), status);
     Ok(())
 }
--- a/crates/nutmeggrade/src/orders/follow.rs
+++ b/crates/nutmeggrade/src/orders/watch.rs
@@ -1,4 +1,4 @@
-//! Follows what operators want of the engines.
+//! Watches the platform for the desired state of engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// How long one watch waits; a watch that waits counts as one call.
-const WATCH: Duration = Duration::from_secs(5);
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Time limit of one long-poll watch, which counts as one call.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Keeps the table of what is wanted up to date.
+/// Keeps the table of desired states up to date.
 pub async fn run<P: Platform>(node: Arc<Node<P>>) {
     let mut revision = 0;
     loop {
-        match node.platform.watch(ORDER_PREFIX, revision, WATCH).await {
+        match node.platform.watch(ORDER_PREFIX, revision, WATCH_TIMEOUT).await {
             Ok(changes) => {
                 revision = changes.revision;
                 for object in &changes.objects {
-                    take(&node, object);
+                    apply_change(&node, object);
                 }
             }
             Err(error) => {
                 tracing::debug!(event = "order_watch_failed", %error);
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn take<P: Platform>(node: &Node<P>, object: &Object) {
+fn apply_change<P: Platform>(node: &Node<P>, object: &Object) {
     let Some(value) = object.value.clone() else { return };
     let Some(endpoint) = Desired::endpoint(&object.key) else { return };
     match serde_json::from_value::<Desired>(value) {
--- a/crates/nutmeggrade/src/orders/weights.rs
+++ b/crates/nutmeggrade/src/orders/weights.rs
@@ -1,4 +1,4 @@
-//! Taking a share of the weight store, and giving it back.
+//! Slots that limit concurrent loads from the weight store.
 
 use anyhow::Context;
 use nutmeggrade_core::object::Object;
@@ -9,8 +9,8 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Takes a slot for a load of an engine; says whether this engine has one now.
-pub async fn take<P: Platform>(
+/// Acquires a slot for a load of an engine; returns whether the engine has one.
+pub async fn acquire<P: Platform>(
     node: &Node<P>,
     endpoint: &EndpointId,
     epoch: u64,
@@ -22,7 +22,7 @@
         if slot.endpoint == *endpoint {
             return Ok(true);
         }
-        // An engine that is listed no more loads nothing; its slot would be lost for good.
+        // An engine that is no longer listed would never release its slot.
         if lock(&node.tables.endpoints).get(&slot.endpoint).is_none() {
             node.platform.remove(&object.key, object.version).await?;
         } else {
@@ -36,18 +36,18 @@
     let instance = node.entry.instance.clone();
     let slot = WeightSlot { endpoint: endpoint.clone(), instance, epoch };
     let value = serde_json::to_value(&slot).context("encode weight slot")?;
-    let taken = |n: &u32| listed.iter().any(|o| o.key == WeightSlot::key(*n));
-    let Some(free) = (0..limit).find(|n| !taken(n)) else { return Ok(false) };
+    let in_use = |n: &u32| listed.iter().any(|o| o.key == WeightSlot::key(*n));
+    let Some(free) = (0..limit).find(|n| !in_use(n)) else { return Ok(false) };
     match node.platform.create(&WeightSlot::key(free), &value).await {
         Ok(_) => Ok(true),
         Err(PlatformError::Conflict) => Ok(false),
-        // If the lost write took effect, the next look finds the slot.
+        // If the write took effect after all, the next check finds the slot.
         Err(error) => Err(error.into()),
     }
 }
 
-/// Gives back the slot of an engine that has loaded, whoever took it.
-pub async fn give_back<P: Platform>(node: &Node<P>, endpoint: &EndpointId) -> anyhow::Result<()> {
+/// Releases the slot of an engine that has loaded, whichever instance acquired it.
+pub async fn release<P: Platform>(node: &Node<P>, endpoint: &EndpointId) -> anyhow::Result<()> {
     for object in node.platform.list(WEIGHT_PREFIX).await?.objects {
         if read(&object)?.endpoint == *endpoint {
             node.platform.remove(&object.key, object.version).await?;
--- a/crates/nutmeggrade/src/peers.rs
+++ b/crates/nutmeggrade/src/peers.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between instances over nng.
 //!
 //! Each instance publishes on one socket and subscribes to every peer on another. Publishing never
-//! waits for a slow or dead peer, and nng connects again by itself.
+//! blocks on a slow or dead peer, and nng reconnects automatically.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,17 +19,17 @@
 
 use crate::tables::lock;
 
-/// Most subscribers: a few times the instances that a full mesh is made for.
+/// Maximum number of subscribers: a few times the instances that a full mesh is designed for.
 const MAX_SUBSCRIBERS: usize = 256;
-const SEND_WAIT: Duration = Duration::from_millis(100);
-const RECONNECT_MIN: Duration = Duration::from_millis(50);
-const RECONNECT_MAX: Duration = Duration::from_secs(1);
+const SEND_TIMEOUT: Duration = Duration::from_millis(100);
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
 
 /// The nng sockets of an instance.
 #[derive(Debug)]
 pub struct Peers {
-    out: Socket,
-    inward: Socket,
+    publisher: Socket,
+    subscriber: Socket,
     listener: Listener,
     dialers: Mutex<BTreeMap<InstanceId, Dialer>>,
     subscribers: Arc<Mutex<BTreeSet<Pipe>>>,
@@ -37,93 +37,95 @@
 }
 
 impl Peers {
-    /// Listens for subscribers.
+    /// Opens the sockets and listens for subscribers.
     pub fn new(address: SocketAddr, key: &Secret) -> anyhow::Result<Self> {
-        let out = Socket::new(Protocol::Pub0).context("open publisher")?;
-        out.set_opt::<SendTimeout>(Some(SEND_WAIT)).context("send timeout")?;
-        // Subscribers send nothing, but nng reads what comes, and without a limit takes memory for a
-        // message of any size that a stranger announces: one connection could take it all.
-        out.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("message limit")?;
+        let publisher = Socket::new(Protocol::Pub0).context("open publisher")?;
+        publisher.set_opt::<SendTimeout>(Some(SEND_TIMEOUT)).context("send timeout")?;
+        // Subscribers send nothing, but nng reads whatever arrives, and without a limit allocates
+        // the size that a message announces: one unauthenticated connection could use up all
+        // memory.
+        publisher.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("message limit")?;
         let subscribers = Arc::new(Mutex::new(BTreeSet::new()));
-        let seen = Arc::clone(&subscribers);
-        out.pipe_notify(move |pipe, event| bound(&seen, pipe, event))
-            .context("follow subscribers")?;
-        let listener = Listener::new(&out, &format!("tcp://{address}"))
+        let connected = Arc::clone(&subscribers);
+        publisher
+            .pipe_notify(move |pipe, event| limit_subscribers(&connected, pipe, event))
+            .context("watch subscribers")?;
+        let listener = Listener::new(&publisher, &format!("tcp://{address}"))
             .with_context(|| format!("listen for peers on {address}"))?;
-        let inward = Socket::new(Protocol::Sub0).context("open subscriber")?;
-        inward.set_opt::<Subscribe>(Vec::new()).context("subscribe")?;
-        inward.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("message limit")?;
-        inward.set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN)).context("reconnect")?;
-        inward.set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX)).context("reconnect")?;
+        let subscriber = Socket::new(Protocol::Sub0).context("open subscriber")?;
+        subscriber.set_opt::<Subscribe>(Vec::new()).context("subscribe")?;
+        subscriber.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("message limit")?;
+        subscriber.set_opt::<ReconnectMinTime>(Some(MIN_RECONNECT_DELAY)).context("reconnect")?;
+        subscriber.set_opt::<ReconnectMaxTime>(Some(MAX_RECONNECT_DELAY)).context("reconnect")?;
         let dialers = Mutex::new(BTreeMap::new());
         let key = key.key("peer messages");
-        Ok(Self { out, inward, listener, dialers, subscribers, key })
+        Ok(Self { publisher, subscriber, listener, dialers, subscribers, key })
     }
 
-    /// Returns the address that peers subscribe at.
+    /// Returns the address at which peers subscribe.
     pub fn address(&self) -> anyhow::Result<SocketAddr> {
         let mut address = match self.listener.get_opt::<LocalAddr>().context("peer address")? {
             NngAddr::Inet(address) => SocketAddr::V4(address),
             NngAddr::Inet6(address) => SocketAddr::V6(address),
             other => anyhow::bail!("peer address {other:?} is not ip:port"),
         };
-        // The library hands the port over in the network's byte order.
+        // nng returns the port in network byte order.
         address.set_port(u16::from_be(address.port()));
         Ok(address)
     }
 
-    /// Subscribes to a peer, and drops the subscription to its earlier life.
+    /// Subscribes to a peer and closes the subscription to its previous incarnation.
     pub fn subscribe(&self, entry: &Entry) -> anyhow::Result<()> {
         let url = format!("tcp://{}", entry.peer_address);
-        let dialer = Dialer::new(&self.inward, &url, true).context("dial peer")?;
-        if let Some(old) = lock(&self.dialers).insert(entry.instance.clone(), dialer) {
-            old.close();
+        let dialer = Dialer::new(&self.subscriber, &url, true).context("dial peer")?;
+        if let Some(previous) = lock(&self.dialers).insert(entry.instance.clone(), dialer) {
+            previous.close();
         }
         Ok(())
     }
 
-    /// Drops the subscription to a peer.
+    /// Closes the subscription to a peer.
     pub fn unsubscribe(&self, instance: &InstanceId) {
-        if let Some(old) = lock(&self.dialers).remove(instance) {
-            old.close();
+        if let Some(dialer) = lock(&self.dialers).remove(instance) {
+            dialer.close();
         }
     }
 
-    /// Sends a heartbeat to every subscriber; returns the bytes to all of them.
+    /// Sends a heartbeat to every subscriber; returns the total number of bytes.
     pub fn publish(&self, beacon: &Beacon) -> anyhow::Result<u64> {
         let frame = seal(beacon, &self.key)?;
-        self.out.send(frame.as_slice()).map_err(|(_, e)| e).context("publish")?;
+        self.publisher.send(frame.as_slice()).map_err(|(_, e)| e).context("publish")?;
         Ok((frame.len() * lock(&self.subscribers).len()) as u64)
     }
 
-    /// Waits for the next message and returns its size and its heartbeat; `None` once the sockets are
-    /// closed. Blocks its thread.
+    /// Waits for the next message and returns its size and its heartbeat; returns `None` after the
+    /// sockets are closed. Blocks the thread.
     pub fn next(&self) -> Option<(usize, Result<Beacon, BadEnvelope>)> {
-        let message = self.inward.recv().ok()?;
+        let message = self.subscriber.recv().ok()?;
         Some((message.len(), open::<Beacon>(&message, &self.key)))
     }
 
     /// Closes both sockets.
     pub fn close(&self) {
-        self.out.close();
-        self.inward.close();
+        self.publisher.close();
+        self.subscriber.close();
     }
 }
 
-/// Closes connections beyond the limit. Anyone who reaches the port may subscribe, and each
-/// subscriber costs a descriptor and buffers that callers' connections then lack.
-fn bound(subscribers: &Mutex<BTreeSet<Pipe>>, pipe: Pipe, event: PipeEvent) {
+/// Closes connections beyond the limit. Subscribers are not authenticated, and each one uses a file
+/// descriptor and buffers that callers' connections need.
+fn limit_subscribers(subscribers: &Mutex<BTreeSet<Pipe>>, pipe: Pipe, event: PipeEvent) {
     match event {
         PipeEvent::AddPre => {
-            let full = {
+            let is_full = {
                 let mut subscribers = lock(subscribers);
-                let full = subscribers.len() >= MAX_SUBSCRIBERS;
-                if !full {
+                let is_full = subscribers.len() >= MAX_SUBSCRIBERS;
+                if !is_full {
                     subscribers.insert(pipe);
                 }
-                full
+                is_full
             };
-            if full {
+            if is_full {
                 pipe.close();
             }
         }
--- a/crates/nutmeggrade/src/server.rs
+++ b/crates/nutmeggrade/src/server.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an instance.
+//! Starts and stops an instance.
 
 mod stop;
 
@@ -16,46 +16,47 @@
 use crate::settings::Settings;
 use crate::{admin, front, tasks};
 
-/// Serves until SIGTERM or SIGINT, then stops gracefully.
+/// Serves until SIGTERM or SIGINT, then shuts down gracefully.
 pub async fn run(settings: &Settings) -> anyhow::Result<()> {
-    let mut term = signal(SignalKind::terminate()).context("handle SIGTERM")?;
-    let mut int = signal(SignalKind::interrupt()).context("handle SIGINT")?;
-    let callers = front::bind(settings.caller_address).context("callers")?;
-    let admins = front::bind(settings.admin_address).context("admin")?;
+    let mut sigterm = signal(SignalKind::terminate()).context("handle SIGTERM")?;
+    let mut sigint = signal(SignalKind::interrupt()).context("handle SIGINT")?;
+    let caller_socket = front::bind(settings.caller_address).context("callers")?;
+    let admin_socket = front::bind(settings.admin_address).context("admin")?;
     let peers = Arc::new(Peers::new(settings.peer_address, &settings.peer_key)?);
     let entry = Entry {
         instance: settings.instance.clone(),
         incarnation: incarnation(),
         domain: settings.domain.clone(),
-        caller_address: callers.local_addr().context("caller address")?,
+        caller_address: caller_socket.local_addr().context("caller address")?,
         peer_address: peers.address()?,
-        admin_address: admins.local_addr().context("admin address")?,
+        admin_address: admin_socket.local_addr().context("admin address")?,
     };
     let platform = HttpPlatform::new(settings.platform, settings.platform_wait);
     let node = Arc::new(Node::new(settings, &entry, platform, &peers)?);
-    announce(&entry);
+    print_addresses(&entry);
     tasks::start(&node, &peers);
-    let front = tokio::spawn(front::serve(Arc::clone(&node), callers));
-    let admin = tokio::spawn(admin::serve(Arc::clone(&node), admins));
+    let front = tokio::spawn(front::serve(Arc::clone(&node), caller_socket));
+    let admin = tokio::spawn(admin::serve(Arc::clone(&node), admin_socket));
     tokio::select! {
-        _ = term.recv() => {}
-        _ = int.recv() => {}
+        _ = sigterm.recv() => {}
+        _ = sigint.recv() => {}
     }
-    stop::stop(&node, front, &mut int).await;
-    // Operators and probes that are asking now get their answer.
+    stop::stop(&node, front, &mut sigint).await;
+    // Open requests of operators and probes get their responses.
     drop(timeout(settings.stall, admin).await);
     peers.close();
     Ok(())
 }
 
-/// Returns a number that is higher in every later life of an instance.
+/// Returns a number that increases with every start of an instance.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Prints the addresses for whoever started the process, since the system may have chosen them.
-fn announce(entry: &Entry) {
+/// Prints the listening addresses for the parent process, since the system may have chosen the
+/// ports.
+fn print_addresses(entry: &Entry) {
     println!(
         "listening callers={} admin={} peers={}",
         entry.caller_address, entry.admin_address, entry.peer_address
--- a/crates/nutmeggrade/src/service.rs
+++ b/crates/nutmeggrade/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Calls of plain services, idempotent or at most once.
 
 mod call;
 mod idempotent;
@@ -6,6 +6,6 @@
 mod records;
 mod replica;
 
-pub use call::{Answer, Call};
+pub use call::{Call, ServiceResponse};
 pub use idempotent::run_idempotent;
-pub use once::{run_once, unlearned};
+pub use once::{run_once, with_unknown_run};
--- a/crates/nutmeggrade/src/service/call.rs
+++ b/crates/nutmeggrade/src/service/call.rs
@@ -1,32 +1,32 @@
-//! One call and its answer.
+//! A service call and its response.
 
 use bytes::Bytes;
 use nutmeggrade_core::prelude::*;
 
 use crate::caller::Caller;
 
-/// One call of a plain service.
+/// A call of a plain service.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Who calls.
+    /// Sender of the call.
     pub caller: Caller,
-    /// The service.
+    /// Called service.
     pub service: ServiceId,
-    /// The operation.
+    /// Called operation.
     pub operation: String,
-    /// The JSON body, passed on as it is.
+    /// JSON body, forwarded unchanged.
     pub body: Bytes,
 }
 
-/// The service's answer.
+/// Response of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type, if the service named one.
-    pub content: Option<String>,
-    /// Body, byte for byte as it came.
+    /// Content type, if the service set one.
+    pub content_type: Option<String>,
+    /// Body, forwarded unchanged.
     pub body: Bytes,
-    /// Whether it was recorded by an earlier attempt.
+    /// Whether the response is the recorded one of an earlier attempt.
     pub replayed: bool,
 }
--- a/crates/nutmeggrade/src/service/idempotent.rs
+++ b/crates/nutmeggrade/src/service/idempotent.rs
@@ -1,4 +1,4 @@
-//! Calls that may be repeated.
+//! Idempotent calls.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,41 +6,42 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
 
-use super::replica::{Attempt, attempt};
-use super::{Answer, Call};
+use super::replica::{AttemptResult, attempt};
+use super::{Call, ServiceResponse};
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Replicas that one call is tried on.
-const ATTEMPTS: u32 = 3;
+/// Maximum number of replicas tried for one call.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Runs a call that may be repeated on up to three replicas.
+/// Runs an idempotent call on up to three replicas.
 pub async fn run_idempotent<P: Platform>(
     node: &Arc<Node<P>>,
     call: &Call,
-) -> Result<Answer, Failure> {
+) -> Result<ServiceResponse, Failure> {
     let mut avoid = BTreeSet::new();
     let mut run = Run::NotRun;
-    let mut last = String::new();
+    let mut last_reason = String::new();
     lock(&node.tables.retries).fresh();
-    for number in 1..=ATTEMPTS {
+    for attempt_number in 1..=MAX_ATTEMPTS {
         match attempt(node, call, &mut avoid).await {
-            Ok(Attempt::Answered(answer)) => return Ok(answer),
-            Ok(Attempt::NotRun(why)) => last = why,
-            Ok(Attempt::Lost(why)) => {
+            Ok(AttemptResult::Answered(response)) => return Ok(response),
+            Ok(AttemptResult::NotRun(reason)) => last_reason = reason,
+            Ok(AttemptResult::Lost(reason)) => {
                 run = Run::Unknown;
-                last = why;
+                last_reason = reason;
             }
-            Err(failure) if last.is_empty() => return Err(failure),
+            Err(failure) if last_reason.is_empty() => return Err(failure),
             Err(_) => break,
         }
-        let again = number < ATTEMPTS && node.may_retry(number, call.caller.deadline).await;
-        if !again {
+        let can_retry = attempt_number < MAX_ATTEMPTS
+            && node.wait_for_retry(attempt_number, call.caller.deadline).await;
+        if !can_retry {
             break;
         }
     }
-    let late = call.caller.deadline <= node.now();
-    let code = if late { Code::DeadlinePassed } else { Code::EndpointFailed };
-    let failure = Failure::new(code, &last).with_run(run);
+    let is_late = call.caller.deadline <= node.now();
+    let code = if is_late { Code::DeadlinePassed } else { Code::EndpointFailed };
+    let failure = Failure::new(code, &last_reason).with_run(run);
     Err(failure.with_retry_after(node.settings.silence))
 }
--- a/crates/nutmeggrade/src/service/once.rs
+++ b/crates/nutmeggrade/src/service/once.rs
@@ -1,4 +1,4 @@
-//! Calls that must run at most once.
+//! Non-idempotent calls, which must run at most once.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,26 +11,26 @@
 use nutmeggrade_state::settling::Settling;
 
 use super::records::{claim_call, settle, settle_later};
-use super::replica::{Attempt, attempt};
-use super::{Answer, Call};
+use super::replica::{AttemptResult, attempt};
+use super::{Call, ServiceResponse};
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Replicas that a call is tried on while it is proved not to have run.
-const ATTEMPTS: usize = 3;
+/// Maximum number of replicas tried for a call that certainly has not run.
+const MAX_ATTEMPTS: usize = 3;
 
 /// Runs a call at most once for its workspace's idempotency key.
 ///
-/// A caller that closes its connection ends the handler of its request at any await. The call would
-/// stay without its outcome in the platform, and a retry would never learn it; so the call runs in a
-/// task of its own, which ends whether or not somebody listens.
+/// A caller that closes its connection cancels the request's handler at any await point. The record
+/// would stay without an outcome, and a retry could never get it. So the call runs in a separate
+/// task, which completes even if the caller disconnects.
 pub async fn run_once<P: Platform>(
     node: &Arc<Node<P>>,
     call: &Call,
     key: &RequestId,
-) -> Result<Answer, Failure> {
-    let place = Intent::key(&key_hash(call, key));
-    let task = tokio::spawn(run(Arc::clone(node), call.clone(), place));
+) -> Result<ServiceResponse, Failure> {
+    let record_key = Intent::key(&key_hash(call, key));
+    let task = tokio::spawn(run(Arc::clone(node), call.clone(), record_key));
     task.await.unwrap_or_else(|error| {
         let failure = Failure::new(Code::OutcomeUnknown, &error.to_string());
         Err(failure.with_run(Run::Unknown))
@@ -40,31 +40,31 @@
 async fn run<P: Platform>(
     node: Arc<Node<P>>,
     call: Call,
-    place: String,
-) -> Result<Answer, Failure> {
+    record_key: String,
+) -> Result<ServiceResponse, Failure> {
     let nonce = GenerationId::new(rand::random());
     let entry = &node.entry;
     let intent = Intent::new(nonce, &entry.instance, entry.incarnation, &request_hash(&call));
     lock(&node.tables.intents).begin(nonce);
     let mut claiming = Claiming::new(intent);
-    claim_call(&node, &place, &mut claiming).await;
-    let found = format!("record={place} {}", describe(claiming.step()));
-    node.note(&call.caller.request, "claimed", &found);
+    claim_call(&node, &record_key, &mut claiming).await;
+    let detail = format!("record={record_key} {}", describe_claim(claiming.step()));
+    node.record_step(&call.caller.request, "claimed", &detail);
     let intent = claiming.intent().clone();
     match claiming.step() {
         ClaimStep::Decided(Claim::Send, version) => {
             lock(&node.tables.intents).claimed(nonce);
-            send(&node, &call, &place, &intent, *version).await
+            send(&node, &call, &record_key, &intent, *version).await
         }
         ClaimStep::GaveUp { doubt: true } => {
             lock(&node.tables.intents).end(nonce, Progress::Released);
             let released = intent.with_progress(Progress::Released);
-            settle_later(&node, &place, Settling::new(released, None));
+            settle_later(&node, &record_key, Settling::new(released, None));
             Err(platform_down(&node))
         }
         ClaimStep::Decided(claim, _) => {
             lock(&node.tables.intents).settle(nonce);
-            refuse(&node, claim)
+            resolve_claim(&node, claim)
         }
         _ => {
             lock(&node.tables.intents).settle(nonce);
@@ -73,8 +73,8 @@
     }
 }
 
-/// Tells whose record the call found in the platform.
-fn describe(step: &ClaimStep) -> String {
+/// Describes the record that the claim found in the platform.
+fn describe_claim(step: &ClaimStep) -> String {
     match step {
         ClaimStep::Decided(Claim::Send, version) => format!("own version={version}"),
         ClaimStep::Decided(Claim::Answer(_), _) => "answered before".to_owned(),
@@ -83,25 +83,25 @@
     }
 }
 
-/// Hands the call to one replica after another until it may have run.
+/// Sends the call to one replica after another until it may have run.
 async fn send<P: Platform>(
     node: &Arc<Node<P>>,
     call: &Call,
-    place: &str,
+    record_key: &str,
     intent: &Intent,
     version: u64,
-) -> Result<Answer, Failure> {
+) -> Result<ServiceResponse, Failure> {
     let mut avoid = BTreeSet::new();
     let mut refusal = Failure::new(Code::EndpointFailed, "no replica took the call");
-    let mut ended = None;
-    for _ in 0..ATTEMPTS {
+    let mut last_result = None;
+    for _ in 0..MAX_ATTEMPTS {
         if call.caller.deadline <= node.now() {
             refusal = Failure::new(Code::DeadlinePassed, "the deadline passed before the call");
             break;
         }
         lock(&node.tables.intents).sending(intent.nonce);
         match attempt(node, call, &mut avoid).await {
-            Ok(Attempt::NotRun(reason)) => {
+            Ok(AttemptResult::NotRun(reason)) => {
                 refusal = Failure::new(Code::EndpointFailed, &reason);
                 lock(&node.tables.intents).not_run(intent.nonce);
             }
@@ -111,34 +111,37 @@
                 break;
             }
             Ok(other) => {
-                ended = Some(other);
+                last_result = Some(other);
                 break;
             }
         }
     }
-    let (progress, result) = outcome(ended, refusal.with_retry_after(node.settings.silence));
+    let (progress, result) = outcome(last_result, refusal.with_retry_after(node.settings.silence));
     lock(&node.tables.intents).end(intent.nonce, progress.clone());
     let settling = Settling::new(intent.clone().with_progress(progress), Some(version));
-    settle(node, place, settling).await;
+    settle(node, record_key, settling).await;
     result
 }
 
-fn outcome(ended: Option<Attempt>, refusal: Failure) -> (Progress, Result<Answer, Failure>) {
-    match ended {
-        Some(Attempt::Answered(answer)) => {
-            let recorded = Recorded::new(answer.status, &answer.body);
-            let answer_kept = recorded.with_content(answer.content.as_deref());
-            (Progress::Done { answer: answer_kept }, Ok(answer))
+fn outcome(
+    last_result: Option<AttemptResult>,
+    refusal: Failure,
+) -> (Progress, Result<ServiceResponse, Failure>) {
+    match last_result {
+        Some(AttemptResult::Answered(response)) => {
+            let recorded = Recorded::new(response.status, &response.body);
+            let kept = recorded.with_content(response.content_type.as_deref());
+            (Progress::Done { answer: kept }, Ok(response))
         }
-        Some(Attempt::Lost(reason)) => {
+        Some(AttemptResult::Lost(reason)) => {
             let failure = Failure::new(Code::OutcomeUnknown, &reason).with_run(Run::Unknown);
             (Progress::Unknown, Err(failure))
         }
-        Some(Attempt::NotRun(_)) | None => (Progress::Released, Err(refusal)),
+        Some(AttemptResult::NotRun(_)) | None => (Progress::Released, Err(refusal)),
     }
 }
 
-fn refuse<P: Platform>(node: &Node<P>, claim: &Claim) -> Result<Answer, Failure> {
+fn resolve_claim<P: Platform>(node: &Node<P>, claim: &Claim) -> Result<ServiceResponse, Failure> {
     let code = match claim {
         Claim::Answer(recorded) => return replay(recorded),
         Claim::Refuse(code) => *code,
@@ -156,28 +159,28 @@
     Err(failure)
 }
 
-fn replay(recorded: &Recorded) -> Result<Answer, Failure> {
+fn replay(recorded: &Recorded) -> Result<ServiceResponse, Failure> {
     let Some(body) = recorded.body() else {
         let detail = "an earlier attempt ran; its answer was too large to be kept";
         return Err(Failure::new(Code::AnswerNotKept, detail).with_run(Run::Ran));
     };
-    let content = recorded.content.clone();
+    let content_type = recorded.content.clone();
     let body = bytes::Bytes::copy_from_slice(body);
-    Ok(Answer { status: recorded.status, content, body, replayed: true })
+    Ok(ServiceResponse { status: recorded.status, content_type, body, replayed: true })
 }
 
-/// Refuses a call whose record can't be learned; this attempt sends nothing, now or later.
+/// Refuses a call whose record can't be read; this attempt never sends the call.
 fn platform_down<P: Platform>(node: &Node<P>) -> Failure {
     let failure = Failure::new(Code::PlatformDown, "the call can't be recorded");
-    unlearned(failure).with_retry_after(node.settings.platform_wait)
+    with_unknown_run(failure).with_retry_after(node.settings.platform_wait)
 }
 
-/// Marks a refusal that was made without looking at the record of the key.
+/// Sets the run state "unknown" on a refusal that was made without reading the record of the key.
 ///
-/// An earlier attempt with the same key may have run, at another instance or before a cut. Told "not
-/// run", a caller would ask with a new key and get its plot booked twice. Only the record proves that
-/// no attempt ran, so without it the answer is "unknown", and the same key is safe to ask with again.
-pub fn unlearned(mut failure: Failure) -> Failure {
+/// An earlier attempt with the same key may have run, at another instance or before an outage.
+/// After "not run", a caller would retry with a new key, and the operation could run twice. Only
+/// the record proves that no attempt ran; a retry with the same key is safe.
+pub fn with_unknown_run(mut failure: Failure) -> Failure {
     failure.detail.push_str(
         "; this attempt did not run, but an earlier one with the same key may have: ask again with \
          the same key",
--- a/crates/nutmeggrade/src/service/records.rs
+++ b/crates/nutmeggrade/src/service/records.rs
@@ -1,4 +1,4 @@
-//! The records of non-idempotent calls: claimed before the call, settled after it.
+//! Records of non-idempotent calls: claimed before the call, settled after it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,82 +13,91 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// First pause between attempts to settle a record; it doubles.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause: a record is settled this soon after an outage, and during one each open record
-/// costs the platform no more than a call in this time.
-const PAUSE_MAX: Duration = Duration::from_secs(15);
-/// Looks for the record of a claim in doubt. A write that takes effect later than this leaves a
-/// record that its instance recognises as never sent.
-const DOUBT_LOOKS: u32 = 8;
+/// Initial delay between attempts to settle a record; doubles after each one.
+const INITIAL_DELAY: Duration = Duration::from_millis(250);
+/// Maximum delay: bounds how late a record is settled after an outage, and limits each open record
+/// to one platform call per this time during the outage.
+const MAX_DELAY: Duration = Duration::from_secs(15);
+/// Maximum number of reads for the record of a claim in doubt. A write that takes effect later
+/// leaves a record that its instance recognises as never sent.
+const MAX_DOUBT_CHECKS: u32 = 8;
 
-/// Creates the record, or learns whose it is.
-pub async fn claim_call<P: Platform>(node: &Node<P>, place: &str, claiming: &mut Claiming) {
+/// Claims the record, or finds out which attempt owns it.
+pub async fn claim_call<P: Platform>(node: &Node<P>, record_key: &str, claiming: &mut Claiming) {
     loop {
-        let said = match claiming.step() {
-            ClaimStep::Create => create(node, place, claiming.intent()).await,
-            ClaimStep::Replace(version) => replace(node, place, claiming.intent(), *version).await,
-            ClaimStep::Read => read(node, place).await,
+        let response = match claiming.step() {
+            ClaimStep::Create => create(node, record_key, claiming.intent()).await,
+            ClaimStep::Replace(version) => {
+                replace(node, record_key, claiming.intent(), *version).await
+            }
+            ClaimStep::Read => read(node, record_key).await,
             ClaimStep::Decided(..) | ClaimStep::GaveUp { .. } => return,
         };
-        claiming.take(said);
+        claiming.take(response);
     }
 }
 
-/// Writes down how the call ended; what does not succeed at once goes on in the background, so that
-/// the caller does not wait for an outage to end.
-pub async fn settle<P: Platform>(node: &Arc<Node<P>>, place: &str, mut settling: Settling) {
-    advance(node, place, &mut settling).await;
+/// Records the outcome of the call. If that doesn't succeed at once, it continues in the
+/// background, so that the caller does not wait for an outage to end.
+pub async fn settle<P: Platform>(node: &Arc<Node<P>>, record_key: &str, mut settling: Settling) {
+    advance(node, record_key, &mut settling).await;
     if settling.step() == SettleStep::Settled {
         lock(&node.tables.intents).settle(settling.intent().nonce);
         return;
     }
-    tracing::warn!(event = "outcome_not_recorded", key = place);
-    settle_later(node, place, settling);
+    tracing::warn!(event = "outcome_not_recorded", key = record_key);
+    settle_later(node, record_key, settling);
 }
 
-/// Goes on until the record says how the call ended.
-pub fn settle_later<P: Platform>(node: &Arc<Node<P>>, place: &str, mut settling: Settling) {
+/// Retries in the background until the outcome of the call is recorded.
+pub fn settle_later<P: Platform>(node: &Arc<Node<P>>, record_key: &str, mut settling: Settling) {
     let node = Arc::clone(node);
-    let place = place.to_owned();
+    let record_key = record_key.to_owned();
     let in_doubt = settling.step() == SettleStep::Read;
     tokio::spawn(async move {
-        let mut pause = PAUSE;
-        let mut looks = 0;
-        while settling.step() != SettleStep::Settled && !(in_doubt && looks >= DOUBT_LOOKS) {
-            sleep(pause).await;
-            pause = (pause * 2).min(PAUSE_MAX);
-            looks += 1;
+        let mut delay = INITIAL_DELAY;
+        let mut checks = 0;
+        while settling.step() != SettleStep::Settled && !(in_doubt && checks >= MAX_DOUBT_CHECKS) {
+            sleep(delay).await;
+            delay = (delay * 2).min(MAX_DELAY);
+            checks += 1;
             settling.waited();
-            advance(&node, &place, &mut settling).await;
+            advance(&node, &record_key, &mut settling).await;
         }
         lock(&node.tables.intents).settle(settling.intent().nonce);
-        tracing::info!(event = "outcome_settled", key = place);
+        tracing::info!(event = "outcome_settled", key = record_key);
     });
 }
 
-async fn advance<P: Platform>(node: &Node<P>, place: &str, settling: &mut Settling) {
+async fn advance<P: Platform>(node: &Node<P>, record_key: &str, settling: &mut Settling) {
     loop {
-        let said = match settling.step() {
-            SettleStep::Replace(version) => replace(node, place, settling.intent(), version).await,
-            SettleStep::Read => read(node, place).await,
+        let response = match settling.step() {
+            SettleStep::Replace(version) => {
+                replace(node, record_key, settling.intent(), version).await
+            }
+            SettleStep::Read => read(node, record_key).await,
             SettleStep::Wait | SettleStep::Settled => return,
         };
-        settling.take(&said);
+        settling.take(&response);
     }
 }
 
-async fn create<P: Platform>(node: &Node<P>, place: &str, intent: &Intent) -> Said {
+async fn create<P: Platform>(node: &Node<P>, record_key: &str, intent: &Intent) -> Said {
     let Ok(value) = serde_json::to_value(intent) else { return Said::Refused };
-    written(&node.platform.create(place, &value).await)
+    write_response(&node.platform.create(record_key, &value).await)
 }
 
-async fn replace<P: Platform>(node: &Node<P>, place: &str, intent: &Intent, version: u64) -> Said {
+async fn replace<P: Platform>(
+    node: &Node<P>,
+    record_key: &str,
+    intent: &Intent,
+    version: u64,
+) -> Said {
     let Ok(value) = serde_json::to_value(intent) else { return Said::Refused };
-    written(&node.platform.replace(place, &value, version).await)
+    write_response(&node.platform.replace(record_key, &value, version).await)
 }
 
-fn written(result: &Result<u64, PlatformError>) -> Said {
+fn write_response(result: &Result<u64, PlatformError>) -> Said {
     match result {
         Ok(version) => Said::Written(*version),
         Err(PlatformError::Conflict) => Said::Conflict,
@@ -97,15 +106,15 @@
     }
 }
 
-async fn read<P: Platform>(node: &Node<P>, place: &str) -> Said {
-    match node.platform.read(place).await {
-        Ok(Some(object)) => found(node, object),
+async fn read<P: Platform>(node: &Node<P>, record_key: &str) -> Said {
+    match node.platform.read(record_key).await {
+        Ok(Some(object)) => found_response(node, object),
         Ok(None) => Said::Absent,
         Err(_) => Said::Lost,
     }
 }
 
-fn found<P: Platform>(node: &Node<P>, object: Object) -> Said {
+fn found_response<P: Platform>(node: &Node<P>, object: Object) -> Said {
     let value = object.value.unwrap_or_default();
     let Ok(intent) = serde_json::from_value::<Intent>(value) else {
         tracing::error!(event = "intent_unreadable", key = object.key);
@@ -115,12 +124,12 @@
     Said::Found(Box::new(intent), object.version, owner)
 }
 
-fn owner<P: Platform>(node: &Node<P>, found: &Intent) -> Owner {
+fn owner<P: Platform>(node: &Node<P>, recorded: &Intent) -> Owner {
     let own = &node.entry;
-    if found.instance == own.instance && found.incarnation == own.incarnation {
-        return lock(&node.tables.intents).owner(found.nonce);
+    if recorded.instance == own.instance && recorded.incarnation == own.incarnation {
+        return lock(&node.tables.intents).owner(recorded.nonce);
     }
     let members = lock(&node.tables.members);
-    let alive = members.is_alive(&found.instance, found.incarnation, node.now());
+    let alive = members.is_alive(&recorded.instance, recorded.incarnation, node.now());
     if alive { Owner::Busy } else { Owner::Gone }
 }
--- a/crates/nutmeggrade/src/service/replica.rs
+++ b/crates/nutmeggrade/src/service/replica.rs
@@ -1,4 +1,4 @@
-//! Sending a call to one replica.
+//! Sends a call to one replica.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,29 +11,29 @@
 use nutmeggrade_platform::{Platform, body_bytes, call_if};
 use tokio::time::timeout;
 
-use super::{Answer, Call};
+use super::{Call, ServiceResponse};
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Largest answer that is passed on, in bytes; it fits a platform object with room to spare.
-const MAX_ANSWER: usize = 512 << 10;
+/// Maximum size of a forwarded response; it fits into a platform object with space to spare.
+const MAX_RESPONSE_BYTES: usize = 512 << 10;
 
 /// Twice the resolution of the runtime's timers.
-const TIMER_STEP: Duration = Duration::from_millis(2);
+const TIMER_MARGIN: Duration = Duration::from_millis(2);
 
-/// How one attempt at one replica ended.
+/// Result of one attempt at one replica.
 #[derive(Debug)]
-pub enum Attempt {
-    /// The service answered.
-    Answered(Answer),
-    /// Proved not to have run: no connection was made, or the service refused before running it.
+pub enum AttemptResult {
+    /// The service responded.
+    Answered(ServiceResponse),
+    /// Certainly not run: the request was not sent, or the service refused it unprocessed.
     NotRun(String),
-    /// The call was handed over and its fate is unknown.
+    /// The call was sent, and it is unknown whether it ran.
     Lost(String),
 }
 
-impl Attempt {
-    /// Returns how it ended in one word.
+impl AttemptResult {
+    /// Returns the name of the result in explained requests.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -43,73 +43,73 @@
     }
 }
 
-/// A replica picked for one attempt; given back when dropped.
-struct Picked<'a, P: Platform> {
+/// A replica selected for one attempt; released on drop.
+struct PickedReplica<'a, P: Platform> {
     node: &'a Node<P>,
     id: EndpointId,
     address: SocketAddr,
 }
 
-impl<P: Platform> Drop for Picked<'_, P> {
+impl<P: Platform> Drop for PickedReplica<'_, P> {
     fn drop(&mut self) {
         lock(&self.node.tables.picker).end(&self.id);
     }
 }
 
-/// Sends a call to a replica in service that is not in `avoid`, and adds it there.
+/// Sends a call to a replica in service that is not in `avoid`, and adds the replica to `avoid`.
 pub async fn attempt<P: Platform>(
     node: &Arc<Node<P>>,
     call: &Call,
     avoid: &mut BTreeSet<EndpointId>,
-) -> Result<Attempt, Failure> {
-    let Some(picked) = pick(node, call, avoid) else {
+) -> Result<AttemptResult, Failure> {
+    let Some(replica) = pick_replica(node, call, avoid) else {
         let detail = format!("no replica of {} is in service", call.service);
         let failure = Failure::new(Code::NoEndpoint, &detail);
         return Err(failure.with_retry_after(node.settings.silence));
     };
-    avoid.insert(picked.id.clone());
-    let left = call.caller.deadline.since(node.now());
-    // The connect ends before the deadline cuts the whole, so that a call which never left is told
-    // as not run.
-    let connect = node.settings.connect.min(left.saturating_sub(TIMER_STEP));
-    if connect.is_zero() {
-        return Ok(Attempt::NotRun("the deadline passed before the call".to_owned()));
+    avoid.insert(replica.id.clone());
+    let remaining = call.caller.deadline.since(node.now());
+    // The connect timeout ends before the deadline of the whole exchange, so that a call which was
+    // never sent is reported as not run.
+    let connect_timeout = node.settings.connect.min(remaining.saturating_sub(TIMER_MARGIN));
+    if connect_timeout.is_zero() {
+        return Ok(AttemptResult::NotRun("the deadline passed before the call".to_owned()));
     }
-    let ended = timeout(left, exchange(node, call, &picked, connect)).await;
-    let ended = ended.unwrap_or_else(|_| Attempt::Lost("the deadline passed".to_owned()));
-    let (request, endpoint, left) = (&call.caller.request, &picked.id, left.as_millis());
-    node.note(
+    let result = timeout(remaining, exchange(node, call, &replica, connect_timeout)).await;
+    let result = result.unwrap_or_else(|_| AttemptResult::Lost("the deadline passed".to_owned()));
+    let (request, endpoint, remaining) = (&call.caller.request, &replica.id, remaining.as_millis());
+    node.record_step(
         request,
         "attempt",
-        &format!("endpoint={endpoint} left_ms={left} ended={}", ended.as_str()),
+        &format!("endpoint={endpoint} left_ms={remaining} ended={}", result.as_str()),
     );
-    Ok(ended)
+    Ok(result)
 }
 
-fn pick<'a, P: Platform>(
+fn pick_replica<'a, P: Platform>(
     node: &'a Node<P>,
     call: &Call,
     avoid: &BTreeSet<EndpointId>,
-) -> Option<Picked<'a, P>> {
+) -> Option<PickedReplica<'a, P>> {
     let table = lock(&node.tables.endpoints);
-    let serves = |e: &&Endpoint| match &e.kind {
+    let is_candidate = |e: &&Endpoint| match &e.kind {
         EndpointKind::Service { service } => *service == call.service && !avoid.contains(&e.id),
         EndpointKind::Engine { .. } => false,
     };
-    let usable: Vec<&EndpointId> = table.usable().filter(serves).map(|e| &e.id).collect();
-    let id = lock(&node.tables.picker).pick(&usable)?.clone();
+    let candidates: Vec<&EndpointId> = table.usable().filter(is_candidate).map(|e| &e.id).collect();
+    let id = lock(&node.tables.picker).pick(&candidates)?.clone();
     let address = table.get(&id)?.address;
-    Some(Picked { node, id, address })
+    Some(PickedReplica { node, id, address })
 }
 
 async fn exchange<P: Platform>(
     node: &Node<P>,
     call: &Call,
-    picked: &Picked<'_, P>,
-    connect: Duration,
-) -> Attempt {
-    let address = picked.address;
-    let may_send = || Ok(node.may_send(&picked.id)?);
+    replica: &PickedReplica<'_, P>,
+    connect_timeout: Duration,
+) -> AttemptResult {
+    let address = replica.address;
+    let may_send = || Ok(node.may_send(&replica.id)?);
     let request = Request::builder()
         .method(Method::POST)
         .uri(format!("/call/{}", call.operation))
@@ -119,23 +119,26 @@
         .body(Full::new(call.body.clone()));
     let request = match request {
         Ok(request) => request,
-        Err(error) => return Attempt::NotRun(error.to_string()),
+        Err(error) => return AttemptResult::NotRun(error.to_string()),
     };
-    let response = match call_if(address, request, connect, may_send).await {
+    let response = match call_if(address, request, connect_timeout, may_send).await {
         Ok(response) => response,
-        Err(error) if error.not_sent() => return Attempt::NotRun(error.to_string()),
-        Err(error) => return Attempt::Lost(error.to_string()),
+        Err(error) if error.not_sent() => return AttemptResult::NotRun(error.to_string()),
+        Err(error) => return AttemptResult::Lost(error.to_string()),
     };
     let status = response.status();
     if matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
-        return Attempt::NotRun(format!("the service answered {status}"));
+        return AttemptResult::NotRun(format!("the service answered {status}"));
     }
-    let content = response.headers().get(header::CONTENT_TYPE);
-    let content = content.and_then(|v| v.to_str().ok()).map(ToOwned::to_owned);
-    match body_bytes(response.into_body(), MAX_ANSWER).await {
-        Ok(body) => {
-            Attempt::Answered(Answer { status: status.as_u16(), content, body, replayed: false })
-        }
-        Err(error) => Attempt::Lost(format!("{error:#}")),
+    let content_type = response.headers().get(header::CONTENT_TYPE);
+    let content_type = content_type.and_then(|v| v.to_str().ok()).map(ToOwned::to_owned);
+    match body_bytes(response.into_body(), MAX_RESPONSE_BYTES).await {
+        Ok(body) => AttemptResult::Answered(ServiceResponse {
+            status: status.as_u16(),
+            content_type,
+            body,
+            replayed: false,
+        }),
+        Err(error) => AttemptResult::Lost(format!("{error:#}")),
     }
 }
--- a/crates/nutmeggrade/src/settings.rs
+++ b/crates/nutmeggrade/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings of an instance.
+//! Settings of an instance.
 
-mod clashes;
+mod conflicts;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -66,88 +66,88 @@
         .with_default("info"),
 ];
 
-/// Variables of the operators' command, which may run in the same environment.
+/// Environment variables of the operators' command, which may run in the same environment.
 const OPERATOR_VARIABLES: &[&str] =
     &["WHO", "WHY", "WAIT", "ADMIN", "CONFIRM", "DRY_RUN", "JSON", "ROUNDS"];
 
-/// Lists variables with the program's prefix that it does not know.
+/// Returns an error for each unknown variable with the program's prefix.
 ///
-/// A mistyped variable would leave its setting at the default without a word; one would notice it
-/// when the fence that was meant to be short turns out to be long.
+/// A mistyped variable would silently leave its setting at the default, for example a long fence
+/// that was meant to be short.
 fn unknown_variables() -> Vec<Mistake> {
-    let known = |name: &str| {
-        let of_spec = |s: &Spec| {
+    let is_known = |name: &str| {
+        let matches_spec = |s: &Spec| {
             let variable = s.variable();
             name == variable || (s.kind == Kind::Secret && name == format!("{variable}_FILE"))
         };
-        let bare = name.trim_start_matches(VARIABLE_PREFIX);
-        OPERATOR_VARIABLES.contains(&bare) || SPECS.iter().any(of_spec)
+        let unprefixed = name.trim_start_matches(VARIABLE_PREFIX);
+        OPERATOR_VARIABLES.contains(&unprefixed) || SPECS.iter().any(matches_spec)
     };
     let names = std::env::vars_os().filter_map(|(name, _)| name.into_string().ok());
-    let ours = names.filter(|n| n.starts_with(VARIABLE_PREFIX) && !known(n));
-    let mistake = |n| Mistake {
+    let prefixed = names.filter(|n| n.starts_with(VARIABLE_PREFIX) && !is_known(n));
+    let to_error = |n| Mistake {
         code: Code::UnknownSetting,
         detail: format!("{n} is not a variable of this program"),
     };
-    ours.map(mistake).collect()
+    prefixed.map(to_error).collect()
 }
 
 const fn range(unit: &'static str, min: u64, max: u64) -> Kind {
     Kind::Number { unit, min, max }
 }
 
-/// The settings of an instance, checked as a whole.
+/// Validated settings of an instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Name of this instance.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub domain: DomainId,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers connect.
+    /// Listening address for peers.
     pub peer_address: SocketAddr,
-    /// Where probes and operators connect.
+    /// Listening address for probes and operators.
     pub admin_address: SocketAddr,
-    /// Authenticates peers and event ids.
+    /// Key that authenticates peers and event ids.
     pub peer_key: Secret,
-    /// Authenticates operators.
+    /// Token that authenticates operators.
     pub operator_token: Secret,
-    /// How long callers keep an entry.
+    /// Time for which callers may cache an entry.
     pub entry_keep: Duration,
-    /// Most time that streams get to finish at a stop.
+    /// Maximum time for streams to finish during a planned stop.
     pub drain: Duration,
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub beacon: Duration,
-    /// Silence after which a peer counts as gone.
+    /// Time without heartbeats after which a peer counts as gone.
     pub silence: Duration,
-    /// Silence of all sides after which work is refused.
+    /// Time without contact to the platform or a quorum of peers after which work is refused.
     pub fence: Duration,
-    /// How long a confirmed right to an endpoint counts.
+    /// Validity of a confirmed right to an endpoint.
     pub lease: Duration,
-    /// Time between looks at the list of endpoints.
+    /// Interval between reads of the list of endpoints.
     pub refresh: Duration,
-    /// Time between load reports.
+    /// Interval between load reports.
     pub poll: Duration,
-    /// Most time to connect to an endpoint.
+    /// Timeout for a connection to an endpoint.
     pub connect: Duration,
-    /// Most time between tokens before a stream is resumed.
+    /// Maximum time between tokens before a stream is resumed.
     pub stall: Duration,
-    /// Most time for an answer of the platform.
+    /// Timeout for a response of the platform.
     pub platform_wait: Duration,
-    /// Most connections of callers.
+    /// Maximum number of connections of callers.
     pub connections: usize,
-    /// Largest body of a caller, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: u64,
-    /// Most time for a request's head.
+    /// Timeout for a request's head, its body, and an idle connection.
     pub header_wait: Duration,
-    /// Most time in which a caller takes no byte of its answer.
+    /// Maximum time in which a caller reads no byte of its response.
     pub write_wait: Duration,
-    /// Worker threads.
+    /// Number of worker threads.
     pub workers: usize,
-    /// Admin addresses of instances to ask while the platform is down.
+    /// Admin addresses of instances to contact while the platform is down.
     pub seeds: Vec<SocketAddr>,
     /// Log filter.
     pub log: String,
@@ -155,7 +155,7 @@
 }
 
 impl Settings {
-    /// Reads flags and environment variables; lists every mistake at once.
+    /// Reads flags and environment variables; returns all errors at once.
     pub fn load(args: &[String]) -> Result<Self, Vec<Mistake>> {
         let variable = |name: &str| std::env::var(name).ok();
         let file = |path: &str| std::fs::read_to_string(path).map_err(|e| e.to_string());
@@ -163,12 +163,12 @@
         let values = match Values::load(SPECS, args, variable, file) {
             Ok(values) if unknown.is_empty() => values,
             Ok(_) => return Err(unknown),
-            Err(mistakes) => return Err([mistakes, unknown].concat()),
+            Err(errors) => return Err([errors, unknown].concat()),
         };
         let settings = Self::new(values)
             .map_err(|e| vec![Mistake { code: Code::BadSetting, detail: format!("{e:#}") }])?;
-        let mistakes = settings.clashes();
-        if mistakes.is_empty() { Ok(settings) } else { Err(mistakes) }
+        let errors = settings.conflicts();
+        if errors.is_empty() { Ok(settings) } else { Err(errors) }
     }
 
     /// Returns the help text with every setting.
@@ -179,7 +179,7 @@
         format!("{flags}\nSecrets:\n{}", secrets.join("\n"))
     }
 
-    /// Lists the settings in force with their origin, secrets hidden.
+    /// Returns the settings in force with their origin, secrets masked.
     pub fn lines(&self) -> Vec<String> {
         self.values.lines()
     }
--- a/crates/nutmeggrade/src/tables.rs
+++ b/crates/nutmeggrade/src/tables.rs
@@ -21,48 +21,48 @@
 
 use crate::settings::Settings;
 
-/// Requests that wait for the scheduler, each with where its verdict goes.
+/// Senders that deliver the scheduler's verdict to each waiting request.
 pub type Waiters = BTreeMap<Ticket, oneshot::Sender<Verdict>>;
 
-/// The shared tables; locks are taken in the order of the fields.
+/// The shared tables; locks are acquired in the order of the fields.
 #[derive(Debug)]
 pub struct Tables {
     /// Configuration in force.
     pub config: Mutex<ConfigTable>,
-    /// Instances of the system.
+    /// Known instances.
     pub members: Mutex<Membership>,
-    /// Endpoints.
+    /// Endpoints with their state.
     pub endpoints: Mutex<EndpointTable>,
-    /// Rights to cold endpoints, under a lease.
+    /// Leased rights to cold endpoints.
     pub rights: Mutex<ColdRights>,
-    /// What operators want of engines.
+    /// Desired state of engines, as set by operators.
     pub orders: Mutex<OrderTable>,
     /// Admission and routing of generations.
     pub scheduler: Mutex<Scheduler>,
     /// Routing of service calls.
     pub picker: Mutex<ServicePicker>,
-    /// Whether failed attempts may be repeated.
+    /// Budget for retries of failed attempts.
     pub retries: Mutex<RetryBudget>,
-    /// Whether new work may be taken.
+    /// Refuses new work while the instance is cut off.
     pub fence: Mutex<Fence>,
-    /// Requests that wait.
+    /// Requests that wait for a verdict.
     pub waiters: Mutex<Waiters>,
-    /// What was decided about recent requests.
+    /// Decisions about recent requests.
     pub explain: Mutex<ExplainLog>,
-    /// Accepted changes that were in force lately.
+    /// Recent configuration changes.
     pub changes: Mutex<RecentChanges>,
-    /// What this instance did and refused.
+    /// Audit trail of this instance.
     pub audit: Mutex<AuditLog>,
-    /// Non-idempotent calls whose records are not settled.
+    /// Non-idempotent calls whose records have no final outcome yet.
     pub intents: Mutex<OwnIntents>,
-    /// Requests that may crash engines.
+    /// Requests that are suspected of crashing engines.
     pub suspects: Mutex<Suspects>,
     /// Generations whose callers left.
     pub orphans: Mutex<Orphans>,
 }
 
 impl Tables {
-    /// Makes empty tables.
+    /// Creates empty tables.
     pub fn new(settings: &Settings, own: &Entry, seed: u64) -> Self {
         Self {
             config: Mutex::new(ConfigTable::new()),
@@ -85,8 +85,9 @@
     }
 }
 
-/// Takes a lock. A worker that panicked left the table between two whole events, since tables
-/// change through methods that don't panic halfway; going on is safer than stopping all workers.
+/// Locks a table and ignores poisoning. Tables change only through methods that don't panic
+/// halfway, so they are consistent after a worker's panic; continuing is safer than stopping all
+/// workers.
 pub fn lock<T>(table: &Mutex<T>) -> MutexGuard<'_, T> {
     table.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/nutmeggrade/src/tasks.rs
+++ b/crates/nutmeggrade/src/tasks.rs
@@ -1,11 +1,11 @@
 //! Background tasks of an instance.
 
-mod beacon;
 mod catch_up;
 mod cleanup;
 mod config_watch;
 mod endpoint_refresh;
-mod hearing;
+mod heartbeat_receiver;
+mod heartbeat_sender;
 mod load_poll;
 mod orphans;
 mod registration;
@@ -30,12 +30,12 @@
     tokio::spawn(registration::run(Arc::clone(node), Arc::clone(peers)));
     tokio::spawn(endpoint_refresh::run(Arc::clone(node)));
     tokio::spawn(load_poll::run(Arc::clone(node)));
-    tokio::spawn(crate::orders::follow(Arc::clone(node)));
-    tokio::spawn(crate::orders::give(Arc::clone(node)));
+    tokio::spawn(crate::orders::watch_orders(Arc::clone(node)));
+    tokio::spawn(crate::orders::run_owner(Arc::clone(node)));
     tokio::spawn(crate::audit::run(Arc::clone(node)));
     tokio::spawn(orphans::run(Arc::clone(node)));
     tokio::spawn(release::run(Arc::clone(node)));
-    tokio::spawn(beacon::run(Arc::clone(node), Arc::clone(peers)));
+    tokio::spawn(heartbeat_sender::run(Arc::clone(node), Arc::clone(peers)));
     let node = Arc::clone(node);
-    std::thread::spawn(move || hearing::run(&node));
+    std::thread::spawn(move || heartbeat_receiver::run(&node));
 }
