--- a/crates/nutmeggrade/src/tasks/catch_up.rs
+++ b/crates/nutmeggrade/src/tasks/catch_up.rs
@@ -1,4 +1,5 @@
-//! Gets from peers what the platform can't give: a higher configuration, or all of it at a start.
+//! Fetches state from peers while the platform is unavailable: a newer configuration, or at startup
+//! the whole state.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,15 +17,15 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Pause between tries; also how often a start looks whether the platform answered.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Looks that the platform gets before a starting instance asks its seeds.
-const GRACE: u32 = 2;
+/// Delay between attempts, and between a starting instance's checks for a configuration.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Checks without a configuration before a starting instance contacts its seeds.
+const MAX_CHECKS: u32 = 2;
 
 pub(super) async fn run<P: Platform>(node: Arc<Node<P>>) {
-    let mut looks = 0;
+    let mut checks = 0;
     loop {
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
         let (wanted, version) = {
             let config = lock(&node.tables.config);
             (config.wanted(), config.version())
@@ -32,29 +33,29 @@
         if let Some(wanted) = wanted {
             catch_up(&node, wanted).await;
         } else if version == 0 {
-            looks += 1;
-            if looks > GRACE {
+            checks += 1;
+            if checks > MAX_CHECKS {
                 join(&node).await;
             }
         }
     }
 }
 
-/// Reads the version that a peer has in force, from the platform or else from a peer that has it.
+/// Fetches the version that a peer has in force from the platform, or else from a peer that has it.
 async fn catch_up<P: Platform>(node: &Node<P>, wanted: u64) {
     if let Ok(Some(object)) = node.platform.read(&Configuration::key(wanted)).await {
         let value = object.value.unwrap_or_default();
         if let Ok(config) = serde_json::from_value::<Configuration>(value) {
-            node.offer_config(&config, "platform");
+            node.apply_config(&config, "platform");
             return;
         }
     }
     let holders = lock(&node.tables.members).holders(wanted);
     for entry in holders {
-        match ask(node, entry.admin_address, Topic::Config).await {
+        match send_request(node, entry.admin_address, Topic::Config).await {
             Ok(reply) => {
                 if let Some(config) = reply.config
-                    && node.offer_config(&config, "peer")
+                    && node.apply_config(&config, "peer")
                 {
                     return;
                 }
@@ -67,15 +68,16 @@
     }
 }
 
-/// Learns the configuration, the instances and the endpoints from the seeds and whom they know.
+/// Fetches the configuration, the instances and the endpoints from the seeds and, in turn, from the
+/// instances that these list.
 async fn join<P: Platform>(node: &Node<P>) {
     let mut next: Vec<SocketAddr> = node.settings.seeds.clone();
-    let mut asked = BTreeSet::new();
+    let mut visited = BTreeSet::new();
     while let Some(address) = next.pop() {
-        if address == node.entry.admin_address || !asked.insert(address) {
+        if address == node.entry.admin_address || !visited.insert(address) {
             continue;
         }
-        match join_at(node, address).await {
+        match join_from(node, address).await {
             Ok(entries) => next.extend(entries),
             Err(error) => {
                 let error = format!("{error:#}");
@@ -85,32 +87,32 @@
     }
 }
 
-async fn join_at<P: Platform>(
+async fn join_from<P: Platform>(
     node: &Node<P>,
     address: SocketAddr,
 ) -> anyhow::Result<Vec<SocketAddr>> {
-    let fleet = ask(node, address, Topic::Fleet).await?;
+    let fleet = send_request(node, address, Topic::Fleet).await?;
     for entry in &fleet.entries {
-        node.meet(entry);
+        node.add_peer(entry);
     }
     if let Some(assignment) = &fleet.assignment {
         lock(&node.tables.rights).hint(assignment, node.now());
     }
     lock(&node.tables.endpoints).start_with(&fleet.endpoints);
     node.sync_engines();
-    if let Some(config) = ask(node, address, Topic::Config).await?.config {
-        node.offer_config(&config, "seed");
+    if let Some(config) = send_request(node, address, Topic::Config).await?.config {
+        node.apply_config(&config, "seed");
     }
     Ok(fleet.entries.iter().map(|e| e.admin_address).collect())
 }
 
-async fn ask<P: Platform>(
+async fn send_request<P: Platform>(
     node: &Node<P>,
     address: SocketAddr,
     topic: Topic,
 ) -> anyhow::Result<SyncReply> {
-    let question = SyncRequest { entry: node.entry.clone(), topic };
-    let frame = seal(&question, &node.peer_key()).context("seal")?;
+    let request = SyncRequest { entry: node.entry.clone(), topic };
+    let frame = seal(&request, &node.peer_key()).context("seal")?;
     let request = Request::builder()
         .method(Method::POST)
         .uri(SYNC_PATH)
@@ -123,6 +125,7 @@
         anyhow::ensure!(status.is_success(), "peer answered {status}");
         body_bytes(response.into_body(), MAX_MESSAGE).await
     };
-    let frame = timeout(node.settings.platform_wait, exchange).await.context("no answer")??;
-    open(&frame, &node.peer_key()).context("open answer")
+    let frame =
+        timeout(node.settings.platform_wait, exchange).await.context("response timeout")??;
+    open(&frame, &node.peer_key()).context("decode response")
 }
--- a/crates/nutmeggrade/src/tasks/config_watch.rs
+++ b/crates/nutmeggrade/src/tasks/config_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration's versions in the platform.
+//! Watches the platform for new configuration versions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,65 +12,65 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 pub(super) async fn run<P: Platform>(node: Arc<Node<P>>) {
-    // A waiting watch counts as one call. It must end well before the fence closes, since its answer
-    // only counts from the moment at which it was asked for.
-    let wait = node.settings.fence / 2;
+    // A long-poll watch counts as one call. It must end well before the fence closes, since its
+    // response confirms the connection only as of the time of the request.
+    let watch_timeout = node.settings.fence / 2;
     let mut revision = None;
     loop {
-        let asked = node.now();
-        let looked = match revision {
-            None => find(&node).await,
-            Some(since) => follow(&node, since, wait).await,
+        let requested_at = node.now();
+        let result = match revision {
+            None => find_newest(&node).await,
+            Some(since) => watch_newer(&node, since, watch_timeout).await,
         };
-        match looked {
+        match result {
             Ok(next) => {
-                lock(&node.tables.fence).hear_platform(asked);
+                lock(&node.tables.fence).hear_platform(requested_at);
                 revision = next;
             }
             Err(error) => {
                 tracing::debug!(event = "config_watch_failed", %error);
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Finds the newest version, however many there are; returns the revision to follow from.
-async fn find<P: Platform>(node: &Node<P>) -> Result<Option<u64>, PlatformError> {
+/// Finds the newest version among any number; returns the revision to watch from.
+async fn find_newest<P: Platform>(node: &Node<P>) -> Result<Option<u64>, PlatformError> {
     let newest = newest_config(&node.platform).await?;
     if let Some(config) = &newest.config {
-        node.offer_config(config, "platform");
+        node.apply_config(config, "platform");
     }
     Ok(Some(newest.revision))
 }
 
-/// Waits for a version after `since`; `None` says that there are too many to follow one by one.
-async fn follow<P: Platform>(
+/// Waits for versions after `since`; returns `None` if there are too many for one watch.
+async fn watch_newer<P: Platform>(
     node: &Node<P>,
     since: u64,
-    wait: Duration,
+    watch_timeout: Duration,
 ) -> Result<Option<u64>, PlatformError> {
-    let changes = node.platform.watch(CONFIG_PREFIX, since, wait).await?;
-    take(node, &changes)?;
+    let changes = node.platform.watch(CONFIG_PREFIX, since, watch_timeout).await?;
+    apply_newest(node, &changes)?;
     Ok((changes.objects.len() < WATCH_LIMIT).then_some(changes.revision))
 }
 
-/// Puts the newest version in force. One that can't be read is a failure: what it takes out is not
-/// known, so the answer must not count for the fence.
-fn take<P: Platform>(node: &Node<P>, changes: &Changes) -> Result<(), PlatformError> {
+/// Puts the newest version in force. A version that can't be decoded is an error: it may take
+/// endpoints out of service, so the response must not keep the fence open.
+fn apply_newest<P: Platform>(node: &Node<P>, changes: &Changes) -> Result<(), PlatformError> {
     for config in changes.objects.iter().filter_map(|o| decode(o).ok()) {
         lock(&node.tables.changes).note(&config);
     }
-    // Keys sort by version, and only the newest that still exists matters.
-    let live = changes.objects.iter().filter(|o| o.value.is_some());
-    let Some(object) = live.max_by(|a, b| a.key.cmp(&b.key)) else { return Ok(()) };
+    // Keys sort by version, and only the newest existing version matters.
+    let existing = changes.objects.iter().filter(|o| o.value.is_some());
+    let Some(object) = existing.max_by(|a, b| a.key.cmp(&b.key)) else { return Ok(()) };
     match decode(object) {
         Ok(config) => {
-            node.offer_config(&config, "platform");
+            node.apply_config(&config, "platform");
             Ok(())
         }
         Err(error) => {
--- a/crates/nutmeggrade/src/tasks/endpoint_refresh.rs
+++ b/crates/nutmeggrade/src/tasks/endpoint_refresh.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's lagging list of endpoints.
+//! Refreshes the list of endpoints, which lags behind in the platform.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     loop {
         match node.platform.endpoints().await {
             Ok(list) => {
-                take(&node, &list);
+                apply_list(&node, &list);
                 node.sync_engines();
             }
             Err(error) => tracing::debug!(event = "endpoint_list_failed", %error),
@@ -22,7 +22,7 @@
     }
 }
 
-fn take<P: Platform>(node: &Node<P>, list: &[Endpoint]) {
+fn apply_list<P: Platform>(node: &Node<P>, list: &[Endpoint]) {
     let mut table = lock(&node.tables.endpoints);
     table.set_list(list);
     lock(&node.tables.rights).retain(|e| table.get(e).is_some());
--- a/crates/nutmeggrade/src/tasks/beacon.rs
+++ b/crates/nutmeggrade/src/tasks/heartbeat_sender.rs
@@ -1,4 +1,4 @@
-//! Sends this instance's heartbeat.
+//! Sends this instance's heartbeats.
 
 use std::sync::Arc;
 
@@ -20,16 +20,16 @@
             Ok(bytes) => node.metrics.peer_bytes.with_label_values(&["out"]).inc_by(bytes),
             Err(error) => tracing::warn!(event = "beacon_failed", error = format!("{error:#}")),
         }
-        hear(&node);
-        // A planned stop is told at once, so that peers stop handing out this address, and so is the
-        // crash of an engine.
-        let news = async {
+        update_peer_state(&node);
+        // A planned stop is announced at once, so that peers no longer list this address, and so is
+        // the crash of an engine.
+        let urgent = async {
             tokio::select! {
                 changed = phase.changed() => drop(changed),
-                () = node.news.notified() => {}
+                () = node.heartbeat_wakeup.notified() => {}
             }
         };
-        drop(timeout(node.settings.beacon, news).await);
+        drop(timeout(node.settings.beacon, urgent).await);
     }
 }
 
@@ -43,9 +43,9 @@
     };
     let in_flight = lock(&node.tables.scheduler).in_flight();
     let platform = lock(&node.tables.fence).platform().map(|at| now.since(at));
-    // Peers name whoever is not leaving to callers. One that starts and is not ready, or that may
-    // not work for another reason, would refuse them.
-    let leaving = node.phase() > Phase::Serving || node.may_work().is_err();
+    // Peers list every instance that is not leaving as an entry. An instance that is not ready, at
+    // its start or for another reason, would refuse the callers sent to it.
+    let leaving = node.phase() > Phase::Serving || node.check_ready().is_err();
     let Entry { instance, incarnation, .. } = node.entry.clone();
     let entry = Beacon::introduces(sequence).then(|| node.entry.clone());
     let suspects = lock(&node.tables.suspects).tell(now);
@@ -65,7 +65,7 @@
     }
 }
 
-fn hear<P: Platform>(node: &Arc<Node<P>>) {
+fn update_peer_state<P: Platform>(node: &Arc<Node<P>>) {
     let now = node.now();
     let (live, in_flight) = {
         let members = lock(&node.tables.members);
--- a/crates/nutmeggrade/src/tasks/load_poll.rs
+++ b/crates/nutmeggrade/src/tasks/load_poll.rs
@@ -1,4 +1,4 @@
-//! Asks every engine for its load.
+//! Polls the load reports of all engines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     loop {
         let engines = engines(&node);
         join_all(engines.iter().map(|(id, address)| poll(&node, id, *address))).await;
-        // The room on cold endpoints follows from the reports.
+        // The free slots of cold endpoints depend on the reports.
         node.sync_engines();
         sleep(node.settings.poll).await;
     }
@@ -30,12 +30,12 @@
 }
 
 async fn poll<P: Platform>(node: &Node<P>, id: &EndpointId, address: SocketAddr) {
-    let asked = node.now();
-    match node.engines.standing(address, node.settings.connect).await {
-        Ok(standing) => {
-            lock(&node.tables.endpoints).note_leaving(id, standing.leaving);
-            lock(&node.tables.rights).note_load(id, sample(&standing.load, asked));
-            lock(&node.tables.scheduler).report(id, &standing.load, node.now());
+    let requested_at = node.now();
+    match node.engines.load_report(address, node.settings.connect).await {
+        Ok(status) => {
+            lock(&node.tables.endpoints).note_leaving(id, status.leaving);
+            lock(&node.tables.rights).note_load(id, sample(&status.load, requested_at));
+            lock(&node.tables.scheduler).report(id, &status.load, node.now());
         }
         Err(error) => {
             lock(&node.tables.rights).forget_load(id);
@@ -44,9 +44,9 @@
     }
 }
 
-/// Dates a report: it can't be older than its age counted back from the question.
-fn sample(report: &LoadReport, asked: Moment) -> LoadSample {
-    let taken = asked.since_start().saturating_sub(report.age);
+/// Creates a sample dated by its earliest possible time: the time of the request minus its age.
+fn sample(report: &LoadReport, requested_at: Moment) -> LoadSample {
+    let taken = requested_at.since_start().saturating_sub(report.age);
     LoadSample {
         taken: Moment::new(taken),
         held: report.running + report.waiting,
--- a/crates/nutmeggrade/src/tasks/orphans.rs
+++ b/crates/nutmeggrade/src/tasks/orphans.rs
@@ -1,4 +1,4 @@
-//! Cancels generations whose callers left and did not resume anywhere.
+//! Cancels generations whose callers left and did not resume at any instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,24 +10,24 @@
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Time between looks.
-const TICK: Duration = Duration::from_millis(500);
-/// Silence after which a peer can no longer serve a caller that resumed there.
-const GONE: Duration = Duration::from_mins(1);
+/// Interval between checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Silence after which a peer is assumed to serve no resumed generations any more.
+const PEER_TIMEOUT: Duration = Duration::from_mins(1);
 
 pub(super) async fn run<P: Platform>(node: Arc<Node<P>>) {
     loop {
-        sleep(TICK).await;
+        sleep(CHECK_INTERVAL).await;
         let now = node.now();
         let due = {
             let members = lock(&node.tables.members);
-            lock(&node.tables.orphans).due(now, |at| members.all_heard(at, GONE, now))
+            lock(&node.tables.orphans).due(now, |at| members.all_heard(at, PEER_TIMEOUT, now))
         };
         for (generation, address) in due {
             tracing::info!(event = "orphan_cancelled", %generation, %address);
             cancel(&node, address, generation);
         }
-        let condemned = lock(&node.tables.suspects).condemned(now);
-        node.metrics.suspects.set(i64::try_from(condemned).unwrap_or(i64::MAX));
+        let refused = lock(&node.tables.suspects).condemned(now);
+        node.metrics.suspects.set(i64::try_from(refused).unwrap_or(i64::MAX));
     }
 }
--- a/crates/nutmeggrade/src/tasks/registration.rs
+++ b/crates/nutmeggrade/src/tasks/registration.rs
@@ -1,4 +1,4 @@
-//! Announces this instance in the platform and learns of the others.
+//! Registers this instance in the platform and watches for the other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,52 +15,52 @@
 use crate::tables::lock;
 
 pub(super) const PREFIX: &str = "instances/";
-const WATCH: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(250);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 pub(super) async fn run<P: Platform>(node: Arc<Node<P>>, peers: Arc<Peers>) {
-    announce(&node).await;
+    register_until_done(&node).await;
     let mut revision = None;
     loop {
-        // Watched from the start, the removed entries of all former instances would come too.
-        let looked = match revision {
+        // A watch from revision 0 would also return the removed entries of all former instances.
+        let result = match revision {
             None => node.platform.list(PREFIX).await,
-            Some(since) => node.platform.watch(PREFIX, since, WATCH).await,
+            Some(since) => node.platform.watch(PREFIX, since, WATCH_TIMEOUT).await,
         };
-        match looked {
+        match result {
             Ok(changes) => {
                 revision = Some(changes.revision);
                 for object in &changes.objects {
-                    take(&node, &peers, object);
+                    apply_change(&node, &peers, object);
                 }
-                if lost_own(&node, &changes.objects) {
-                    announce(&node).await;
+                if own_entry_removed(&node, &changes.objects) {
+                    register_until_done(&node).await;
                 }
             }
             Err(error) => {
                 tracing::debug!(event = "instance_watch_failed", %error);
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn announce<P: Platform>(node: &Node<P>) {
+async fn register_until_done<P: Platform>(node: &Node<P>) {
     while let Err(error) = register(node).await {
         tracing::warn!(event = "register_failed", error = format!("{error:#}"));
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// Says whether this instance's own entry was removed while it serves: it was cut off from the
-/// others for so long that they took it for gone.
-fn lost_own<P: Platform>(node: &Node<P>, changed: &[Object]) -> bool {
+/// Returns whether this instance's own entry was removed while it serves: another instance removes
+/// it if this one is cut off for long enough.
+fn own_entry_removed<P: Platform>(node: &Node<P>, changed: &[Object]) -> bool {
     let own = key(&node.entry.instance);
-    let gone = changed.iter().any(|o| o.key == own && o.value.is_none());
-    gone && node.phase() == Phase::Serving
+    let removed = changed.iter().any(|o| o.key == own && o.value.is_none());
+    removed && node.phase() == Phase::Serving
 }
 
-/// Removes this instance's object, so that peers forget it at once.
+/// Removes this instance's registration, so that peers remove it at once.
 pub async fn unregister<P: Platform>(node: &Node<P>) {
     let key = key(&node.entry.instance);
     let found = node.platform.read(&key).await;
@@ -80,12 +80,14 @@
         Err(PlatformError::Conflict) => {}
         Err(error) => return Err(error.into()),
     }
-    let Some(old) = node.platform.read(&key).await? else { anyhow::bail!("own object vanished") };
-    node.platform.replace(&key, &value, old.version).await?;
+    let Some(current) = node.platform.read(&key).await? else {
+        anyhow::bail!("own registration was removed")
+    };
+    node.platform.replace(&key, &value, current.version).await?;
     Ok(())
 }
 
-fn take<P: Platform>(node: &Node<P>, peers: &Peers, object: &Object) {
+fn apply_change<P: Platform>(node: &Node<P>, peers: &Peers, object: &Object) {
     let Some(entry) = entry(object) else {
         let name = object.key.trim_start_matches(PREFIX);
         if let Ok(instance) = InstanceId::new(name) {
@@ -94,7 +96,7 @@
         }
         return;
     };
-    node.meet(&entry);
+    node.add_peer(&entry);
 }
 
 pub(super) fn entry(object: &Object) -> Option<Entry> {
