--- a/crates/nutmeggrade/src/cmd/help.rs
+++ b/crates/nutmeggrade/src/cmd/help.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade::Settings;
 
-const BRIEF: &str = "Usage: nutmeggrade [run|relay|check|check relay] [--FLAG VALUE]...
+const USAGE: &str = "Usage: nutmeggrade [run|relay|check|check relay] [--FLAG VALUE]...
 
   run           serves generations and calls until SIGTERM (the default)
   relay         serves the routes of a platform until SIGTERM
@@ -20,6 +20,6 @@
 
 /// Runs the subcommand.
 pub fn run() -> ExitCode {
-    println!("{}", Settings::usage(BRIEF));
+    println!("{}", Settings::usage(USAGE));
     ExitCode::SUCCESS
 }
--- a/crates/nutmeggrade/src/metrics.rs
+++ b/crates/nutmeggrade/src/metrics.rs
@@ -61,22 +61,22 @@
         let registry = Registry::new_custom(Some("nutmeggrade".to_owned()), None)?;
         let counter = |name: &str, help: &str| -> anyhow::Result<IntCounter> {
             let metric = IntCounter::new(name, help)?;
-            registry.register(Box::new(metric.clone())).context("register")?;
+            registry.register(Box::new(metric.clone())).context("register metric")?;
             Ok(metric)
         };
         let counters = |name: &str, help: &str, labels: &[&str]| -> anyhow::Result<IntCounterVec> {
             let metric = IntCounterVec::new(Opts::new(name, help), labels)?;
-            registry.register(Box::new(metric.clone())).context("register")?;
+            registry.register(Box::new(metric.clone())).context("register metric")?;
             Ok(metric)
         };
         let gauge = |name: &str, help: &str| -> anyhow::Result<IntGauge> {
             let metric = IntGauge::new(name, help)?;
-            registry.register(Box::new(metric.clone())).context("register")?;
+            registry.register(Box::new(metric.clone())).context("register metric")?;
             Ok(metric)
         };
         let gauges = |name: &str, help: &str, label: &str| -> anyhow::Result<IntGaugeVec> {
             let metric = IntGaugeVec::new(Opts::new(name, help), &[label])?;
-            registry.register(Box::new(metric.clone())).context("register")?;
+            registry.register(Box::new(metric.clone())).context("register metric")?;
             Ok(metric)
         };
         Ok(Self {
--- a/crates/nutmeggrade/src/orders/owner.rs
+++ b/crates/nutmeggrade/src/orders/owner.rs
@@ -173,7 +173,7 @@
         return Ok(());
     }
     let key = Effect::key(&owned.endpoint);
-    let value = serde_json::to_value(&status).context("encode effect")?;
+    let value = serde_json::to_value(&status).context("encode order status")?;
     match node.platform.read(&key).await? {
         None => node.platform.create(&key, &value).await?,
         Some(object) => {
--- a/crates/nutmeggrade/src/peers.rs
+++ b/crates/nutmeggrade/src/peers.rs
@@ -40,11 +40,11 @@
     /// Opens the sockets and listens for subscribers.
     pub fn new(address: SocketAddr, key: &Secret) -> anyhow::Result<Self> {
         let publisher = Socket::new(Protocol::Pub0).context("open publisher")?;
-        publisher.set_opt::<SendTimeout>(Some(SEND_TIMEOUT)).context("send timeout")?;
+        publisher.set_opt::<SendTimeout>(Some(SEND_TIMEOUT)).context("set send timeout")?;
         // Subscribers send nothing, but nng reads whatever arrives, and without a limit allocates
         // the size that a message announces: one unauthenticated connection could use up all
         // memory.
-        publisher.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("message limit")?;
+        publisher.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("set message size limit")?;
         let subscribers = Arc::new(Mutex::new(BTreeSet::new()));
         let connected = Arc::clone(&subscribers);
         publisher
@@ -54,9 +54,13 @@
             .with_context(|| format!("listen for peers on {address}"))?;
         let subscriber = Socket::new(Protocol::Sub0).context("open subscriber")?;
         subscriber.set_opt::<Subscribe>(Vec::new()).context("subscribe")?;
-        subscriber.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("message limit")?;
-        subscriber.set_opt::<ReconnectMinTime>(Some(MIN_RECONNECT_DELAY)).context("reconnect")?;
-        subscriber.set_opt::<ReconnectMaxTime>(Some(MAX_RECONNECT_DELAY)).context("reconnect")?;
+        subscriber.set_opt::<RecvMaxSize>(MAX_MESSAGE).context("set message size limit")?;
+        subscriber
+            .set_opt::<ReconnectMinTime>(Some(MIN_RECONNECT_DELAY))
+            .context("set reconnect delay")?;
+        subscriber
+            .set_opt::<ReconnectMaxTime>(Some(MAX_RECONNECT_DELAY))
+            .context("set reconnect delay")?;
         let dialers = Mutex::new(BTreeMap::new());
         let key = key.key("peer messages");
         Ok(Self { publisher, subscriber, listener, dialers, subscribers, key })
@@ -64,7 +68,7 @@
 
     /// Returns the address at which peers subscribe.
     pub fn address(&self) -> anyhow::Result<SocketAddr> {
-        let mut address = match self.listener.get_opt::<LocalAddr>().context("peer address")? {
+        let mut address = match self.listener.get_opt::<LocalAddr>().context("read peer address")? {
             NngAddr::Inet(address) => SocketAddr::V4(address),
             NngAddr::Inet6(address) => SocketAddr::V6(address),
             other => anyhow::bail!("peer address {other:?} is not ip:port"),
--- a/crates/nutmeggrade/src/server.rs
+++ b/crates/nutmeggrade/src/server.rs
@@ -20,8 +20,8 @@
 pub async fn run(settings: &Settings) -> anyhow::Result<()> {
     let mut sigterm = signal(SignalKind::terminate()).context("handle SIGTERM")?;
     let mut sigint = signal(SignalKind::interrupt()).context("handle SIGINT")?;
-    let caller_socket = front::bind(settings.caller_address).context("callers")?;
-    let admin_socket = front::bind(settings.admin_address).context("admin")?;
+    let caller_socket = front::bind(settings.caller_address).context("caller listener")?;
+    let admin_socket = front::bind(settings.admin_address).context("admin listener")?;
     let peers = Arc::new(Peers::new(settings.peer_address, &settings.peer_key)?);
     let entry = Entry {
         instance: settings.instance.clone(),
--- a/crates/nutmeggrade/src/settings.rs
+++ b/crates/nutmeggrade/src/settings.rs
@@ -172,10 +172,10 @@
     }
 
     /// Returns the help text with every setting.
-    pub fn usage(brief: &str) -> String {
+    pub fn usage(summary: &str) -> String {
         let secrets = SPECS.iter().filter(|s| s.kind == Kind::Secret);
         let secrets: Vec<String> = secrets.map(|s| format!("    {}", s.describe())).collect();
-        let flags = Values::options(SPECS).usage(brief);
+        let flags = Values::options(SPECS).usage(summary);
         format!("{flags}\nSecrets:\n{}", secrets.join("\n"))
     }
 
--- a/crates/nutmeggrade/src/tasks/catch_up.rs
+++ b/crates/nutmeggrade/src/tasks/catch_up.rs
@@ -20,7 +20,7 @@
 /// Delay between attempts, and between a starting instance's checks for a configuration.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Checks without a configuration before a starting instance contacts its seeds.
-const MAX_CHECKS: u32 = 2;
+const CHECKS_BEFORE_JOIN: u32 = 2;
 
 pub(super) async fn run<P: Platform>(node: Arc<Node<P>>) {
     let mut checks = 0;
@@ -34,7 +34,7 @@
             catch_up(&node, wanted).await;
         } else if version == 0 {
             checks += 1;
-            if checks > MAX_CHECKS {
+            if checks > CHECKS_BEFORE_JOIN {
                 join(&node).await;
             }
         }
@@ -112,7 +112,7 @@
     topic: Topic,
 ) -> anyhow::Result<SyncReply> {
     let request = SyncRequest { entry: node.entry.clone(), topic };
-    let frame = seal(&request, &node.peer_key()).context("seal")?;
+    let frame = seal(&request, &node.peer_key()).context("encode request")?;
     let request = Request::builder()
         .method(Method::POST)
         .uri(SYNC_PATH)
