--- a/crates/nutmeggrade/src/metrics.rs
+++ b/crates/nutmeggrade/src/metrics.rs
@@ -14,7 +14,7 @@
     pub tokens: IntCounter,
     /// Open streams.
     pub streams: IntGauge,
-    /// Retries of generations before their first token.
+    /// Retries of generations before their first token, and of idempotent calls.
     pub retries: IntCounter,
     /// Attempts to resume a stream at its engine.
     pub resumes: IntCounter,
--- a/crates/nutmeggrade/src/tasks/rights.rs
+++ b/crates/nutmeggrade/src/tasks/rights.rs
@@ -38,7 +38,7 @@
 
 /// Reads the current epoch and writes the next one if it is due.
 async fn confirm<P: Platform>(node: &Node<P>) -> anyhow::Result<()> {
-    // The response reflects an unknown time after the request, so it counts from the request on.
+    // The response is dated by its request, since it reflects an unknown time after that.
     let requested_at = node.now();
     let found = node.platform.read(ASSIGNMENT_KEY).await?;
     let version = found.as_ref().map_or(0, |o| o.version);
