--- a/crates/nutmeggrade/src/engine_client.rs
+++ b/crates/nutmeggrade/src/engine_client.rs
@@ -42,17 +42,17 @@
 }
 
 /// Stream of an engine's tokens; an error or an early end means that the connection broke.
-pub struct TokenStream {
+pub struct Tokens {
     events: Pin<Box<eventsource_stream::EventStream<BodyDataStream<Incoming>>>>,
 }
 
-impl std::fmt::Debug for TokenStream {
+impl std::fmt::Debug for Tokens {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("TokenStream")
+        f.write_str("Tokens")
     }
 }
 
-impl TokenStream {
+impl Tokens {
     fn new(body: Incoming) -> Self {
         Self { events: Box::pin(BodyDataStream::new(body).eventsource()) }
     }
@@ -101,7 +101,7 @@
         address: SocketAddr,
         request: &Generate,
         may_send: impl FnOnce() -> anyhow::Result<()>,
-    ) -> Result<TokenStream, StartError> {
+    ) -> Result<Tokens, StartError> {
         let body = json_body(request).map_err(StartError::NotRun)?;
         let request = Request::builder()
             .method(Method::POST)
@@ -118,7 +118,7 @@
         let status = response.status();
         let error = anyhow::anyhow!("engine answered {status}");
         match status {
-            s if s.is_success() => Ok(TokenStream::new(response.into_body())),
+            s if s.is_success() => Ok(Tokens::new(response.into_body())),
             // A gateway or a crashing engine may answer 500 or 502 after the work began.
             s if s.is_client_error() || s == StatusCode::SERVICE_UNAVAILABLE => {
                 Err(StartError::NotRun(error))
@@ -133,14 +133,14 @@
         address: SocketAddr,
         generation: GenerationId,
         from: u64,
-    ) -> Result<TokenStream, ResumeError> {
+    ) -> Result<Tokens, ResumeError> {
         let path = format!("{GENERATIONS_PATH}/{generation}?from={from}");
         let request = empty_request(Method::GET, &path, address).map_err(ResumeError::Failed)?;
         let response = call(address, request, self.connect_timeout)
             .await
             .map_err(|e| ResumeError::Failed(e.into()))?;
         match response.status() {
-            s if s.is_success() => Ok(TokenStream::new(response.into_body())),
+            s if s.is_success() => Ok(Tokens::new(response.into_body())),
             StatusCode::NOT_FOUND | StatusCode::GONE => Err(ResumeError::Gone),
             s => Err(ResumeError::Failed(anyhow::anyhow!("engine answered {s}"))),
         }
--- a/crates/nutmeggrade/src/generation/attempt.rs
+++ b/crates/nutmeggrade/src/generation/attempt.rs
@@ -11,7 +11,7 @@
 
 use super::{Completion, Placement, Session, SuspectGuard, cancel};
 use crate::caller::Caller;
-use crate::engine_client::{StartError, TokenStream};
+use crate::engine_client::{StartError, Tokens};
 use crate::node::Node;
 use crate::tables::lock;
 
@@ -104,7 +104,7 @@
     address: SocketAddr,
     request: &Generate,
     placement: &Placement<P>,
-) -> Result<Option<TokenStream>, FailedAttempt> {
+) -> Result<Option<Tokens>, FailedAttempt> {
     let generation = request.generation;
     let mut guard = CancelGuard { node: Arc::clone(node), address, generation, armed: true };
     let limit = node.settings.stall.min(caller.deadline.since(node.now()));
--- a/crates/nutmeggrade/src/generation/completion.rs
+++ b/crates/nutmeggrade/src/generation/completion.rs
@@ -18,14 +18,14 @@
     /// Prompt text.
     pub prompt: String,
     /// Maximum number of tokens to generate.
-    #[serde(default = "default_max_tokens")]
+    #[serde(default = "default_max")]
     pub max_tokens: u64,
     /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
 }
 
-const fn default_max_tokens() -> u64 {
+const fn default_max() -> u64 {
     DEFAULT_MAX_TOKENS
 }
 
--- a/crates/nutmeggrade/src/generation/reconnect.rs
+++ b/crates/nutmeggrade/src/generation/reconnect.rs
@@ -7,7 +7,7 @@
 use nutmeggrade_platform::Platform;
 use tokio::time::{sleep, timeout};
 
-use crate::engine_client::{ResumeError, TokenStream};
+use crate::engine_client::{ResumeError, Tokens};
 use crate::node::Node;
 
 /// Initial delay between attempts; doubles after each one.
@@ -39,7 +39,7 @@
     next: u64,
     max_attempts: u32,
     deadline: Moment,
-) -> Result<TokenStream, ReconnectError> {
+) -> Result<Tokens, ReconnectError> {
     let mut delay = INITIAL_DELAY;
     let mut last_error = ReconnectError::Stalled;
     for _ in 0..max_attempts {
--- a/crates/nutmeggrade/src/generation/session.rs
+++ b/crates/nutmeggrade/src/generation/session.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::{Placement, SuspectGuard};
-use crate::engine_client::TokenStream;
+use crate::engine_client::Tokens;
 use crate::node::{Node, Phase};
 
 /// Next event of an open response.
@@ -45,7 +45,7 @@
     endpoint: EndpointId,
     address: SocketAddr,
     delivery: Delivery,
-    tokens: Option<TokenStream>,
+    tokens: Option<Tokens>,
     pending_event: Option<SessionEvent>,
     deadline: Moment,
     phase: watch::Receiver<Phase>,
--- a/crates/nutmeggrade/src/generation/session/opening.rs
+++ b/crates/nutmeggrade/src/generation/session/opening.rs
@@ -9,7 +9,7 @@
 
 use super::Session;
 use crate::caller::Caller;
-use crate::engine_client::TokenStream;
+use crate::engine_client::Tokens;
 use crate::generation::{Placement, SuspectGuard};
 use crate::node::Node;
 
@@ -54,7 +54,7 @@
 
     /// Sets the engine's token stream.
     #[must_use]
-    pub fn with_tokens(mut self, tokens: TokenStream) -> Self {
+    pub fn with_tokens(mut self, tokens: Tokens) -> Self {
         self.tokens = Some(tokens);
         self
     }
--- a/crates/nutmeggrade/src/tasks/catch_up.rs
+++ b/crates/nutmeggrade/src/tasks/catch_up.rs
@@ -112,7 +112,7 @@
     topic: Topic,
 ) -> anyhow::Result<SyncReply> {
     let request = SyncRequest { entry: node.entry.clone(), topic };
-    let frame = seal(&request, &node.peer_key()).context("encode request")?;
+    let frame = seal(&request, &node.peer_key()).context("seal")?;
     let request = Request::builder()
         .method(Method::POST)
         .uri(SYNC_PATH)
