--- a/crates/nutmeggrade-fakes/src/engine.rs
+++ b/crates/nutmeggrade-fakes/src/engine.rs
@@ -1,10 +1,9 @@
-//! The model engine's stand-in.
+//! A fake model engine.
 
 mod cache_change;
 mod cache_log;
 mod event;
 mod faults;
-mod follow;
 mod job;
 mod model;
 mod orders;
@@ -12,6 +11,7 @@
 mod server;
 mod spec;
 mod state;
+mod token_stream;
 
 pub use cache_change::CacheChange;
 pub use cache_log::CacheLog;
--- a/crates/nutmeggrade-fakes/src/engine/cache_change.rs
+++ b/crates/nutmeggrade-fakes/src/engine/cache_change.rs
@@ -1,10 +1,10 @@
-//! One change of the prefix cache.
+//! A change of the prefix cache.
 
-/// A prefix that was taken into the cache or dropped from it.
+/// Insertion of a prefix into the cache, or its eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheChange {
-    /// Names the prefix.
+    /// Id of the prefix.
     pub prefix: u64,
-    /// Whether it is in the cache now.
+    /// Whether the prefix was inserted; false for an eviction.
     pub kept: bool,
 }
--- a/crates/nutmeggrade-fakes/src/engine/event.rs
+++ b/crates/nutmeggrade-fakes/src/engine/event.rs
@@ -1,24 +1,24 @@
-//! What happens in a step.
+//! Events of an engine step.
 
 use nutmeggrade_core::id::GenerationId;
 
-/// What happened to a generation in a step.
+/// An event of an engine step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// A token came out.
+    /// A generation produced a token.
     Token {
         /// The generation.
         generation: GenerationId,
-        /// Place in the answer, from 0.
+        /// Position in the output, from 0.
         offset: u64,
-        /// Whether it is the last.
+        /// Whether it is the last token.
         last: bool,
     },
-    /// The generation lost its memory and waits to be computed again.
+    /// The generation lost its memory and is queued for recomputation.
     Preempted {
         /// The generation.
         generation: GenerationId,
     },
-    /// The engine crashed; every generation is gone and it restarts cold.
+    /// The engine crashed: all generations are lost and it restarts cold.
     Crashed,
 }
--- a/crates/nutmeggrade-fakes/src/engine/faults.rs
+++ b/crates/nutmeggrade-fakes/src/engine/faults.rs
@@ -1,4 +1,4 @@
-//! Failures that a test can turn on.
+//! Failures that a test can inject.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,30 +6,30 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Turns the engine cold now.
+    /// Starts (`true`) or ends (`false`) a cold start.
     pub cold: Option<bool>,
     /// Multiplies the time of every step.
     pub slow: Option<u32>,
-    /// Cuts every stream after this many more tokens; the generations go on.
+    /// Closes every open stream after this many tokens; the generations continue.
     pub cut_after: Option<u64>,
-    /// Stops every open stream after this many more tokens without closing it; the generations go on.
+    /// Stalls every open stream after this many tokens without closing it; the generations continue.
     pub stall_after: Option<u64>,
-    /// Mixes tokens of another generation into every stream.
+    /// Inserts tokens of another generation into every stream.
     pub cross: Option<bool>,
-    /// Starts a resumed stream at the first token, whatever was asked for.
+    /// Starts a resumed stream at the first token, whichever offset was requested.
     pub rewind: Option<bool>,
     /// Sends every token twice.
     pub duplicate: Option<bool>,
-    /// Crashes now.
+    /// Crashes the engine once.
     pub crash: Option<bool>,
     /// Refuses new generations.
     pub refuse: Option<bool>,
-    /// Says that it is about to go.
+    /// Announces in load reports that the engine is about to leave.
     pub leaving: Option<bool>,
-    /// Accepts new generations and never answers them.
+    /// Accepts requests for new generations and never responds.
     pub hang: Option<bool>,
     /// Obeys orders with old fencing numbers.
     pub ignore_fence: Option<bool>,
-    /// Time that a load of weights takes, in milliseconds.
+    /// Time that loading weights takes, in milliseconds.
     pub load_ms: Option<u64>,
 }
--- a/crates/nutmeggrade-fakes/src/engine/job.rs
+++ b/crates/nutmeggrade-fakes/src/engine/job.rs
@@ -1,33 +1,33 @@
-//! One generation inside the engine.
+//! A generation inside the engine.
 
 use nutmeggrade_core::engine::Generate;
 use nutmeggrade_core::id::GenerationId;
 
-/// One generation as the engine gets it.
+/// A generation as submitted to the engine.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Id drawn by the node.
+    /// Id that the instance drew.
     pub generation: GenerationId,
     /// Prompt length in tokens.
     pub prompt: u64,
-    /// Names the shared prefix; 0 for none.
+    /// Id of the shared prefix; 0 for none.
     pub prefix: u64,
     /// Length of that prefix in tokens.
     pub prefix_len: u64,
-    /// True length of the answer, hidden from the node.
+    /// True output length in tokens, which the instance can't see.
     pub output: u64,
-    /// Higher is preempted later.
+    /// Priority; higher values are preempted later.
     pub priority: i32,
-    /// Whether it crashes the engine once its prompt is read.
+    /// Whether it crashes the engine once its prompt is prefilled.
     pub poison: bool,
 }
 
 impl Job {
-    /// Reads the hidden output length, prefix and fault out of the prompt: `len=N`, `prefix=N`,
-    /// `crash=now`.
-    pub fn read(order: &Generate) -> Self {
-        let words = order.prompt.split_whitespace();
-        let mut output = 20 + order.prompt.len() as u64 % 80;
+    /// Parses the output length, the prefix and a crash request from words of the prompt: `len=N`,
+    /// `prefix=N`, `crash=now`.
+    pub fn read(request: &Generate) -> Self {
+        let words = request.prompt.split_whitespace();
+        let mut output = 20 + request.prompt.len() as u64 % 80;
         let mut poison = false;
         let mut prompt = 0;
         let mut prefix = 0;
@@ -42,12 +42,12 @@
             poison |= word == "crash=now";
         }
         Self {
-            generation: order.generation,
+            generation: request.generation,
             prompt,
             prefix,
             prefix_len: prompt / 2,
-            output: output.clamp(1, order.max_tokens.max(1)),
-            priority: order.priority,
+            output: output.clamp(1, request.max_tokens.max(1)),
+            priority: request.priority,
             poison,
         }
     }
--- a/crates/nutmeggrade-fakes/src/engine/orders.rs
+++ b/crates/nutmeggrade-fakes/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that an engine takes.
+//! Fenced orders that an engine receives.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,33 +6,33 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// One order as the engine saw it.
+/// A received order, as listed in the log.
 #[derive(Debug, Clone, Serialize)]
-pub struct Seen {
+pub struct OrderRecord {
     #[serde(flatten)]
     order: FencedOrder,
     taken: bool,
     at_ms: u64,
 }
 
-/// What an engine has loaded and which orders it saw.
+/// Loaded models and the history of received orders.
 #[derive(Debug, Default)]
 pub struct Orders {
     state: EngineState,
     loading: Option<(Instant, Load)>,
-    /// Time that a load takes.
+    /// Time that loading takes.
     pub load_time: Duration,
-    /// Whether old fencing numbers are obeyed.
+    /// Whether orders with outdated fencing numbers are applied.
     pub ignores_fence: bool,
-    /// Every order, oldest first.
-    pub seen: Vec<Seen>,
+    /// Every received order, oldest first.
+    pub history: Vec<OrderRecord>,
 }
 
 impl Orders {
-    /// Takes an order; says whether it was taken.
+    /// Applies an order unless its fencing number is outdated; returns whether it was applied.
     pub fn take(&mut self, order: &FencedOrder) -> bool {
         let taken = self.ignores_fence || order.fence >= self.state.fence;
-        self.seen.push(Seen { order: order.clone(), taken, at_ms: wall_ms() });
+        self.history.push(OrderRecord { order: order.clone(), taken, at_ms: unix_time_ms() });
         if !taken {
             return false;
         }
@@ -51,7 +51,7 @@
         true
     }
 
-    /// Returns what is loaded and what is being loaded.
+    /// Returns what is loaded and what is being loaded, after completing a load that is due.
     pub fn state(&mut self) -> EngineState {
         if let Some((_, load)) = self.loading.take_if(|(at, _)| *at <= Instant::now()) {
             self.state.loaded.insert(load);
@@ -61,7 +61,7 @@
     }
 }
 
-fn wall_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+fn unix_time_ms() -> u64 {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/nutmeggrade-fakes/src/engine/refusal.rs
+++ b/crates/nutmeggrade-fakes/src/engine/refusal.rs
@@ -1,10 +1,10 @@
-//! Why an engine does not take a generation.
+//! Reasons for which an engine refuses a generation.
 
-/// Why an engine does not take a generation.
+/// Reason for which an engine refuses a generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It restarts, or was told to refuse everything.
+    /// The engine restarts, or is set to refuse all work.
     Down,
-    /// It has a generation of that name.
+    /// A generation with this id was submitted before.
     Known,
 }
--- a/crates/nutmeggrade-fakes/src/engine/server.rs
+++ b/crates/nutmeggrade-fakes/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP side.
+//! HTTP server of the fake engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,42 +17,41 @@
     IntoResponse, Request, RequestExt, RequestLimitsExt, Response, ResponseExt, Result, Router,
 };
 
-use super::follow::follow;
+use super::token_stream::token_stream;
 use super::{Engine, Faults, Refusal};
 use crate::http::{serve as serve_http, status};
 
-/// Largest request body, in bytes.
-const MAX_BODY: u64 = 8 << 20;
+const MAX_BODY_BYTES: u64 = 8 << 20;
 
 #[derive(Debug, Deserialize)]
-struct From {
+struct ResumeQuery {
     #[serde(default)]
     from: u64,
 }
 
 #[derive(Debug, Deserialize)]
-struct After {
+struct CacheEventsQuery {
     #[serde(default)]
     after: u64,
 }
 
 type App = Arc<Engine>;
 
-/// Runs an engine until the process ends.
+/// Serves the engine until the process ends.
 pub async fn serve(address: SocketAddr, engine: Engine) -> anyhow::Result<()> {
     let app = Arc::new(engine);
     tokio::spawn(Arc::clone(&app).run());
-    let one = format!("{GENERATIONS_PATH}/:id");
+    let generation_path = format!("{GENERATIONS_PATH}/:id");
     let router = Router::new()
         .post(GENERATIONS_PATH, generate)
-        .get(&one, resume)
-        .delete(&one, cancel)
+        .get(&generation_path, resume)
+        .delete(&generation_path, cancel)
         .get(LOAD_PATH, load)
         .get(CACHE_EVENTS_PATH, cache_events)
-        .get("/log", log)
+        .get("/log", event_log)
         .get(ORDERS_PATH, order_state)
-        .post(ORDERS_PATH, order)
-        .post("/fault", fault)
+        .post(ORDERS_PATH, receive_order)
+        .post("/fault", set_faults)
         .with(State::new(app));
     serve_http(address, router).await
 }
@@ -63,8 +62,8 @@
 
 async fn generate(mut req: Request) -> Result<Response> {
     let app = app(&req)?;
-    let body = req.bytes_with(None, MAX_BODY).await?;
-    let Ok(order) = serde_json::from_slice::<Generate>(&body) else {
+    let body = req.bytes_with(None, MAX_BODY_BYTES).await?;
+    let Ok(request) = serde_json::from_slice::<Generate>(&body) else {
         return Ok(status(StatusCode::BAD_REQUEST));
     };
     let hangs = {
@@ -74,8 +73,8 @@
     if hangs {
         futures::future::pending::<()>().await;
     }
-    match app.submit(&order) {
-        Ok(()) => Ok(Sse::new(follow(app, order.generation, 0)).into_response()),
+    match app.submit(&request) {
+        Ok(()) => Ok(Sse::new(token_stream(app, request.generation, 0)).into_response()),
         Err(Refusal::Down) => Ok(status(StatusCode::SERVICE_UNAVAILABLE)),
         Err(Refusal::Known) => Ok(status(StatusCode::CONFLICT)),
     }
@@ -83,14 +82,14 @@
 
 async fn resume(req: Request) -> Result<Response> {
     let app = app(&req)?;
-    let query: From = req.query()?;
+    let query: ResumeQuery = req.query()?;
     let id = GenerationId::parse(&req.param::<String>("id")?);
-    let Some(id) = id.filter(|id| app.lock().answers.get(id).is_some_and(|a| !a.lost)) else {
+    let Some(id) = id.filter(|id| app.lock().outputs.get(id).is_some_and(|a| !a.lost)) else {
         return Ok(status(StatusCode::NOT_FOUND));
     };
     let rewind = app.lock().faults.rewind == Some(true);
     let from = if rewind { 0 } else { query.from };
-    Ok(Sse::new(follow(app, id, from)).into_response())
+    Ok(Sse::new(token_stream(app, id, from)).into_response())
 }
 
 async fn cancel(req: Request) -> Result<Response> {
@@ -98,7 +97,7 @@
     if let Some(id) = GenerationId::parse(&req.param::<String>("id")?) {
         let mut inner = app.lock();
         inner.model.cancel(id);
-        inner.answers.remove(&id);
+        inner.outputs.remove(&id);
     }
     Ok(StatusCode::OK.into_response())
 }
@@ -119,12 +118,12 @@
 
 async fn cache_events(req: Request) -> Result<Response> {
     let app = app(&req)?;
-    let query: After = req.query()?;
+    let query: CacheEventsQuery = req.query()?;
     let events = app.lock().cache.after(query.after, app.now());
     Ok(Response::json(events)?)
 }
 
-async fn log(req: Request) -> Result<Response> {
+async fn event_log(req: Request) -> Result<Response> {
     let app = app(&req)?;
     let inner = app.lock();
     let load = inner.model.load(app.now());
@@ -134,7 +133,7 @@
         "crashes": inner.model.crashes(),
         "preemptions": load.preemptions,
         "running": load.running,
-        "orders": inner.orders.seen,
+        "orders": inner.orders.history,
     });
     Ok(Response::json(report)?)
 }
@@ -145,14 +144,14 @@
     Ok(Response::json(state)?)
 }
 
-async fn order(mut req: Request) -> Result<Response> {
+async fn receive_order(mut req: Request) -> Result<Response> {
     let app = app(&req)?;
     let order: FencedOrder = req.json().await?;
-    let taken = app.lock().orders.take(&order);
-    Ok(status(if taken { StatusCode::OK } else { StatusCode::CONFLICT }))
+    let applied = app.lock().orders.take(&order);
+    Ok(status(if applied { StatusCode::OK } else { StatusCode::CONFLICT }))
 }
 
-async fn fault(mut req: Request) -> Result<Response> {
+async fn set_faults(mut req: Request) -> Result<Response> {
     let app = app(&req)?;
     let new: Faults = req.json().await?;
     let now = app.now();
@@ -167,7 +166,7 @@
     }
     if new.crash == Some(true) {
         for event in inner.model.crash(now) {
-            inner.take(event);
+            inner.apply(event);
         }
     }
     if let Some(ignores) = new.ignore_fence {
@@ -177,7 +176,7 @@
         inner.orders.load_time = Duration::from_millis(ms);
     }
     if new.cut_after.is_some() || new.stall_after.is_some() {
-        inner.cuts += 1;
+        inner.cut_count += 1;
     }
     inner.faults = new;
     Ok(StatusCode::OK.into_response())
--- a/crates/nutmeggrade-fakes/src/engine/spec.rs
+++ b/crates/nutmeggrade-fakes/src/engine/spec.rs
@@ -1,29 +1,29 @@
-//! What an engine can do.
+//! Capacity and speed of an engine.
 
 use std::time::Duration;
 
-/// Sizes and speeds of one engine.
+/// Capacity and speed of an engine.
 #[derive(Debug, Clone)]
 pub struct Spec {
     /// Key/value memory, in tokens.
     pub memory: u64,
-    /// Most generations in a batch.
+    /// Maximum number of generations in a batch.
     pub batch: u32,
-    /// Time of a step with an empty batch.
+    /// Base time of a step, without any generations.
     pub step: Duration,
     /// Time that each generation in the batch adds to a step.
     pub step_each: Duration,
-    /// Time that each prompt token read in a step adds.
+    /// Time that each prefilled prompt token adds to a step.
     pub prefill_each: Duration,
-    /// Most prompt tokens read in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk: u64,
-    /// Most generations that it bears while cold; one more and it falls over.
+    /// Maximum number of generations during a cold start; one more crashes the engine.
     pub cold_limit: u32,
-    /// How long a cold start lasts.
+    /// Duration of a cold start.
     pub cold_time: Duration,
-    /// How much slower a step is while cold.
+    /// Factor by which steps are longer during a cold start.
     pub cold_factor: u32,
-    /// Prompt prefixes that the cache keeps.
+    /// Number of prompt prefixes that the cache holds.
     pub prefixes: usize,
 }
 
--- a/crates/nutmeggrade-fakes/src/engine/state.rs
+++ b/crates/nutmeggrade-fakes/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What the handlers of an engine process share.
+//! State shared by the request handlers of an engine process.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,13 +12,13 @@
 
 use super::{CacheLog, Event, Faults, Job, Model, Orders, Refusal, Spec};
 
-/// How long a crashed engine refuses work.
-const RESTART: Duration = Duration::from_millis(500);
-/// How long an idle engine sleeps between looks at its queue.
-const IDLE: Duration = Duration::from_millis(2);
+/// Time during which a crashed engine refuses work.
+const RESTART_TIME: Duration = Duration::from_millis(500);
+/// Time between two checks of the queue by an idle engine.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[derive(Debug, Default)]
-pub(super) struct Answer {
+pub(super) struct Output {
     pub tokens: Vec<Token>,
     pub lost: bool,
 }
@@ -26,40 +26,40 @@
 #[derive(Debug)]
 pub(super) struct Inner {
     pub model: Model,
-    pub answers: BTreeMap<GenerationId, Answer>,
+    pub outputs: BTreeMap<GenerationId, Output>,
     pub runs: BTreeMap<GenerationId, String>,
     pub reports: VecDeque<(Instant, LoadReport)>,
     pub faults: Faults,
     pub orders: Orders,
-    pub cuts: u64,
+    pub cut_count: u64,
     pub down_until: Option<Instant>,
     pub cache: CacheLog,
 }
 
-/// An engine process's shared state.
+/// Shared state of an engine process.
 #[derive(Debug)]
 pub struct Engine {
     inner: Mutex<Inner>,
     pub(super) changed: Notify,
-    start: Instant,
+    started_at: Instant,
     lag: Duration,
 }
 
 impl Engine {
-    /// Makes a warm engine whose load reports lag by `lag`.
+    /// Creates a warm engine whose load reports and cache events lag by `lag`.
     pub fn new(spec: &Spec, lag: Duration) -> Self {
         let inner = Inner {
             model: Model::new(spec),
-            answers: BTreeMap::new(),
+            outputs: BTreeMap::new(),
             runs: BTreeMap::new(),
             reports: VecDeque::new(),
             faults: Faults::default(),
             orders: Orders::default(),
-            cuts: 0,
+            cut_count: 0,
             down_until: None,
             cache: CacheLog::new(lag),
         };
-        Self { inner: Mutex::new(inner), changed: Notify::new(), start: Instant::now(), lag }
+        Self { inner: Mutex::new(inner), changed: Notify::new(), started_at: Instant::now(), lag }
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -67,34 +67,34 @@
     }
 
     pub(super) fn now(&self) -> Moment {
-        Moment::new(self.start.elapsed())
+        Moment::new(self.started_at.elapsed())
     }
 
-    /// Takes a generation in, unless the engine refuses it.
-    pub fn submit(&self, order: &Generate) -> Result<(), Refusal> {
+    /// Submits a generation, unless the engine refuses it.
+    pub fn submit(&self, request: &Generate) -> Result<(), Refusal> {
         let mut inner = self.lock();
         if inner.refuses() {
             return Err(Refusal::Down);
         }
-        let id = order.generation;
+        let id = request.generation;
         if inner.runs.contains_key(&id) {
             return Err(Refusal::Known);
         }
-        inner.runs.insert(id, order.prompt.chars().take(64).collect());
-        inner.answers.insert(id, Answer::default());
-        let events = inner.model.submit(Job::read(order), self.now());
+        inner.runs.insert(id, request.prompt.chars().take(64).collect());
+        inner.outputs.insert(id, Output::default());
+        let events = inner.model.submit(Job::read(request), self.now());
         for event in events {
-            inner.take(event);
+            inner.apply(event);
         }
         Ok(())
     }
 
-    /// Returns how often it crashed.
+    /// Returns the number of crashes.
     pub fn crashes(&self) -> u64 {
         self.lock().model.crashes()
     }
 
-    /// Begins a step of the batch; returns how long it takes and what comes out at its end.
+    /// Begins a step of the batch; returns its duration and the events at its end.
     pub fn begin_step(&self) -> (Duration, Vec<Event>) {
         let now = self.now();
         let mut inner = self.lock();
@@ -104,14 +104,14 @@
             inner.reports.pop_front();
         }
         if inner.model.is_idle() {
-            return (IDLE, Vec::new());
+            return (IDLE_POLL_INTERVAL, Vec::new());
         }
         let (wait, mut events) = inner.model.step(now);
-        // A crash takes effect when the step begins: an engine that still took requests until its end
-        // would lose them as well and seem to crash twice.
+        // A crash takes effect when the step begins: if the engine accepted requests until the step's
+        // end, it would lose these too and appear to crash twice.
         if events.contains(&Event::Crashed) {
             for event in events.drain(..) {
-                inner.take(event);
+                inner.apply(event);
             }
         }
         (wait, events)
@@ -127,7 +127,7 @@
                 inner.cache.note(change, now);
             }
             for event in events {
-                inner.take(event);
+                inner.apply(event);
             }
             drop(inner);
             self.changed.notify_waiters();
@@ -136,22 +136,22 @@
 }
 
 impl Inner {
-    pub fn take(&mut self, event: Event) {
+    pub fn apply(&mut self, event: Event) {
         match event {
             Event::Token { generation, offset, last } => {
                 let text = format!("w{offset} ");
                 let finish = last.then_some(Finish::Stop);
                 let token = Token { generation, offset, text, finish };
-                if let Some(answer) = self.answers.get_mut(&generation) {
-                    answer.tokens.push(token);
+                if let Some(output) = self.outputs.get_mut(&generation) {
+                    output.tokens.push(token);
                 }
             }
             Event::Preempted { .. } => {}
             Event::Crashed => {
-                for answer in self.answers.values_mut() {
-                    answer.lost = true;
+                for output in self.outputs.values_mut() {
+                    output.lost = true;
                 }
-                self.down_until = Some(Instant::now() + RESTART);
+                self.down_until = Some(Instant::now() + RESTART_TIME);
             }
         }
     }
--- a/crates/nutmeggrade-fakes/src/http.rs
+++ b/crates/nutmeggrade-fakes/src/http.rs
@@ -1,4 +1,4 @@
-//! Small helpers of the stand-ins' HTTP sides.
+//! HTTP helpers that the fakes and their clients share.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use tokio::net::TcpListener;
 use viz::{Body, Response, ResponseExt, Router};
 
-const CONNECT: Duration = Duration::from_secs(2);
-const MAX_BODY: usize = 16 << 20;
-const ANSWER: Duration = Duration::from_secs(30);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_BODY_BYTES: usize = 16 << 20;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Serves a router on `address` and prints `listening <address>` for whoever started the process.
+/// Serves a router on `address` and prints `listening <address>` for the parent process.
 pub async fn serve(address: SocketAddr, router: Router) -> anyhow::Result<()> {
     let listener = TcpListener::bind(address).await.with_context(|| format!("bind {address}"))?;
     println!("listening {}", listener.local_addr().context("local address")?);
     viz::serve(listener, router).await.context("serve")
 }
 
-/// Sends one request with headers and reads the whole answer.
+/// Sends one request with headers and reads the whole response.
 pub async fn send(
     address: SocketAddr,
     method: Method,
@@ -42,15 +42,17 @@
     }
     let request = request.body(Full::new(Bytes::from(body))).context("build request")?;
     let exchange = async {
-        let response = call(address, request, CONNECT).await?;
+        let response = call(address, request, CONNECT_TIMEOUT).await?;
         let status = response.status();
-        let body = body_bytes(response.into_body(), MAX_BODY).await?;
+        let body = body_bytes(response.into_body(), MAX_BODY_BYTES).await?;
         Ok((status, body))
     };
-    tokio::time::timeout(ANSWER, exchange).await.context("no answer in time")?
+    tokio::time::timeout(RESPONSE_TIMEOUT, exchange)
+        .await
+        .context("no response within the timeout")?
 }
 
-/// Sends a request and decodes a successful JSON answer.
+/// Sends a request and decodes the JSON body of a successful response.
 pub async fn ask<T: DeserializeOwned>(
     address: SocketAddr,
     method: Method,
@@ -60,17 +62,17 @@
     let body = body.map(|v| v.to_string().into_bytes()).unwrap_or_default();
     let (status, bytes) = send(address, method, path, &[], body).await?;
     anyhow::ensure!(status.is_success(), "{path}: {status}: {}", String::from_utf8_lossy(&bytes));
-    serde_json::from_slice(&bytes).with_context(|| format!("decode answer of {path}"))
+    serde_json::from_slice(&bytes).with_context(|| format!("decode response of {path}"))
 }
 
-/// Makes an empty answer with a status.
+/// Builds an empty response with a status.
 pub fn status(code: StatusCode) -> Response {
     let mut response = Response::empty();
     *response.status_mut() = code;
     response
 }
 
-/// Makes an answer whose body breaks off, as when a server dies after it did the work.
+/// Builds a response whose body breaks off, as when a server dies after it has done the work.
 pub fn cut() -> Response {
     let broken = futures::stream::iter([Err::<Bytes, _>(std::io::Error::other("cut"))]);
     Response::new(Body::from_stream(broken))
--- a/crates/nutmeggrade-fakes/src/lib.rs
+++ b/crates/nutmeggrade-fakes/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for the outside systems that nutmeggrade meets: platform, model engine, plain service.
+//! Fakes of the external systems that nutmeggrade uses: platform, model engine, plain service.
 //!
-//! Not published. Each runs as its own process (`cargo run --example platform`) and plays the
-//! outside system's interface and failures, no more. [`fleet`] starts and stops such processes and
-//! nodes for the demo and the tests. [`engine::Model`] is pure and runs in virtual time, so that
-//! decisions can be measured without a process.
+//! Not published. Each fake runs as a process of its own (`cargo run --example platform`) and
+//! implements only the interface and the failures of the external system. [`fleet`] starts and
+//! stops these processes and nutmeggrade's instances for the demo and the tests. [`engine::Model`]
+//! does no I/O and runs in virtual time, so that decisions can be measured without a process.
 
 pub mod driver;
 pub mod engine;
--- a/crates/nutmeggrade-fakes/src/platform.rs
+++ b/crates/nutmeggrade-fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: objects with versions, watches, and a lagging list of endpoints.
+//! A fake platform: versioned objects, watches, and an endpoint list with a configurable lag.
 
 mod faults;
 mod server;
--- a/crates/nutmeggrade-fakes/src/platform/server.rs
+++ b/crates/nutmeggrade-fakes/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP side.
+//! HTTP server of the fake platform.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -18,13 +18,13 @@
 use super::{Faults, Store};
 use crate::http::{cut, serve as serve_http, status};
 
-const MAX_VALUE: u64 = 1 << 20;
+const MAX_VALUE_BYTES: u64 = 1 << 20;
 
 #[derive(Debug, Default)]
 struct Inner {
     store: Store,
     faults: Faults,
-    lists: VecDeque<(Instant, Vec<Endpoint>)>,
+    list_history: VecDeque<(Instant, Vec<Endpoint>)>,
     calls: u64,
     writes: u64,
 }
@@ -38,7 +38,7 @@
 type App = Arc<Shared>;
 
 #[derive(Debug, Deserialize)]
-struct Under {
+struct ListQuery {
     prefix: String,
     #[serde(default)]
     after: String,
@@ -59,7 +59,7 @@
         self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    async fn enter(&self) -> Option<Response> {
+    async fn admit_call(&self) -> Option<Response> {
         let (down, slow) = {
             let mut inner = self.lock();
             inner.calls += 1;
@@ -72,7 +72,7 @@
     }
 }
 
-/// Runs the platform until the process ends.
+/// Serves the platform until the process ends.
 pub async fn serve(address: SocketAddr) -> anyhow::Result<()> {
     let app = App::default();
     let router = Router::new()
@@ -83,7 +83,7 @@
         .get("/watch", watch)
         .get("/endpoints", endpoints)
         .put("/endpoints", register)
-        .post("/fault", fault)
+        .post("/fault", set_faults)
         .get("/calls", calls)
         .with(types::State::new(app));
     serve_http(address, router).await
@@ -95,8 +95,8 @@
 
 async fn read(req: Request) -> Result<Response> {
     let app = app(&req);
-    if let Some(refusal) = app.enter().await {
-        return Ok(refusal);
+    if let Some(unavailable) = app.admit_call().await {
+        return Ok(unavailable);
     }
     let key: String = req.param("key")?;
     match app.lock().store.read(&key) {
@@ -107,8 +107,8 @@
 
 async fn write(mut req: Request) -> Result<Response> {
     let app = app(&req);
-    if let Some(refusal) = app.enter().await {
-        return Ok(refusal);
+    if let Some(unavailable) = app.admit_call().await {
+        return Ok(unavailable);
     }
     let key: String = req.param("key")?;
     let expected = match req.header::<_, u64>(header::IF_MATCH) {
@@ -116,7 +116,7 @@
         None if req.headers().contains_key(header::IF_NONE_MATCH) => 0,
         None => return Ok(status(StatusCode::PRECONDITION_REQUIRED)),
     };
-    let body = req.bytes_with(None, MAX_VALUE).await?;
+    let body = req.bytes_with(None, MAX_VALUE_BYTES).await?;
     let value = serde_json::from_slice(&body).ok();
     if value.is_none() && req.method() == http::Method::PUT {
         return Ok(status(StatusCode::BAD_REQUEST));
@@ -139,26 +139,26 @@
 
 async fn list(req: Request) -> Result<Response> {
     let app = app(&req);
-    if let Some(refusal) = app.enter().await {
-        return Ok(refusal);
+    if let Some(unavailable) = app.admit_call().await {
+        return Ok(unavailable);
     }
-    let under: Under = req.query()?;
-    let changes = app.lock().store.list(&under.prefix, &under.after, under.limit);
+    let query: ListQuery = req.query()?;
+    let changes = app.lock().store.list(&query.prefix, &query.after, query.limit);
     Ok(Response::json(changes)?)
 }
 
 async fn watch(req: Request) -> Result<Response> {
     let app = app(&req);
-    if let Some(refusal) = app.enter().await {
-        return Ok(refusal);
+    if let Some(unavailable) = app.admit_call().await {
+        return Ok(unavailable);
     }
-    let under: Under = req.query()?;
-    let deadline = Instant::now() + Duration::from_millis(under.wait_ms);
+    let query: ListQuery = req.query()?;
+    let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
     let changes = loop {
-        let woken = app.changed.notified();
-        let found = app.lock().store.since(&under.prefix, under.since, under.limit);
-        if !found.objects.is_empty() || timeout_at(deadline, woken).await.is_err() {
-            break found;
+        let notified = app.changed.notified();
+        let changes = app.lock().store.since(&query.prefix, query.since, query.limit);
+        if !changes.objects.is_empty() || timeout_at(deadline, notified).await.is_err() {
+            break changes;
         }
     };
     if app.lock().faults.down {
@@ -169,19 +169,19 @@
 
 async fn endpoints(req: Request) -> Result<Response> {
     let app = app(&req);
-    if let Some(refusal) = app.enter().await {
-        return Ok(refusal);
+    if let Some(unavailable) = app.admit_call().await {
+        return Ok(unavailable);
     }
     let inner = app.lock();
     let delay = Duration::from_millis(inner.faults.lag_ms);
-    let shown = inner.lists.iter().rposition(|(at, _)| at.elapsed() >= delay).unwrap_or(0);
-    // An empty list has a tag of its own, unlike the first one's.
-    let number = if inner.lists.is_empty() { 0 } else { shown + 1 };
-    let tag = format!("\"{number}\"");
+    let visible = inner.list_history.iter().rposition(|(at, _)| at.elapsed() >= delay).unwrap_or(0);
+    // The empty list needs a tag that differs from the first registered list's.
+    let revision = if inner.list_history.is_empty() { 0 } else { visible + 1 };
+    let tag = format!("\"{revision}\"");
     if req.headers().get(header::IF_NONE_MATCH).is_some_and(|t| t.as_bytes() == tag.as_bytes()) {
         return Ok(status(StatusCode::NOT_MODIFIED));
     }
-    let list = inner.lists.get(shown).map(|(_, l)| l.clone()).unwrap_or_default();
+    let list = inner.list_history.get(visible).map(|(_, l)| l.clone()).unwrap_or_default();
     let mut response = Response::json(list)?;
     if let Ok(tag) = HeaderValue::try_from(tag) {
         response.headers_mut().insert(header::ETAG, tag);
@@ -193,14 +193,14 @@
     let app = app(&req);
     let endpoint: Endpoint = req.json().await?;
     let mut inner = app.lock();
-    let mut list = inner.lists.back().map(|(_, l)| l.clone()).unwrap_or_default();
+    let mut list = inner.list_history.back().map(|(_, l)| l.clone()).unwrap_or_default();
     list.retain(|e| e.id != endpoint.id);
     list.push(endpoint);
-    inner.lists.push_back((Instant::now(), list));
+    inner.list_history.push_back((Instant::now(), list));
     Ok(StatusCode::OK.into_response())
 }
 
-async fn fault(mut req: Request) -> Result<Response> {
+async fn set_faults(mut req: Request) -> Result<Response> {
     let app = app(&req);
     let faults: Faults = req.json().await?;
     app.lock().faults = faults;
--- a/crates/nutmeggrade-fakes/src/relay.rs
+++ b/crates/nutmeggrade-fakes/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay between two processes, on which links fail.
+//! A TCP proxy between two processes that injects link failures.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,64 +14,64 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-const CHUNK: usize = 16 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// What a link does with the bytes that it gets.
+/// Behaviour of a proxied link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Link {
-    /// Hands everything on.
+    /// Forwards all bytes.
     Open,
-    /// Keeps connections open and hands nothing on, in neither direction.
+    /// Keeps connections open and forwards nothing in either direction.
     Stalled,
-    /// Hands requests on and keeps connections open, but no answer comes through.
+    /// Keeps connections open, forwards requests and holds back responses.
     OneWay,
-    /// Hands everything on after a while.
+    /// Forwards all bytes after a delay.
     Delayed(Duration),
-    /// Resets connections at once, also new ones.
+    /// Resets open and new connections at once.
     Reset,
-    /// Closes each connection after this many bytes of the request.
+    /// Closes each connection after this many request bytes.
     CutRequest(u64),
-    /// Closes each connection after this many bytes of the answer.
+    /// Resets each connection after this many response bytes.
     CutAnswer(u64),
-    /// Closes connections at once.
+    /// Closes open and new connections at once.
     Closed,
 }
 
-/// Hands connections on to one address, and fails as it is told.
+/// Forwards connections to one address, with failures that can be set at run time.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where the relay listens.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
     link: watch::Sender<Link>,
-    carried: Arc<AtomicU64>,
+    forwarded_bytes: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
 impl Relay {
-    /// Listens on a port of the system's choice and hands connections on to `target`.
+    /// Listens on a free loopback port and forwards connections to `target`.
     pub async fn start(target: SocketAddr) -> anyhow::Result<Self> {
         let socket = TcpListener::bind("127.0.0.1:0").await.context("bind relay")?;
         let address = socket.local_addr().context("relay address")?;
         let link = watch::Sender::new(Link::Open);
-        let carried = Arc::new(AtomicU64::new(0));
-        let state = (link.subscribe(), Arc::clone(&carried));
+        let forwarded_bytes = Arc::new(AtomicU64::new(0));
+        let state = (link.subscribe(), Arc::clone(&forwarded_bytes));
         let task = tokio::spawn(async move {
-            while let Ok((inward, _)) = socket.accept().await {
-                let (link, carried) = (state.0.clone(), Arc::clone(&state.1));
-                tokio::spawn(carry(inward, target, link, carried));
+            while let Ok((downstream, _)) = socket.accept().await {
+                let (link, forwarded_bytes) = (state.0.clone(), Arc::clone(&state.1));
+                tokio::spawn(proxy_connection(downstream, target, link, forwarded_bytes));
             }
         });
-        Ok(Self { address, link, carried, task })
+        Ok(Self { address, link, forwarded_bytes, task })
     }
 
-    /// Sets what the link does from now on, with open connections too.
+    /// Sets the behaviour of open and new connections.
     pub fn set(&self, link: Link) {
         self.link.send_replace(link);
     }
 
-    /// Returns the bytes handed on so far, both ways.
-    pub fn carried(&self) -> u64 {
-        self.carried.load(Ordering::Relaxed)
+    /// Returns the number of bytes forwarded in both directions.
+    pub fn forwarded_bytes(&self) -> u64 {
+        self.forwarded_bytes.load(Ordering::Relaxed)
     }
 }
 
@@ -82,160 +82,166 @@
     }
 }
 
-async fn carry(
-    inward: TcpStream,
+async fn proxy_connection(
+    downstream: TcpStream,
     target: SocketAddr,
     link: watch::Receiver<Link>,
-    carried: Arc<AtomicU64>,
+    forwarded_bytes: Arc<AtomicU64>,
 ) {
     match *link.borrow() {
         Link::Closed => return,
-        Link::Reset => return reset(&inward),
+        Link::Reset => return reset(&downstream),
         _ => {}
     }
-    let Ok(outward) = TcpStream::connect(target).await else { return };
-    drop(inward.set_nodelay(true));
-    drop(outward.set_nodelay(true));
-    let (request_in, answer_out) = inward.into_split();
-    let (answer_in, request_out) = outward.into_split();
-    let up = pump(request_in, request_out, link.clone(), Arc::clone(&carried), request_part);
-    let down = pump(answer_in, answer_out, link, carried, answer_part);
-    tokio::pin!(up, down);
-    // A cut in either direction ends both; a side that only closed its half lets the other go on.
+    let Ok(upstream) = TcpStream::connect(target).await else { return };
+    drop(downstream.set_nodelay(true));
+    drop(upstream.set_nodelay(true));
+    let (request_in, response_out) = downstream.into_split();
+    let (response_in, request_out) = upstream.into_split();
+    let requests = copy_bytes(
+        request_in,
+        request_out,
+        link.clone(),
+        Arc::clone(&forwarded_bytes),
+        request_action,
+    );
+    let responses = copy_bytes(response_in, response_out, link, forwarded_bytes, response_action);
+    tokio::pin!(requests, responses);
+    // Aborting either direction ends both; after a half-close the other direction continues.
     let both = async {
         tokio::select! {
-            ended = &mut up => if ended == Ended::Closed { down.await; },
-            ended = &mut down => if ended == Ended::Closed { up.await; },
+            ended = &mut requests => if ended == CopyEnd::HalfClosed { responses.await; },
+            ended = &mut responses => if ended == CopyEnd::HalfClosed { requests.await; },
         }
     };
     both.await;
 }
 
-/// Has a connection end by a reset when it is dropped.
+/// Makes the connection end with a reset when it is dropped.
 fn reset(stream: &TcpStream) {
-    // A connection that is gone already needs none.
+    // Fails only on a connection that is already gone.
     drop(SockRef::from(stream).set_linger(Some(Duration::ZERO)));
 }
 
-/// Has a connection end by a reset, whose writing half would end it as complete when it is dropped.
+/// Ends the connection with a reset; a dropped write half would close it regularly.
 fn reset_half(half: OwnedWriteHalf) {
     reset(half.as_ref());
     half.forget();
 }
 
-/// What becomes of the bytes of one direction.
+/// Treatment of the bytes of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Part {
-    /// They go on after this time.
-    Pass(Duration),
-    /// They wait.
-    Hold,
-    /// So many go on, then the connection is closed.
-    Cut(u64),
-    /// So many go on, then the connection is reset: a plain end would complete an answer without a
-    /// length.
-    Break(u64),
-    /// The connection is reset.
+enum Action {
+    /// Forward them after this delay.
+    Forward(Duration),
+    /// Hold them back.
+    Pause,
+    /// Forward this many bytes, then close the connection.
+    CloseAfter(u64),
+    /// Forward this many bytes, then reset the connection: a regular close would complete a
+    /// response without a length.
+    ResetAfter(u64),
+    /// Reset the connection.
     Reset,
 }
 
-fn request_part(link: Link) -> Part {
+fn request_action(link: Link) -> Action {
     match link {
-        Link::CutRequest(n) => Part::Cut(n),
-        other => either_part(other),
+        Link::CutRequest(n) => Action::CloseAfter(n),
+        other => common_action(other),
     }
 }
 
-fn answer_part(link: Link) -> Part {
+fn response_action(link: Link) -> Action {
     match link {
-        Link::CutAnswer(n) => Part::Break(n),
-        Link::OneWay => Part::Hold,
-        other => either_part(other),
+        Link::CutAnswer(n) => Action::ResetAfter(n),
+        Link::OneWay => Action::Pause,
+        other => common_action(other),
     }
 }
 
-fn either_part(link: Link) -> Part {
+fn common_action(link: Link) -> Action {
     match link {
         Link::Open | Link::OneWay | Link::CutRequest(_) | Link::CutAnswer(_) => {
-            Part::Pass(Duration::ZERO)
+            Action::Forward(Duration::ZERO)
         }
-        Link::Delayed(time) => Part::Pass(time),
-        Link::Stalled => Part::Hold,
-        Link::Closed => Part::Cut(0),
-        Link::Reset => Part::Reset,
+        Link::Delayed(time) => Action::Forward(time),
+        Link::Stalled => Action::Pause,
+        Link::Closed => Action::CloseAfter(0),
+        Link::Reset => Action::Reset,
     }
 }
 
 #[derive(Debug, PartialEq, Eq)]
-enum Ended {
-    Closed,
-    Cut,
+enum CopyEnd {
+    HalfClosed,
+    Aborted,
 }
 
-async fn pump(
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut link: watch::Receiver<Link>,
-    carried: Arc<AtomicU64>,
-    part: fn(Link) -> Part,
-) -> Ended {
-    let mut buffer = vec![0; CHUNK];
-    let mut passed = 0;
+    forwarded_bytes: Arc<AtomicU64>,
+    action_of: fn(Link) -> Action,
+) -> CopyEnd {
+    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut forwarded = 0;
     loop {
-        let now = part(*link.borrow_and_update());
-        let read = match now {
-            Part::Cut(0) | Part::Break(0) => return Ended::Cut,
-            Part::Reset => {
+        let action = action_of(*link.borrow_and_update());
+        let read = match action {
+            Action::CloseAfter(0) | Action::ResetAfter(0) => return CopyEnd::Aborted,
+            Action::Reset => {
                 reset(from.as_ref());
                 reset_half(to);
-                return Ended::Cut;
+                return CopyEnd::Aborted;
             }
-            Part::Hold => {
+            Action::Pause => {
                 if link.changed().await.is_err() {
-                    return Ended::Cut;
+                    return CopyEnd::Aborted;
                 }
                 continue;
             }
-            Part::Pass(_) | Part::Cut(_) | Part::Break(_) => tokio::select! {
+            Action::Forward(_) | Action::CloseAfter(_) | Action::ResetAfter(_) => tokio::select! {
                 read = from.read(&mut buffer) => read,
                 changed = link.changed() => match changed {
                     Ok(()) => continue,
-                    Err(_) => return Ended::Cut,
+                    Err(_) => return CopyEnd::Aborted,
                 },
             },
         };
         let read = match read {
             Ok(0) => {
                 drop(to.shutdown().await);
-                return Ended::Closed;
+                return CopyEnd::HalfClosed;
             }
             Ok(read) => read,
-            // A reset goes on as one: as a plain end it would complete an answer without a length.
+            // Passes a reset on, since a regular close would complete a response without a length.
             Err(_) => {
                 reset_half(to);
-                return Ended::Cut;
+                return CopyEnd::Aborted;
             }
         };
-        if let Part::Pass(time) = now
+        if let Action::Forward(time) = action
             && !time.is_zero()
         {
             sleep(time).await;
         }
-        let left = match now {
-            Part::Cut(n) | Part::Break(n) => Some(n.saturating_sub(passed)),
+        let remaining = match action {
+            Action::CloseAfter(n) | Action::ResetAfter(n) => Some(n.saturating_sub(forwarded)),
             _ => None,
         };
-        let part = left.map_or(read, |n| read.min(usize::try_from(n).unwrap_or(read)));
-        if to.write_all(&buffer[..part]).await.is_err() {
-            return Ended::Cut;
+        let length = remaining.map_or(read, |n| read.min(usize::try_from(n).unwrap_or(read)));
+        if to.write_all(&buffer[..length]).await.is_err() {
+            return CopyEnd::Aborted;
         }
-        passed += part as u64;
-        carried.fetch_add(part as u64, Ordering::Relaxed);
-        if left.is_some_and(|n| n <= read as u64) {
-            if matches!(now, Part::Break(_)) {
+        forwarded += length as u64;
+        forwarded_bytes.fetch_add(length as u64, Ordering::Relaxed);
+        if remaining.is_some_and(|n| n <= read as u64) {
+            if matches!(action, Action::ResetAfter(_)) {
                 reset_half(to);
             }
-            return Ended::Cut;
+            return CopyEnd::Aborted;
         }
     }
 }
--- a/crates/nutmeggrade-fakes/src/service.rs
+++ b/crates/nutmeggrade-fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service's stand-in: counts what it ran.
+//! A fake plain service that counts the calls it ran.
 
 mod faults;
 mod server;
--- a/crates/nutmeggrade-fakes/src/service/server.rs
+++ b/crates/nutmeggrade-fakes/src/service/server.rs
@@ -1,4 +1,4 @@
-//! The plain service's HTTP side.
+//! HTTP server of the fake plain service.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,21 +16,21 @@
 #[derive(Debug, Default)]
 struct Inner {
     faults: Faults,
-    ran: BTreeMap<String, u64>,
-    total: u64,
+    run_counts: BTreeMap<String, u64>,
+    total_runs: u64,
 }
 
 type App = Arc<Mutex<Inner>>;
 
-/// Runs the service until the process ends.
+/// Serves the service until the process ends.
 ///
-/// `POST /call/{operation}` runs a call and logs it under the body's `subject`, `GET /log` tells how
-/// often each `operation/subject` ran.
+/// `POST /call/{operation}` runs a call and counts it under the body's `subject`; `GET /run_log` returns
+/// how often each `operation/subject` ran.
 pub async fn serve(address: SocketAddr) -> anyhow::Result<()> {
     let router = Router::new()
         .post("/call/:operation", run)
-        .get("/log", log)
-        .post("/fault", fault)
+        .get("/log", run_log)
+        .post("/fault", set_faults)
         .with(types::State::new(App::default()));
     serve_http(address, router).await
 }
@@ -53,29 +53,29 @@
         return Ok(status(StatusCode::SERVICE_UNAVAILABLE));
     }
     let subject = body.get("subject").and_then(Value::as_str).unwrap_or("none");
-    let (number, lost) = {
+    let (run_number, lost) = {
         let mut inner = lock(&app);
-        inner.total += 1;
-        *inner.ran.entry(format!("{operation}/{subject}")).or_default() += 1;
+        inner.total_runs += 1;
+        *inner.run_counts.entry(format!("{operation}/{subject}")).or_default() += 1;
         let lost = inner.faults.lose > 0;
         inner.faults.lose = inner.faults.lose.saturating_sub(1);
-        (inner.total, lost)
+        (inner.total_runs, lost)
     };
     sleep(Duration::from_millis(faults.after_ms)).await;
     if lost {
         return Ok(cut());
     }
-    let answer = json!({ "operation": operation, "subject": subject, "number": number });
-    Ok(Response::json(answer)?)
+    let response = json!({ "operation": operation, "subject": subject, "number": run_number });
+    Ok(Response::json(response)?)
 }
 
-async fn log(req: Request) -> Result<Response> {
+async fn run_log(req: Request) -> Result<Response> {
     let app = app(&req);
-    let ran = lock(&app).ran.clone();
-    Ok(Response::json(ran)?)
+    let run_counts = lock(&app).run_counts.clone();
+    Ok(Response::json(run_counts)?)
 }
 
-async fn fault(mut req: Request) -> Result<Response> {
+async fn set_faults(mut req: Request) -> Result<Response> {
     let app = app(&req);
     let faults: Faults = req.json().await?;
     lock(&app).faults = faults;
