--- a/crates/nutmeggrade-fakes/src/driver.rs
+++ b/crates/nutmeggrade-fakes/src/driver.rs
@@ -1,5 +1,5 @@
-//! Plays a pattern of load in virtual time: several deciders, each with its own lagging view, over
-//! the engines' [`Model`]. The same pattern and seed give the same figures.
+//! Simulates a load pattern in virtual time: several deciders, each with a lagging view of its own,
+//! place requests on [`Model`] engines. The same pattern and seed give the same figures.
 
 mod arrival;
 mod change;
@@ -24,57 +24,57 @@
 pub use decider::Decider;
 pub use figures::{Figures, Outcome};
 pub use pattern::Pattern;
-pub use shape::{CAPACITY, Shape};
+pub use shape::{CAPACITY_PER_SECOND, Shape};
 
-/// Instances that decide; as many as each deployment has today.
+/// Number of instances, each with its own decider; the size of the current deployments.
 pub const NODES: usize = 7;
-/// Engines, in three failure domains.
+/// Number of engines.
 pub const ENGINES: usize = 12;
-/// Failure domains.
+/// Number of failure domains, over which the engines are distributed.
 pub const DOMAINS: usize = 3;
-/// Between two looks at the queue; the node's own tick is 7 ms.
-const TICK: Duration = Duration::from_millis(10);
-/// Between two load reports of an engine.
-const POLL: Duration = Duration::from_millis(250);
-/// Between two heartbeats of an instance.
-const BEACON: Duration = Duration::from_millis(500);
-/// Engines that a request is tried on before its first token.
-const ATTEMPTS: usize = 3;
+/// Interval between two checks of the queues; an instance's own interval is 7 ms.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between two load reports of an engine.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between two heartbeats of an instance.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of attempts for a request that has no token yet.
+const MAX_ATTEMPTS: usize = 3;
 
 #[derive(Debug, Clone, Copy)]
-enum What {
-    Arrive(usize),
+enum SimulationEvent {
+    Arrival(usize),
     Change(usize),
-    Step(usize),
-    Tick,
-    Poll,
-    Beacon,
+    StepEnd(usize),
+    QueueCheck,
+    LoadReports,
+    Heartbeats,
     Deadline(usize),
 }
 
 #[derive(Debug, Default)]
-struct Live {
-    attempt: u64,
-    place: Option<usize>,
+struct RequestState {
+    ticket: u64,
+    engine: Option<usize>,
     avoid: BTreeSet<EndpointId>,
-    tries: usize,
-    over: bool,
+    attempts: usize,
+    ended: bool,
 }
 
-/// The world in virtual time.
+/// A discrete-event simulation of instances and engines.
 #[derive(Debug)]
 pub struct Driver<'a, D> {
     pattern: &'a Pattern,
     nodes: Vec<D>,
     models: Vec<Model>,
     busy: Vec<bool>,
-    held: Vec<BTreeSet<usize>>,
-    out: Vec<bool>,
-    pending: BTreeMap<(Moment, u64), What>,
-    events: Vec<Vec<Event>>,
+    assigned: Vec<BTreeSet<usize>>,
+    out_domains: Vec<bool>,
+    pending: BTreeMap<(Moment, u64), SimulationEvent>,
+    step_events: Vec<Vec<Event>>,
     reports: Vec<VecDeque<(Moment, LoadReport)>>,
-    beacons: VecDeque<(Moment, Vec<BTreeMap<EndpointId, u32>>)>,
-    live: Vec<Live>,
+    heartbeats: VecDeque<(Moment, Vec<BTreeMap<EndpointId, u32>>)>,
+    requests: Vec<RequestState>,
     tickets: BTreeMap<u64, usize>,
     outcomes: Vec<Outcome>,
     preemptions: u64,
@@ -82,17 +82,17 @@
     next_ticket: u64,
 }
 
-/// Returns the name of an engine; they are dealt to the domains in turn.
+/// Returns the id of an engine; engines are assigned to the domains in turn.
 ///
 /// # Panics
 ///
-/// Never: the name is a valid id.
+/// Never: the text is a valid id.
 pub fn endpoint(engine: usize) -> EndpointId {
     EndpointId::new(&format!("engine-{engine:02}")).expect("a valid id")
 }
 
 impl<'a, D: Decider> Driver<'a, D> {
-    /// Makes a world of idle, warm engines; `make` builds the decider of each instance.
+    /// Creates a simulation with idle, warm engines; `make` builds the decider of each instance.
     pub fn new(pattern: &'a Pattern, make: impl FnMut(usize) -> D) -> Self {
         let count = pattern.arrivals.len();
         Self {
@@ -100,13 +100,13 @@
             nodes: (0..NODES).map(make).collect(),
             models: (0..ENGINES).map(|_| Model::new(&pattern.spec)).collect(),
             busy: vec![false; ENGINES],
-            held: vec![BTreeSet::new(); ENGINES],
-            out: vec![false; DOMAINS],
+            assigned: vec![BTreeSet::new(); ENGINES],
+            out_domains: vec![false; DOMAINS],
             pending: BTreeMap::new(),
-            events: vec![Vec::new(); ENGINES],
+            step_events: vec![Vec::new(); ENGINES],
             reports: vec![VecDeque::new(); ENGINES],
-            beacons: VecDeque::new(),
-            live: (0..count).map(|_| Live::default()).collect(),
+            heartbeats: VecDeque::new(),
+            requests: (0..count).map(|_| RequestState::default()).collect(),
             tickets: BTreeMap::new(),
             outcomes: vec![Outcome::default(); count],
             preemptions: 0,
@@ -115,73 +115,75 @@
         }
     }
 
-    /// Plays the pattern to its end.
+    /// Runs the pattern to its end.
     pub fn run(mut self) -> Figures {
-        self.tell_engines(Moment::ZERO);
+        self.announce_engines(Moment::ZERO);
         for (i, arrival) in self.pattern.arrivals.iter().enumerate() {
-            self.at(arrival.at, What::Arrive(i));
-            self.at(arrival.deadline, What::Deadline(i));
+            self.schedule(arrival.at, SimulationEvent::Arrival(i));
+            self.schedule(arrival.deadline, SimulationEvent::Deadline(i));
         }
         for (i, change) in self.pattern.changes.iter().enumerate() {
-            self.at(change.at(), What::Change(i));
+            self.schedule(change.at(), SimulationEvent::Change(i));
         }
-        for what in [What::Poll, What::Beacon, What::Tick] {
-            self.at(Moment::ZERO, what);
+        for event in
+            [SimulationEvent::LoadReports, SimulationEvent::Heartbeats, SimulationEvent::QueueCheck]
+        {
+            self.schedule(Moment::ZERO, event);
         }
-        while let Some(((now, _), what)) = self.pending.pop_first() {
+        while let Some(((now, _), event)) = self.pending.pop_first() {
             if now > self.pattern.end {
                 break;
             }
-            self.play(what, now);
+            self.handle(event, now);
         }
         let crashes = self.models.iter().map(Model::crashes).sum();
         Figures::new(self.pattern, &self.outcomes, self.preemptions, crashes)
     }
 
-    fn at(&mut self, when: Moment, what: What) {
+    fn schedule(&mut self, time: Moment, event: SimulationEvent) {
         self.sequence += 1;
-        self.pending.insert((when, self.sequence), what);
+        self.pending.insert((time, self.sequence), event);
     }
 
-    fn play(&mut self, what: What, now: Moment) {
-        match what {
-            What::Arrive(i) => self.ask(i, now),
-            What::Change(i) => self.change(i, now),
-            What::Step(engine) => self.stepped(engine, now),
-            What::Deadline(i) => self.finish(i, End::Cancelled, now),
-            What::Tick => {
-                self.tick(now);
-                self.at(now.after(TICK), What::Tick);
+    fn handle(&mut self, event: SimulationEvent, now: Moment) {
+        match event {
+            SimulationEvent::Arrival(i) => self.place_request(i, now),
+            SimulationEvent::Change(i) => self.apply_change(i, now),
+            SimulationEvent::StepEnd(engine) => self.finish_step(engine, now),
+            SimulationEvent::Deadline(i) => self.finish(i, End::Cancelled, now),
+            SimulationEvent::QueueCheck => {
+                self.release_queued(now);
+                self.schedule(now.after(QUEUE_CHECK_INTERVAL), SimulationEvent::QueueCheck);
             }
-            What::Poll => {
-                self.poll(now);
-                self.at(now.after(POLL), What::Poll);
+            SimulationEvent::LoadReports => {
+                self.deliver_reports(now);
+                self.schedule(now.after(LOAD_REPORT_INTERVAL), SimulationEvent::LoadReports);
             }
-            What::Beacon => {
-                self.beacon(now);
-                self.at(now.after(BEACON), What::Beacon);
+            SimulationEvent::Heartbeats => {
+                self.exchange_heartbeats(now);
+                self.schedule(now.after(HEARTBEAT_INTERVAL), SimulationEvent::Heartbeats);
             }
         }
     }
 
-    fn node(request: usize) -> usize {
+    fn node_index(request: usize) -> usize {
         request % NODES
     }
 
-    fn ask(&mut self, request: usize, now: Moment) {
+    fn place_request(&mut self, request: usize, now: Moment) {
         let arrival = &self.pattern.arrivals[request];
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.tickets.insert(ticket, request);
-        let live = &mut self.live[request];
-        live.attempt = ticket;
-        live.tries += 1;
-        let ask = arrival.ask(Ticket(ticket), &live.avoid);
-        let verdict = self.nodes[Self::node(request)].ask(&ask, now);
-        self.decided(request, &verdict, now);
+        let state = &mut self.requests[request];
+        state.ticket = ticket;
+        state.attempts += 1;
+        let generation_request = arrival.to_request(Ticket(ticket), &state.avoid);
+        let verdict = self.nodes[Self::node_index(request)].ask(&generation_request, now);
+        self.apply_verdict(request, &verdict, now);
     }
 
-    fn decided(&mut self, request: usize, verdict: &Verdict, now: Moment) {
+    fn apply_verdict(&mut self, request: usize, verdict: &Verdict, now: Moment) {
         match verdict {
             Verdict::Wait => {}
             Verdict::Refuse { .. } => {
@@ -189,8 +191,8 @@
                 let outcome = &mut self.outcomes[request];
                 outcome.refused = true;
                 outcome.false_refusal = fits;
-                self.live[request].over = true;
-                self.tickets.remove(&self.live[request].attempt);
+                self.requests[request].ended = true;
+                self.tickets.remove(&self.requests[request].ticket);
             }
             Verdict::Go { endpoint: id, priority } => {
                 let engine = (0..ENGINES).find(|e| endpoint(*e) == *id).expect("a known engine");
@@ -200,49 +202,49 @@
     }
 
     fn finish(&mut self, request: usize, end: End, now: Moment) {
-        let live = &mut self.live[request];
-        if live.over {
+        let state = &mut self.requests[request];
+        if state.ended {
             return;
         }
-        live.over = true;
-        let ticket = live.attempt;
+        state.ended = true;
+        let ticket = state.ticket;
         self.tickets.remove(&ticket);
-        if let Some(engine) = live.place.take() {
-            self.held[engine].remove(&request);
+        if let Some(engine) = state.engine.take() {
+            self.assigned[engine].remove(&request);
             let mut bytes = [0; 16];
             bytes[8..].copy_from_slice(&ticket.to_be_bytes());
             self.models[engine].cancel(GenerationId::new(bytes));
         }
-        self.nodes[Self::node(request)].end(Ticket(ticket), end, now);
+        self.nodes[Self::node_index(request)].end(Ticket(ticket), end, now);
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn release_queued(&mut self, now: Moment) {
         for node in 0..NODES {
             for (ticket, verdict) in self.nodes[node].release(now) {
                 if let Some(request) = self.tickets.get(&ticket.0).copied() {
-                    self.decided(request, &verdict, now);
+                    self.apply_verdict(request, &verdict, now);
                 }
             }
         }
     }
 
-    fn change(&mut self, index: usize, now: Moment) {
+    fn apply_change(&mut self, index: usize, now: Moment) {
         match self.pattern.changes[index] {
             Change::Slow { engine, factor, .. } => self.models[engine].set_slow(factor),
             Change::Cold { engine, .. } => self.models[engine].set_cold(now),
-            Change::Out { domain, .. } => self.out[domain] = true,
-            Change::Back { domain, .. } => self.out[domain] = false,
+            Change::Out { domain, .. } => self.out_domains[domain] = true,
+            Change::Back { domain, .. } => self.out_domains[domain] = false,
             Change::Restart { domain, .. } => {
                 for engine in (0..ENGINES).filter(|e| e % DOMAINS == domain) {
                     self.models[engine].set_cold(now);
                 }
             }
         }
-        self.tell_engines(now);
+        self.announce_engines(now);
     }
 }
 
-/// The engine of every pattern.
+/// Returns the engine specification that all patterns use.
 pub fn spec() -> Spec {
     Spec::default()
 }
--- a/crates/nutmeggrade-fakes/src/driver/arrival.rs
+++ b/crates/nutmeggrade-fakes/src/driver/arrival.rs
@@ -1,4 +1,4 @@
-//! One request of a pattern.
+//! Requests of a load pattern.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,47 +10,51 @@
 
 use super::Shape;
 
-/// Time after which a long answer is worth nothing.
+/// Deadline of a long completion.
 const LONG_DEADLINE: Duration = Duration::from_secs(90);
-/// Time after which a short answer is worth nothing.
+/// Deadline of a short completion.
 const SHORT_DEADLINE: Duration = Duration::from_secs(20);
-/// Workspaces.
-const WORKSPACES: usize = 10;
-/// Tokens of the prefix that a conversation's prompts share.
-const PREFIX: u64 = 250;
-/// Most tokens of a long answer.
-const MAX_LONG: u64 = 8_192;
-/// Most tokens of a short answer.
-const MAX_SHORT: u64 = 64;
-/// Most tokens of a huge answer.
-const MAX_HUGE: u64 = 24_576;
+/// Number of workspaces.
+const WORKSPACE_COUNT: usize = 10;
+/// Length of the prefix that the prompts of a conversation share.
+const PREFIX_TOKENS: u64 = 250;
+/// Token limit of a long completion.
+const MAX_LONG_TOKENS: u64 = 8_192;
+/// Token limit of a short completion.
+const MAX_SHORT_TOKENS: u64 = 64;
+/// Token limit of a huge completion.
+const MAX_HUGE_TOKENS: u64 = 24_576;
 
-/// One request of the pattern.
+/// A request of a load pattern.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When it comes.
+    /// Arrival time.
     pub at: Moment,
-    /// Who asks.
+    /// Number of the calling workspace.
     pub workspace: usize,
-    /// Whether it is a long task.
+    /// Whether its task class is long.
     pub long: bool,
-    /// Prompt length.
+    /// Prompt length in tokens.
     pub prompt: u64,
-    /// Shared prefix.
+    /// Id of the shared prefix.
     pub prefix: u64,
-    /// Length of the shared prefix.
+    /// Length of the shared prefix in tokens.
     pub prefix_len: u64,
-    /// True length of the answer.
+    /// True output length in tokens.
     pub output: u64,
-    /// Most tokens that the caller allows.
+    /// Token limit set by the caller.
     pub max_tokens: u64,
-    /// When the answer is worth nothing any more.
+    /// Deadline for the complete output.
     pub deadline: Moment,
     huge: bool,
 }
 
 impl Arrival {
-    pub(super) fn ask(&self, ticket: Ticket, avoid: &BTreeSet<EndpointId>) -> GenerationRequest {
+    pub(super) fn to_request(
+        &self,
+        ticket: Ticket,
+        avoid: &BTreeSet<EndpointId>,
+    ) -> GenerationRequest {
         let task = if self.huge { "draft-book" } else { "permit-draft" };
         let task = if self.long { task } else { "district-sort" };
         GenerationRequest {
@@ -68,7 +72,7 @@
     }
 }
 
-/// Names a workspace.
+/// Returns the id of a workspace.
 ///
 /// # Panics
 ///
@@ -77,7 +81,7 @@
     WorkspaceId::new(&format!("workspace-{number}")).expect("a valid id")
 }
 
-/// Names the model.
+/// Returns the id of the model.
 ///
 /// # Panics
 ///
@@ -88,10 +92,10 @@
 
 pub(super) fn draw(rng: &mut ChaCha8Rng, shape: Shape, at: f64) -> Arrival {
     let at = Moment::new(Duration::from_secs_f64(at));
-    let crowd = shape == Shape::TwoWorkspaces;
-    let skewed = crowd && rng.random_bool(0.8);
-    let lowest = if crowd && !skewed { 2 } else { 0 };
-    let highest = if skewed { 2 } else { WORKSPACES };
+    let uneven = shape == Shape::TwoWorkspaces;
+    let is_heavy = uneven && rng.random_bool(0.8);
+    let lowest = if uneven && !is_heavy { 2 } else { 0 };
+    let highest = if is_heavy { 2 } else { WORKSPACE_COUNT };
     let workspace = rng.random_range(lowest..highest);
     let huge = shape == Shape::Huge && rng.random_bool(1.0 / 150.0);
     let long = huge || rng.random_bool(0.5);
@@ -102,14 +106,14 @@
         _ => SHORT_DEADLINE,
     };
     let max_tokens = match (huge, long) {
-        (true, _) => MAX_HUGE,
-        (_, true) => MAX_LONG,
-        _ => MAX_SHORT,
+        (true, _) => MAX_HUGE_TOKENS,
+        (_, true) => MAX_LONG_TOKENS,
+        _ => MAX_SHORT_TOKENS,
     };
     let output = match (huge, long) {
-        (true, _) => rng.random_range(10_000..MAX_HUGE),
-        (_, true) => lognormal(rng, 500.0, 0.9).clamp(16, MAX_LONG),
-        _ => rng.random_range(8..MAX_SHORT),
+        (true, _) => rng.random_range(10_000..MAX_HUGE_TOKENS),
+        (_, true) => lognormal(rng, 500.0, 0.9).clamp(16, MAX_LONG_TOKENS),
+        _ => rng.random_range(8..MAX_SHORT_TOKENS),
     };
     let prompt = if long { rng.random_range(300..1_200) } else { rng.random_range(260..500) };
     Arrival {
@@ -118,7 +122,7 @@
         long,
         prompt,
         prefix: 1 + workspace as u64 * 20 + conversation,
-        prefix_len: PREFIX,
+        prefix_len: PREFIX_TOKENS,
         output,
         max_tokens,
         deadline: at.after(deadline),
@@ -126,7 +130,7 @@
     }
 }
 
-/// Draws from a lognormal distribution by twelve uniform draws for its exponent.
+/// Draws from a lognormal distribution, with the sum of twelve uniform draws as normal exponent.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/nutmeggrade-fakes/src/driver/change.rs
+++ b/crates/nutmeggrade-fakes/src/driver/change.rs
@@ -1,45 +1,45 @@
-//! What happens to the engines.
+//! Scheduled changes of the engines.
 
 use nutmeggrade_core::moment::Moment;
 
-/// Something that happens to the engines.
+/// A scheduled change of the engines.
 #[derive(Debug, Clone, Copy)]
 pub enum Change {
-    /// Steps take `factor` times as long.
+    /// An engine's steps take `factor` times as long.
     Slow {
-        /// When.
+        /// Time of the change.
         at: Moment,
-        /// Which.
+        /// Number of the engine.
         engine: usize,
-        /// How much slower.
+        /// Factor of the step time.
         factor: u32,
     },
     /// A warm engine turns cold.
     Cold {
-        /// When.
+        /// Time of the change.
         at: Moment,
-        /// Which.
+        /// Number of the engine.
         engine: usize,
     },
-    /// A failure domain is taken out.
+    /// A failure domain is taken out of service.
     Out {
-        /// When.
+        /// Time of the change.
         at: Moment,
-        /// Which.
+        /// Number of the domain.
         domain: usize,
     },
-    /// Its engines restart while it is out.
+    /// The engines of a domain restart cold.
     Restart {
-        /// When.
+        /// Time of the change.
         at: Moment,
-        /// Which.
+        /// Number of the domain.
         domain: usize,
     },
-    /// It comes back.
+    /// A failure domain returns to service.
     Back {
-        /// When.
+        /// Time of the change.
         at: Moment,
-        /// Which.
+        /// Number of the domain.
         domain: usize,
     },
 }
--- a/crates/nutmeggrade-fakes/src/driver/decider.rs
+++ b/crates/nutmeggrade-fakes/src/driver/decider.rs
@@ -1,4 +1,4 @@
-//! What the driver asks for decisions.
+//! Interface between the simulation and a scheduling policy.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::{End, Engine, GenerationRequest, Scheduler, Ticket, Verdict};
 
-/// A policy of one instance: the scheduler, or a baseline that it is compared with.
+/// The scheduling policy of an instance: the scheduler, or a baseline for comparison.
 pub trait Decider {
-    /// Replaces the engines that may get new work.
+    /// Replaces the set of engines that are eligible for new work.
     fn set_engines(&mut self, engines: &[Engine], now: Moment);
-    /// Takes an engine's lagging report.
+    /// Records an engine's lagging load report.
     fn report(&mut self, endpoint: &EndpointId, report: &LoadReport, now: Moment);
-    /// Takes what peers have in flight.
+    /// Records the peers' numbers of requests in flight per engine.
     fn set_peers(&mut self, in_flight: &BTreeMap<EndpointId, u32>, now: Moment);
     /// Decides about a new request.
     fn ask(&mut self, ask: &GenerationRequest, now: Moment) -> Verdict;
-    /// Decides about those that wait.
+    /// Decides about queued requests.
     fn release(&mut self, now: Moment) -> Vec<(Ticket, Verdict)>;
-    /// Notes a token.
+    /// Records a token of a request.
     fn token(&mut self, ticket: Ticket, now: Moment);
-    /// Notes an end.
+    /// Records the end of a request.
     fn end(&mut self, ticket: Ticket, end: End, now: Moment);
-    /// Returns what this instance has in flight.
+    /// Returns this instance's number of requests in flight per engine.
     fn in_flight(&self) -> BTreeMap<EndpointId, u32>;
 }
 
--- a/crates/nutmeggrade-fakes/src/driver/engines.rs
+++ b/crates/nutmeggrade-fakes/src/driver/engines.rs
@@ -1,33 +1,33 @@
-//! Running the engines.
+//! Execution of the engines' steps.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::{End, Ticket};
 
-use super::{ATTEMPTS, DOMAINS, Decider, Driver, What, endpoint};
+use super::{DOMAINS, Decider, Driver, MAX_ATTEMPTS, SimulationEvent, endpoint};
 use crate::engine::{Event, Job};
 
 impl<D: Decider> Driver<'_, D> {
-    /// Says whether an engine could take the request, knowing every true length.
+    /// Returns whether an engine has room for the request, given the true output lengths.
     pub(super) fn fits(&self, engine: usize, request: usize, now: Moment) -> bool {
-        let held = &self.held[engine];
+        let assigned = &self.assigned[engine];
         let need = |i: &usize| {
             let arrival = &self.pattern.arrivals[*i];
             arrival.prompt + arrival.output
         };
-        let sum: u64 = held.iter().map(need).sum();
+        let sum: u64 = assigned.iter().map(need).sum();
         let model = &self.models[engine];
-        let usable = !self.out[engine % DOMAINS] && !model.is_cold(now);
+        let usable = !self.out_domains[engine % DOMAINS] && !model.is_cold(now);
         usable
-            && held.len() < self.pattern.spec.batch as usize
+            && assigned.len() < self.pattern.spec.batch as usize
             && sum + need(&request) <= self.pattern.spec.memory
     }
 
     pub(super) fn submit(&mut self, request: usize, engine: usize, priority: i32, now: Moment) {
         let arrival = &self.pattern.arrivals[request];
-        let live = &mut self.live[request];
-        live.place = Some(engine);
+        let state = &mut self.requests[request];
+        state.engine = Some(engine);
         let mut bytes = [0; 16];
-        bytes[8..].copy_from_slice(&live.attempt.to_be_bytes());
+        bytes[8..].copy_from_slice(&state.ticket.to_be_bytes());
         let job = Job {
             generation: GenerationId::new(bytes),
             prompt: arrival.prompt,
@@ -37,60 +37,60 @@
             priority,
             poison: false,
         };
-        self.held[engine].insert(request);
+        self.assigned[engine].insert(request);
         let events = self.models[engine].submit(job, now);
         if !events.is_empty() {
-            self.crashed(engine, now);
+            self.handle_crash(engine, now);
         }
-        self.kick(engine, now);
+        self.start_step(engine, now);
     }
 
-    pub(super) fn kick(&mut self, engine: usize, now: Moment) {
+    pub(super) fn start_step(&mut self, engine: usize, now: Moment) {
         if self.busy[engine] || self.models[engine].is_idle() {
             return;
         }
-        let (took, events) = self.models[engine].step(now);
+        let (duration, events) = self.models[engine].step(now);
         self.busy[engine] = true;
-        self.events[engine] = events;
-        self.at(now.after(took), What::Step(engine));
+        self.step_events[engine] = events;
+        self.schedule(now.after(duration), SimulationEvent::StepEnd(engine));
     }
 
-    pub(super) fn stepped(&mut self, engine: usize, now: Moment) {
+    pub(super) fn finish_step(&mut self, engine: usize, now: Moment) {
         self.busy[engine] = false;
-        for event in std::mem::take(&mut self.events[engine]) {
+        for event in std::mem::take(&mut self.step_events[engine]) {
             match event {
-                Event::Token { generation, last, .. } => self.token(generation, last, now),
+                Event::Token { generation, last, .. } => self.record_token(generation, last, now),
                 Event::Preempted { .. } => self.preemptions += 1,
-                Event::Crashed => self.crashed(engine, now),
+                Event::Crashed => self.handle_crash(engine, now),
             }
         }
-        self.kick(engine, now);
+        self.start_step(engine, now);
     }
 
-    pub(super) fn token(&mut self, generation: GenerationId, last: bool, now: Moment) {
-        let number = u64::from_str_radix(&generation.to_string()[16..], 16).unwrap_or(0);
-        let Some(request) = self.tickets.get(&number).copied() else { return };
+    pub(super) fn record_token(&mut self, generation: GenerationId, last: bool, now: Moment) {
+        let ticket = u64::from_str_radix(&generation.to_string()[16..], 16).unwrap_or(0);
+        let Some(request) = self.tickets.get(&ticket).copied() else { return };
         self.outcomes[request].token(now);
-        self.nodes[Self::node(request)].token(Ticket(number), now);
+        self.nodes[Self::node_index(request)].token(Ticket(ticket), now);
         if last {
             self.outcomes[request].whole = true;
             self.finish(request, End::Finished, now);
         }
     }
 
-    pub(super) fn crashed(&mut self, engine: usize, now: Moment) {
-        for request in std::mem::take(&mut self.held[engine]) {
-            let live = &mut self.live[request];
-            live.place = None;
-            live.avoid.insert(endpoint(engine));
+    pub(super) fn handle_crash(&mut self, engine: usize, now: Moment) {
+        for request in std::mem::take(&mut self.assigned[engine]) {
+            let state = &mut self.requests[request];
+            state.engine = None;
+            state.avoid.insert(endpoint(engine));
             let started = self.outcomes[request].started();
-            if started || live.tries >= ATTEMPTS {
+            if started || state.attempts >= MAX_ATTEMPTS {
                 self.finish(request, End::Failed, now);
             } else {
-                let ticket = live.attempt;
+                let ticket = state.ticket;
                 self.tickets.remove(&ticket);
-                self.nodes[Self::node(request)].end(Ticket(ticket), End::Failed, now);
-                self.ask(request, now);
+                self.nodes[Self::node_index(request)].end(Ticket(ticket), End::Failed, now);
+                self.place_request(request, now);
             }
         }
     }
--- a/crates/nutmeggrade-fakes/src/driver/pattern.rs
+++ b/crates/nutmeggrade-fakes/src/driver/pattern.rs
@@ -1,4 +1,4 @@
-//! A pattern of load, drawn from a seed.
+//! Load patterns, drawn from a seed.
 
 use std::time::Duration;
 
@@ -9,20 +9,21 @@
 use super::{Arrival, Change, Shape, arrival, spec};
 use crate::engine::Spec;
 
-/// Time during which requests come, in seconds.
-const ARRIVING: f64 = 120.0;
-/// One pattern with all that is random in it already drawn.
+/// Period in which requests arrive, in seconds.
+const ARRIVAL_SECONDS: f64 = 120.0;
+
+/// A load pattern in which every random value is already drawn.
 #[derive(Debug, Clone)]
 pub struct Pattern {
-    /// Requests in the order of their coming.
+    /// Requests in the order of arrival.
     pub arrivals: Vec<Arrival>,
-    /// What happens to the engines.
+    /// Scheduled changes of the engines.
     pub changes: Vec<Change>,
-    /// How old load reports are.
+    /// Lag of the load reports.
     pub report_lag: Duration,
-    /// When the run ends.
+    /// End of the run.
     pub end: Moment,
-    /// Every engine.
+    /// Specification that all engines share.
     pub spec: Spec,
 }
 
@@ -32,26 +33,26 @@
         Self::scaled(shape, seed, 1.0)
     }
 
-    /// Draws a pattern that takes a part of the usual time, at the same rates.
+    /// Draws a pattern whose duration is scaled, at the same rates.
     pub fn scaled(shape: Shape, seed: u64, scale: f64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut arrivals = Vec::new();
         let mut at = 0.0;
         loop {
-            let open: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
-            at -= open.ln() / shape.rate(at / scale);
-            if at > ARRIVING * scale {
+            let uniform: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
+            at -= uniform.ln() / shape.rate(at / scale);
+            if at > ARRIVAL_SECONDS * scale {
                 break;
             }
             arrivals.push(arrival::draw(&mut rng, shape, at));
         }
-        let late = arrivals.iter().map(|a| a.deadline).max().unwrap_or(Moment::ZERO);
-        let old_reports = shape == Shape::StaleReports;
+        let last_deadline = arrivals.iter().map(|a| a.deadline).max().unwrap_or(Moment::ZERO);
+        let is_stale = shape == Shape::StaleReports;
         Self {
             arrivals,
             changes: shape.changes(scale),
-            report_lag: Duration::from_millis(if old_reports { 3_000 } else { 300 }),
-            end: late,
+            report_lag: Duration::from_millis(if is_stale { 3_000 } else { 300 }),
+            end: last_deadline,
             spec: spec(),
         }
     }
--- a/crates/nutmeggrade-fakes/src/driver/shape.rs
+++ b/crates/nutmeggrade-fakes/src/driver/shape.rs
@@ -1,4 +1,4 @@
-//! Which load comes when.
+//! Shapes of load over time.
 
 use std::time::Duration;
 
@@ -6,36 +6,37 @@
 
 use super::Change;
 
-/// Requests a second that fill the engines' memory on average, from the pattern's mean lengths; see
-/// `docs/measurements/decisions.md`.
-pub const CAPACITY: f64 = 40.0;
-/// The patterns of load.
+/// Requests per second that fill the engines' memory on average, given the patterns' mean lengths;
+/// see `docs/measurements/decisions.md`.
+pub const CAPACITY_PER_SECOND: f64 = 40.0;
+
+/// Shape of a load pattern.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shape {
-    /// Half load with 10 s of four times as much.
+    /// Half of the capacity, with a burst of four times as much for 10 s.
     Burst,
-    /// Two of ten workspaces send 80 % at 1.3 times capacity.
+    /// 1.3 times the capacity, 80 % of it from two of ten workspaces.
     TwoWorkspaces,
-    /// One engine of twelve becomes eight times slower for a minute.
+    /// One of twelve engines is eight times slower for a minute.
     SlowEndpoint,
-    /// One answer in 150 is up to 24,576 tokens long.
+    /// One output in 150 is up to 24,576 tokens long.
     Huge,
-    /// As much as the engines bear.
+    /// Exactly the capacity.
     Saturation1,
-    /// Half more than the engines bear.
+    /// 1.5 times the capacity.
     Saturation15,
-    /// Three times what the engines bear.
+    /// Three times the capacity.
     Saturation3,
-    /// A failure domain leaves and returns cold.
+    /// A failure domain is taken out of service and returns cold.
     DomainOut,
-    /// The same at a load that the other two domains can't bear.
+    /// The same at a load that exceeds the capacity of the other two domains.
     DomainOutBusy,
-    /// Reports are three seconds old, and two warm engines turn cold.
+    /// Load reports lag by three seconds, and two warm engines turn cold.
     StaleReports,
 }
 
 impl Shape {
-    /// Every pattern.
+    /// All shapes.
     pub const ALL: [Self; 10] = [
         Self::Burst,
         Self::TwoWorkspaces,
@@ -49,7 +50,7 @@
         Self::StaleReports,
     ];
 
-    /// Returns the name used in tables.
+    /// Returns the name used in result tables.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Burst => "burst",
@@ -77,7 +78,7 @@
             Self::Saturation15 => 1.5,
             Self::Saturation3 => 3.0,
         };
-        load * CAPACITY
+        load * CAPACITY_PER_SECOND
     }
 
     pub(super) fn changes(self, scale: f64) -> Vec<Change> {
--- a/crates/nutmeggrade-fakes/src/driver/views.rs
+++ b/crates/nutmeggrade-fakes/src/driver/views.rs
@@ -1,4 +1,4 @@
-//! What deciders are told, and how late.
+//! Delivery of load reports, heartbeats and engine lists to the deciders, with lag.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,15 +6,15 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::Engine;
 
-use super::{BEACON, DOMAINS, Decider, Driver, ENGINES, NODES, endpoint, model};
+use super::{DOMAINS, Decider, Driver, ENGINES, HEARTBEAT_INTERVAL, NODES, endpoint, model};
 
 impl<D: Decider> Driver<'_, D> {
-    pub(super) fn poll(&mut self, now: Moment) {
+    pub(super) fn deliver_reports(&mut self, now: Moment) {
         let lag = self.pattern.report_lag;
         for engine in 0..ENGINES {
-            let fresh = self.models[engine].load(now);
+            let current = self.models[engine].load(now);
             let reports = &mut self.reports[engine];
-            reports.push_back((now, fresh));
+            reports.push_back((now, current));
             while reports.get(1).is_some_and(|(at, _)| now.since(*at) >= lag) {
                 reports.pop_front();
             }
@@ -26,35 +26,35 @@
         }
     }
 
-    pub(super) fn beacon(&mut self, now: Moment) {
+    pub(super) fn exchange_heartbeats(&mut self, now: Moment) {
         let counts = self.nodes.iter().map(Decider::in_flight).collect();
-        self.beacons.push_back((now, counts));
-        while self.beacons.get(1).is_some_and(|(at, _)| now.since(*at) >= BEACON) {
-            self.beacons.pop_front();
+        self.heartbeats.push_back((now, counts));
+        while self.heartbeats.get(1).is_some_and(|(at, _)| now.since(*at) >= HEARTBEAT_INTERVAL) {
+            self.heartbeats.pop_front();
         }
-        let (_, counts) = &self.beacons[0];
-        for (own, node) in self.nodes.iter_mut().enumerate() {
-            let mut sum = BTreeMap::new();
-            for (_, of_peer) in counts.iter().enumerate().filter(|(peer, _)| *peer != own) {
-                for (id, count) in of_peer {
-                    *sum.entry(id.clone()).or_insert(0) += count;
+        let (_, counts) = &self.heartbeats[0];
+        for (index, node) in self.nodes.iter_mut().enumerate() {
+            let mut totals = BTreeMap::new();
+            for (_, peer_counts) in counts.iter().enumerate().filter(|(peer, _)| *peer != index) {
+                for (id, count) in peer_counts {
+                    *totals.entry(id.clone()).or_insert(0) += count;
                 }
             }
-            node.set_peers(&sum, now);
+            node.set_peers(&totals, now);
         }
-        self.tell_engines(now);
+        self.announce_engines(now);
     }
 
-    pub(super) fn tell_engines(&mut self, now: Moment) {
-        for (own, node) in self.nodes.iter_mut().enumerate() {
-            let usable = (0..ENGINES).filter(|e| !self.out[e % DOMAINS]);
+    pub(super) fn announce_engines(&mut self, now: Moment) {
+        for (index, node) in self.nodes.iter_mut().enumerate() {
+            let usable = (0..ENGINES).filter(|e| !self.out_domains[e % DOMAINS]);
             let engines: Vec<_> = usable
                 .map(|e| Engine {
                     id: endpoint(e),
                     domain: DomainId::new(&format!("domain-{}", e % DOMAINS)).expect("a valid id"),
                     models: BTreeSet::from([model()]),
                     memory: self.pattern.spec.memory,
-                    cold_right: if e % NODES == own { self.pattern.spec.cold_limit } else { 0 },
+                    cold_right: if e % NODES == index { self.pattern.spec.cold_limit } else { 0 },
                     sharers: u32::try_from(NODES).unwrap_or(1),
                 })
                 .collect();
--- a/crates/nutmeggrade-fakes/src/fleet.rs
+++ b/crates/nutmeggrade-fakes/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the whole system as separate processes, for the demo and the tests.
+//! Runs a complete deployment as separate processes, for the demo and the tests.
 
 mod caller;
 mod client;
--- a/crates/nutmeggrade-fakes/src/fleet/caller.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the system, as a household's client would be.
+//! An HTTP client of the instances' caller API, as callers' programs would use it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,37 +15,37 @@
 use super::Deployment;
 use crate::http::{ask, send};
 
-const CONNECT: Duration = Duration::from_secs(2);
-const MAX_ANSWER: usize = 1 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// What a caller heard of one stream.
+/// Events that a caller received on one stream.
 #[derive(Debug, Clone, Default)]
 pub struct Heard {
-    /// Tokens in the order in which they came.
+    /// Tokens in the order of arrival.
     pub tokens: Vec<String>,
-    /// Id of the last event.
+    /// Id of the last token's event, for resuming the stream.
     pub last: Option<String>,
-    /// Whether the answer was whole.
+    /// Whether the stream ended with `[DONE]`.
     pub done: bool,
-    /// The failure, if the stream or the request failed.
+    /// Body of the failure, if the request or the stream failed.
     pub failure: Option<Value>,
-    /// Where to go on, if the instance stopped.
+    /// Where to resume the stream, if the instance stopped.
     pub moved: Option<Value>,
 }
 
 impl Heard {
-    /// Says whether the answer is whole and its tokens came once and in order.
+    /// Returns whether the stream is complete and each token came once and in order.
     pub fn is_whole(&self) -> bool {
         self.done && self.in_order()
     }
 
-    /// Says whether what came so far came once and in order.
+    /// Returns whether each received token came once and in order.
     pub fn in_order(&self) -> bool {
         self.tokens.iter().enumerate().all(|(n, t)| *t == format!("w{n} "))
     }
 }
 
-/// A caller in one workspace.
+/// A caller of one workspace.
 #[derive(Debug, Clone)]
 pub struct Caller {
     workspace: String,
@@ -54,13 +54,13 @@
 }
 
 impl Caller {
-    /// Makes a caller of the permit desk that knows some entries.
+    /// Creates a caller of the Permit Desk that uses these entry addresses.
     pub fn new(workspace: &str, entries: Vec<SocketAddr>) -> Self {
         let deployment = Deployment::PERMIT_DESK;
         Self { workspace: workspace.to_owned(), entries, deployment }
     }
 
-    /// Asks in another workspace.
+    /// Sends requests for another workspace.
     #[must_use]
     pub fn with_workspace(mut self, workspace: &str) -> Self {
         workspace.clone_into(&mut self.workspace);
@@ -74,41 +74,41 @@
         self
     }
 
-    /// Asks the n-th entry which addresses to use.
+    /// Requests the list of entry addresses from the n-th entry.
     pub async fn ask_entries(&self, n: usize) -> anyhow::Result<Vec<SocketAddr>> {
-        let answer: Value = ask(self.entry(n), Method::GET, "/v1/entries", None).await?;
-        let rows = answer.get("entries").and_then(Value::as_array).context("no entries")?;
+        let response: Value = ask(self.entry(n), Method::GET, "/v1/entries", None).await?;
+        let rows = response.get("entries").and_then(Value::as_array).context("no entries")?;
         let address = |row: &Value| row.get("address")?.as_str()?.parse().ok();
         Ok(rows.iter().filter_map(address).collect())
     }
 
-    /// Returns the n-th entry, counted in a circle.
+    /// Returns the n-th entry address, modulo their number.
     pub fn entry(&self, n: usize) -> SocketAddr {
         self.entries[n % self.entries.len()]
     }
 
-    /// Streams an answer and goes on where it is told to, until it is whole or failed.
+    /// Streams a completion and resumes it at further entries until it is complete or has failed.
     pub async fn stream(&self, n: usize, task: &str, prompt: &str) -> anyhow::Result<Heard> {
-        let mut heard = Heard::default();
-        self.listen(self.entry(n), task, prompt, &mut heard, None).await?;
+        let mut output = Heard::default();
+        self.listen(self.entry(n), task, prompt, &mut output, None).await?;
         let mut entry = n;
-        while !heard.done && heard.failure.is_none() {
+        while !output.done && output.failure.is_none() {
             entry += 1;
-            anyhow::ensure!(entry < n + 3 * self.entries.len(), "no entry goes on");
-            // An entry that stopped is skipped; the next one resumes.
-            drop(self.listen(self.entry(entry), task, prompt, &mut heard, None).await);
+            anyhow::ensure!(entry < n + 3 * self.entries.len(), "no entry resumes the stream");
+            // An entry that stopped is skipped; the next one resumes the stream.
+            drop(self.listen(self.entry(entry), task, prompt, &mut output, None).await);
         }
-        Ok(heard)
+        Ok(output)
     }
 
-    /// Listens at one entry, from the last event if there is one, for at most `most` tokens.
+    /// Reads a stream at one entry, after the last event if there is one, up to `token_limit` tokens.
     pub async fn listen(
         &self,
         entry: SocketAddr,
         task: &str,
         prompt: &str,
-        heard: &mut Heard,
-        most: Option<usize>,
+        output: &mut Heard,
+        token_limit: Option<usize>,
     ) -> anyhow::Result<()> {
         let body = json!({ "model": self.deployment.model, "prompt": prompt, "stream": true });
         let mut request = Request::builder()
@@ -117,38 +117,38 @@
             .header(header::HOST, entry.to_string())
             .header("nutmeggrade-workspace", &self.workspace)
             .header("nutmeggrade-task", task);
-        if let Some(last) = &heard.last {
+        if let Some(last) = &output.last {
             request = request.header("last-event-id", last);
         }
         let request = request.body(Full::new(Bytes::from(body.to_string())))?;
-        let response = call(entry, request, CONNECT).await?;
+        let response = call(entry, request, CONNECT_TIMEOUT).await?;
         if response.status() != StatusCode::OK {
-            let body = body_bytes(response.into_body(), MAX_ANSWER).await?;
-            heard.failure = Some(serde_json::from_slice(&body).context("decode failure")?);
+            let body = body_bytes(response.into_body(), MAX_RESPONSE_BYTES).await?;
+            output.failure = Some(serde_json::from_slice(&body).context("decode failure")?);
             return Ok(());
         }
         let mut events = BodyDataStream::new(response.into_body()).eventsource();
         while let Some(event) = events.next().await {
             let Ok(event) = event else { return Ok(()) };
             match event.event.as_str() {
-                "error" => heard.failure = Some(serde_json::from_str(&event.data)?),
-                "moved" => heard.moved = Some(serde_json::from_str(&event.data)?),
-                _ if event.data == "[DONE]" => heard.done = true,
+                "error" => output.failure = Some(serde_json::from_str(&event.data)?),
+                "moved" => output.moved = Some(serde_json::from_str(&event.data)?),
+                _ if event.data == "[DONE]" => output.done = true,
                 _ => {
                     let chunk: Value = serde_json::from_str(&event.data)?;
                     let text = chunk.pointer("/choices/0/text").and_then(Value::as_str);
-                    heard.tokens.push(text.unwrap_or("").to_owned());
-                    heard.last = Some(event.id);
+                    output.tokens.push(text.unwrap_or("").to_owned());
+                    output.last = Some(event.id);
                 }
             }
-            if most.is_some_and(|m| heard.tokens.len() >= m) {
+            if token_limit.is_some_and(|m| output.tokens.len() >= m) {
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    /// Calls an operation of the plain service at the n-th entry.
+    /// Calls an operation of the plain service through the n-th entry.
     pub async fn operation(
         &self,
         n: usize,
--- a/crates/nutmeggrade-fakes/src/fleet/client.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/client.rs
@@ -1,4 +1,4 @@
-//! A caller that keeps entries for the time that it was told.
+//! A caller that caches the list of entries for the advertised time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,73 +11,74 @@
 use super::{Caller, Heard};
 use crate::http::ask;
 
-/// A caller that follows the callers' page to the letter: it asks for entries, keeps the answer for
-/// as long as it says, connects to the first, and asks that one again before the time is over.
+/// A caller that follows the callers' documentation exactly: it requests the list of entries, caches
+/// it for the advertised time, connects to the first entry, and refreshes the list there before the
+/// time is over.
 ///
-/// It never tries a second address by itself, so that each refusal or broken answer shows.
+/// It never tries a second address by itself, so that each refusal or broken response is visible.
 #[derive(Debug)]
 pub struct Client {
     workspace: String,
-    known: Vec<SocketAddr>,
-    kept_at: Instant,
-    keep: Duration,
+    addresses: Vec<SocketAddr>,
+    fetched_at: Instant,
+    keep_time: Duration,
 }
 
 impl Client {
-    /// Makes a client that knows one address for now.
+    /// Creates a client with one address and a list that is already stale.
     pub fn new(workspace: &str, first: SocketAddr) -> Self {
         Self {
             workspace: workspace.to_owned(),
-            known: vec![first],
-            kept_at: Instant::now(),
-            keep: Duration::ZERO,
+            addresses: vec![first],
+            fetched_at: Instant::now(),
+            keep_time: Duration::ZERO,
         }
     }
 
-    /// Says whether the kept answer is too old to rely on.
+    /// Returns whether the cached list has expired.
     pub fn is_stale(&self) -> bool {
-        self.kept_at.elapsed() >= self.keep
+        self.fetched_at.elapsed() >= self.keep_time
     }
 
-    /// Starts over from an address, as after a pause in which the kept answer ran out.
+    /// Starts over with one address, as after a pause in which the cached list expired.
     pub fn restart(&mut self, first: SocketAddr) {
-        self.known = vec![first];
+        self.addresses = vec![first];
     }
 
-    /// Asks the entry in use for entries.
+    /// Requests the list of entries from the entry in use.
     pub async fn refresh(&mut self) -> anyhow::Result<()> {
-        let asked = Instant::now();
-        let answer: Value = ask(self.known[0], Method::GET, "/v1/entries", None).await?;
-        let rows = answer.get("entries").and_then(Value::as_array).context("no entries")?;
+        let requested_at = Instant::now();
+        let response: Value = ask(self.addresses[0], Method::GET, "/v1/entries", None).await?;
+        let rows = response.get("entries").and_then(Value::as_array).context("no entries")?;
         let address = |row: &Value| row.get("address")?.as_str()?.parse().ok();
-        let known: Vec<_> = rows.iter().filter_map(address).collect();
-        anyhow::ensure!(!known.is_empty(), "an empty list of entries");
-        let keep = answer.get("keep_ms").and_then(Value::as_u64).context("no keep_ms")?;
-        self.known = known;
-        self.kept_at = asked;
-        self.keep = Duration::from_millis(keep);
+        let addresses: Vec<_> = rows.iter().filter_map(address).collect();
+        anyhow::ensure!(!addresses.is_empty(), "an empty list of entries");
+        let keep_time = response.get("keep_ms").and_then(Value::as_u64).context("no keep_ms")?;
+        self.addresses = addresses;
+        self.fetched_at = requested_at;
+        self.keep_time = Duration::from_millis(keep_time);
         Ok(())
     }
 
-    /// Refreshes the kept answer once half of its time is over.
+    /// Refreshes the cached list once half of its lifetime is over.
     pub async fn keep_fresh(&mut self) -> anyhow::Result<()> {
-        if self.kept_at.elapsed() >= self.keep / 2 { self.refresh().await } else { Ok(()) }
+        if self.fetched_at.elapsed() >= self.keep_time / 2 { self.refresh().await } else { Ok(()) }
     }
 
-    /// Streams an answer at the entry in use, and goes on where an instance that stops says.
+    /// Streams a completion from the entry in use and follows the `moved` events of stopping instances.
     pub async fn stream(&self, task: &str, prompt: &str) -> anyhow::Result<Heard> {
-        let mut heard = Heard::default();
+        let mut output = Heard::default();
         let caller = self.caller();
-        caller.listen(self.known[0], task, prompt, &mut heard, None).await?;
-        while let Some(moved) = heard.moved.take() {
+        caller.listen(self.addresses[0], task, prompt, &mut output, None).await?;
+        while let Some(moved) = output.moved.take() {
             let next = moved.pointer("/entries/0").and_then(Value::as_str);
-            let next = next.context("moved nowhere")?.parse()?;
-            caller.listen(next, task, prompt, &mut heard, None).await?;
+            let next = next.context("`moved` event without an entry")?.parse()?;
+            caller.listen(next, task, prompt, &mut output, None).await?;
         }
-        Ok(heard)
+        Ok(output)
     }
 
-    /// Calls an operation of the plain service at the entry in use.
+    /// Calls an operation of the plain service through the entry in use.
     pub async fn operation(
         &self,
         operation: &str,
@@ -88,6 +89,6 @@
     }
 
     fn caller(&self) -> Caller {
-        Caller::new(&self.workspace, self.known.clone())
+        Caller::new(&self.workspace, self.addresses.clone())
     }
 }
--- a/crates/nutmeggrade-fakes/src/fleet/deployment.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/deployment.rs
@@ -1,30 +1,30 @@
-//! The names of a deployment, and its ordinary preset.
+//! Names used in the deployments under test, and their ordinary preset.
 
 use anyhow::Context;
 use nutmeggrade_core::config::Preset;
 use serde_json::json;
 
-/// The permit desk's model, which drafts and sorts.
+/// Model of the Permit Desk, for drafting and sorting.
 pub const MODEL: &str = "nutmeg-schrijvers";
-/// The permit desk's plain service, which issues and looks up permits.
+/// Plain service of the Permit Desk, for issuing and looking up permits.
 pub const SERVICE: &str = "loket-dienst";
 
-/// The names that one of the users gave to what they run.
+/// Names of a user's failure domains, model, service, task classes and operations.
 #[derive(Debug, Clone, Copy)]
 pub struct Deployment {
-    /// Failure domains; processes are spread over them in turn.
+    /// Failure domains; processes are distributed over them in turn.
     pub domains: [&'static str; 3],
-    /// The model.
+    /// Id of the model.
     pub model: &'static str,
-    /// The plain service.
+    /// Id of the plain service.
     pub service: &'static str,
-    /// Task class of long answers.
+    /// Task class of long completions.
     pub long: &'static str,
-    /// Task class of short answers.
+    /// Task class of short completions.
     pub short: &'static str,
-    /// Operation that may not be repeated.
+    /// Operation that isn't idempotent.
     pub once: &'static str,
-    /// Operation that may be repeated.
+    /// Operation that is idempotent.
     pub idempotent: &'static str,
 }
 
@@ -39,7 +39,7 @@
         once: "issue-permit",
         idempotent: "lookup-permit",
     };
-    /// The framing cooperative.
+    /// The framing cooperative Rāmis Kopā.
     pub const FRAMING: Self = Self {
         domains: ["riga-a", "riga-b", "riga-c"],
         model: "nutmeg-pool",
@@ -50,7 +50,7 @@
         idempotent: "lookup-stock",
     };
 
-    /// Makes the preset of an ordinary day.
+    /// Builds the preset `ordinary`.
     pub fn preset(&self) -> anyhow::Result<Preset> {
         let preset = json!({
             "models": { self.model: { "context": 32_000 } },
@@ -71,7 +71,7 @@
     }
 }
 
-/// Makes the permit desk's preset of an ordinary day.
+/// Builds the preset `ordinary` of the Permit Desk.
 pub fn preset() -> anyhow::Result<Preset> {
     Deployment::PERMIT_DESK.preset()
 }
--- a/crates/nutmeggrade-fakes/src/fleet/plan.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/plan.rs
@@ -1,30 +1,30 @@
-//! How many of what to start.
+//! Size and settings of a fleet.
 
 use super::Deployment;
 
-/// How many processes to start and with which settings.
+/// Numbers of processes to start, and their settings.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Names of the model, the service and what they do.
+    /// Names of the model, the service, the task classes and the operations.
     pub deployment: Deployment,
-    /// Failure domains; processes are spread over them in turn.
+    /// Failure domains; processes are distributed over them in turn.
     pub domains: Vec<String>,
-    /// Instances of nutmeggrade.
+    /// Number of nutmeggrade instances.
     pub nodes: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub services: usize,
-    /// Memory of an engine, in tokens.
+    /// Key/value memory of an engine, in tokens.
     pub memory: u64,
-    /// Further flags for every instance.
+    /// Additional command-line flags of every instance.
     pub flags: Vec<String>,
-    /// Whether the instances reach the platform and the endpoints through relays.
+    /// Whether instances reach the platform and the endpoints through fault-injecting TCP relays.
     pub relayed: bool,
 }
 
 impl Default for Plan {
-    /// The Permit Desk's failure domains, seven instances, three engines, one service.
+    /// Seven instances, three engines and one service in the Permit Desk's failure domains.
     fn default() -> Self {
         let deployment = Deployment::PERMIT_DESK;
         Self {
@@ -41,7 +41,7 @@
 }
 
 impl Plan {
-    /// Takes another deployment's names and failure domains.
+    /// Uses another deployment's names and failure domains.
     #[must_use]
     pub fn with_deployment(mut self, deployment: Deployment) -> Self {
         self.deployment = deployment;
@@ -70,7 +70,7 @@
         self
     }
 
-    /// Adds a flag with its value for every instance.
+    /// Adds a flag and its value for every instance.
     #[must_use]
     pub fn with_flag(mut self, flag: &str, value: &str) -> Self {
         self.flags.push(format!("--{flag}"));
@@ -78,7 +78,7 @@
         self
     }
 
-    /// Puts a relay before the platform and each endpoint, on which links can fail.
+    /// Puts a fault-injecting TCP relay in front of the platform and each endpoint.
     #[must_use]
     pub fn with_relays(mut self) -> Self {
         self.relayed = true;
--- a/crates/nutmeggrade-fakes/src/fleet/process.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One child process of the demo or a test.
+//! A child process of the demo or a test.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -9,24 +9,24 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// One child process; killed by its pid when dropped.
+/// A child process; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// What the process is called in logs.
+    /// Name of the process in logs and errors.
     pub name: String,
 }
 
 impl Process {
-    /// Starts a program and waits for its line `listening …`, which is returned without the word.
+    /// Starts a program, waits for its line `listening …` and returns the rest of that line.
     pub fn start(
         name: &str,
         program: &Path,
         args: &[String],
-        variables: &[(&str, &str)],
+        environment: &[(&str, &str)],
     ) -> anyhow::Result<(Self, String)> {
         let log = File::create(logs()?.join(format!("{name}.log"))).context("create log")?;
-        let mut command = command(program, args, variables);
+        let mut command = command(program, args, environment);
         command.stdout(Stdio::piped()).stderr(log);
         let mut child = command.spawn().with_context(|| format!("start {}", program.display()))?;
         let stdout = child.stdout.take().context("no stdout")?;
@@ -38,69 +38,69 @@
         Ok((process, listening.to_owned()))
     }
 
-    /// Starts a program that adds everything it prints to a log file.
+    /// Starts a program and appends its standard output and error to a log file.
     pub fn start_logged(
         name: &str,
         program: &Path,
         args: &[String],
-        variables: &[(&str, &str)],
+        environment: &[(&str, &str)],
         log: &Path,
     ) -> anyhow::Result<Self> {
         let log = File::options().create(true).append(true).open(log).context("open log")?;
-        let mut command = command(program, args, variables);
+        let mut command = command(program, args, environment);
         command.stdout(log.try_clone().context("share log")?).stderr(log);
         let child = command.spawn().with_context(|| format!("start {}", program.display()))?;
         Ok(Self { child, name: name.to_owned() })
     }
 
-    /// Returns the process's id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal to this process alone.
+    /// Sends a signal to the process, not to its children.
     pub fn signal(&self, signal: Signal) -> anyhow::Result<()> {
         let pid = i32::try_from(self.child.id()).context("pid")?;
         kill(Pid::from_raw(pid), signal).with_context(|| format!("signal {}", self.name))
     }
 
-    /// Kills the process at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) -> anyhow::Result<()> {
         self.child.kill().context("kill")?;
         self.child.wait().context("wait")?;
         Ok(())
     }
 
-    /// Returns how the process ended, if it has.
+    /// Returns the exit status, if the process has ended.
     pub fn ended(&mut self) -> anyhow::Result<Option<ExitStatus>> {
         self.child.try_wait().context("wait")
     }
 }
 
-fn command(program: &Path, args: &[String], variables: &[(&str, &str)]) -> Command {
+fn command(program: &Path, args: &[String], environment: &[(&str, &str)]) -> Command {
     let mut command = Command::new(program);
-    command.args(args).envs(variables.iter().copied()).stdin(Stdio::null());
+    command.args(args).envs(environment.iter().copied()).stdin(Stdio::null());
     command
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A process that already ended is what the drop wants.
+        // Fails only if the process has already ended.
         drop(self.child.kill());
         drop(self.child.wait());
     }
 }
 
-/// Returns the folder of the built programs, next to or above the running one's.
+/// Returns the build folder of the programs: that of the running program, or its parent.
 pub fn programs() -> anyhow::Result<PathBuf> {
-    let own = std::env::current_exe().context("own path")?;
-    let folder = own.parent().context("own folder")?;
-    let inner = folder.ends_with("examples") || folder.ends_with("deps");
-    let folder = if inner { folder.parent().context("build folder")? } else { folder };
+    let executable = std::env::current_exe().context("path of the running program")?;
+    let folder = executable.parent().context("folder of the running program")?;
+    let is_nested = folder.ends_with("examples") || folder.ends_with("deps");
+    let folder = if is_nested { folder.parent().context("build folder")? } else { folder };
     Ok(folder.to_owned())
 }
 
-/// Returns the folder for logs of the running process's children.
+/// Returns the folder for the logs of this process's children, and creates it.
 pub fn logs() -> anyhow::Result<PathBuf> {
     let folder = programs()?.join("fleet-logs").join(std::process::id().to_string());
     std::fs::create_dir_all(&folder).context("create log folder")?;
--- a/crates/nutmeggrade-fakes/src/fleet/running.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/running.rs
@@ -1,4 +1,4 @@
-//! The running processes.
+//! A running deployment and its control.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,44 +19,44 @@
 use crate::http::{ask, send};
 use crate::relay::Relay;
 
-/// Secret of the fleet's instances.
+/// Shared secret of the instances.
 const PEER_KEY: &str = "peer-key-of-a-fleet-on-loopback";
-/// Token of the fleet's operators.
+/// Token with which the operators authenticate.
 const OPERATOR_TOKEN: &str = "operator-token-on-loopback";
-const PATIENCE: Duration = Duration::from_secs(2);
-const READY: Duration = Duration::from_secs(30);
-const STOPPED: Duration = Duration::from_mins(1);
-const POLL: Duration = Duration::from_millis(50);
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const STOP_TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where one instance listens.
+/// Listening addresses of an instance.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeAddresses {
-    /// Callers connect here.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Operators and probes connect here.
+    /// Address for operators and probes.
     pub admin: SocketAddr,
-    /// Peers subscribe here.
+    /// Address for peers.
     pub peers: SocketAddr,
 }
 
-/// A whole system as separate processes; all are killed when it is dropped.
+/// A complete deployment as separate processes, which are killed when it is dropped.
 #[derive(Debug)]
 pub struct Fleet {
     plan: Plan,
-    /// Where the platform listens.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Where each engine or service listens.
+    /// Address of each engine and service, by name.
     pub endpoints: BTreeMap<String, SocketAddr>,
-    /// Where each instance listens.
+    /// Addresses of each instance, by name.
     pub nodes: BTreeMap<String, NodeAddresses>,
     relays: BTreeMap<String, Relay>,
     processes: BTreeMap<String, Process>,
 }
 
 impl Fleet {
-    /// Starts everything, puts an ordinary preset in force and waits until every instance is ready.
+    /// Starts all processes with the ordinary preset and waits until every instance is ready.
     pub async fn start(plan: &Plan) -> anyhow::Result<Self> {
-        let (process, listening) = example("platform", "platform", &[])?;
+        let (process, listening) = start_example("platform", "platform", &[])?;
         let platform = listening.parse().context("platform address")?;
         let mut fleet = Self {
             plan: plan.clone(),
@@ -81,7 +81,7 @@
         Ok(fleet)
     }
 
-    /// Returns a caller that knows every instance's address.
+    /// Returns a caller that uses the addresses of all instances.
     pub fn caller(&self, workspace: &str) -> Caller {
         let entries = self.nodes.values().map(|n| n.callers).collect();
         Caller::new(workspace, entries).with_deployment(self.plan.deployment)
@@ -89,20 +89,20 @@
 
     /// Returns a client of the platform.
     pub fn client(&self) -> HttpPlatform {
-        HttpPlatform::new(self.platform, PATIENCE)
+        HttpPlatform::new(self.platform, PLATFORM_TIMEOUT)
     }
 
-    /// Returns the relay before the platform or an endpoint.
+    /// Returns the relay in front of the platform or an endpoint.
     pub fn link(&self, name: &str) -> anyhow::Result<&Relay> {
-        self.relays.get(name).with_context(|| format!("no relay before {name}"))
+        self.relays.get(name).with_context(|| format!("no relay in front of {name}"))
     }
 
-    /// Returns a process by name, to send it a signal.
+    /// Returns a process by name, for sending signals.
     pub fn process(&mut self, name: &str) -> anyhow::Result<&mut Process> {
         self.processes.get_mut(name).with_context(|| format!("no process {name}"))
     }
 
-    /// Sets the failures of the platform, an engine or a service.
+    /// Sets the injected failures of the platform, an engine or a service.
     pub async fn fault(&self, name: &str, faults: &Value) -> anyhow::Result<()> {
         let address = match name {
             "platform" => self.platform,
@@ -113,18 +113,18 @@
         Ok(())
     }
 
-    /// Reads an endpoint's own log of what it ran.
+    /// Reads an endpoint's log of the requests it ran.
     pub async fn log(&self, name: &str) -> anyhow::Result<Value> {
         let address = self.endpoints.get(name).with_context(|| format!("no endpoint {name}"))?;
         ask(*address, Method::GET, "/log", None).await
     }
 
     /// Runs `nutmegctl` and returns its exit code and output.
-    pub async fn operate(&self, words: &[&str]) -> anyhow::Result<(i32, String)> {
+    pub async fn operate(&self, args: &[&str]) -> anyhow::Result<(i32, String)> {
         let program = programs()?.join("nutmegctl");
         let platform = self.platform.to_string();
         let mut command = std::process::Command::new(program);
-        command.args(words).args(["--platform", &platform]);
+        command.args(args).args(["--platform", &platform]);
         command.env("NUTMEGGRADE_OPERATOR_TOKEN", OPERATOR_TOKEN);
         let output = tokio::task::spawn_blocking(move || command.output()).await?;
         let output = output.context("run nutmegctl")?;
@@ -133,46 +133,46 @@
         Ok((code, String::from_utf8_lossy(&text).into_owned()))
     }
 
-    /// Starts the n-th engine and lists it in the platform.
+    /// Starts the n-th engine and registers it with the platform.
     pub async fn start_engine(&mut self, n: usize) -> anyhow::Result<()> {
         let name = format!("engine-{n}");
         let lag_ms = "300".to_owned();
         let args = ["127.0.0.1:0".to_owned(), lag_ms, self.plan.memory.to_string()];
-        let kind = json!({ "kind": "engine", "models": [self.plan.deployment.model], "memory": self.plan.memory });
-        self.start_endpoint(&name, "engine", &args, n, &kind).await
+        let attributes = json!({ "kind": "engine", "models": [self.plan.deployment.model], "memory": self.plan.memory });
+        self.start_endpoint(&name, "engine", &args, n, &attributes).await
     }
 
-    /// Starts the n-th plain service and lists it in the platform.
+    /// Starts the n-th plain service and registers it with the platform.
     pub async fn start_service(&mut self, n: usize) -> anyhow::Result<()> {
         let name = format!("service-{n}");
-        let kind = json!({ "kind": "service", "service": self.plan.deployment.service });
-        self.start_endpoint(&name, "service", &[], n, &kind).await
+        let attributes = json!({ "kind": "service", "service": self.plan.deployment.service });
+        self.start_endpoint(&name, "service", &[], n, &attributes).await
     }
 
-    /// Stops an instance as planned and waits until its process ended; returns how it ended.
+    /// Stops an instance with SIGTERM, waits until its process ends and returns the exit status.
     pub async fn stop_node(&mut self, name: &str) -> anyhow::Result<ExitStatus> {
         self.process(name)?.signal(Signal::SIGTERM)?;
         self.ended(name).await
     }
 
-    /// Waits until a process ended; returns how.
+    /// Waits until a process ends and returns the exit status.
     pub async fn ended(&mut self, name: &str) -> anyhow::Result<ExitStatus> {
         let start = Instant::now();
         loop {
             if let Some(status) = self.process(name)?.ended()? {
                 return Ok(status);
             }
-            anyhow::ensure!(start.elapsed() < STOPPED, "{name} does not end");
-            sleep(POLL).await;
+            anyhow::ensure!(start.elapsed() < STOP_TIMEOUT, "{name} does not end");
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Adds a flag with its value for the instances that are started from now on.
+    /// Adds a flag and its value for instances that are started later.
     pub fn add_flag(&mut self, flag: &str, value: &str) {
         self.plan = self.plan.clone().with_flag(flag, value);
     }
 
-    /// Hands an instance a configuration, as the operators' command does with an accepted one.
+    /// Sends an instance a configuration, as `nutmegctl` does with an accepted one.
     pub async fn push(&self, name: &str, config: &Configuration) -> anyhow::Result<()> {
         let node = self.nodes.get(name).with_context(|| format!("no instance {name}"))?;
         let token = format!("Bearer {OPERATOR_TOKEN}");
@@ -183,12 +183,12 @@
         Ok(())
     }
 
-    /// Starts the n-th instance; its addresses are new.
+    /// Starts the n-th instance, on new addresses.
     pub fn start_node(&mut self, n: usize) -> anyhow::Result<()> {
         self.start_node_with_key(n, PEER_KEY)
     }
 
-    /// Starts the n-th instance with a peer key of its own.
+    /// Starts the n-th instance with the given peer key.
     pub fn start_node_with_key(&mut self, n: usize, key: &str) -> anyhow::Result<()> {
         let name = format!("node-{n}");
         let relay = self.relays.get("platform");
@@ -202,8 +202,8 @@
         let program = programs()?.join("nutmeggrade");
         let (process, line) = Process::start(&name, &program, &args, &secrets)?;
         let address = |key: &str| {
-            let found = line.split(' ').find_map(|w| w.strip_prefix(key)?.strip_prefix('='));
-            found.and_then(|a| a.parse().ok()).with_context(|| format!("{key} in {line:?}"))
+            let value = line.split(' ').find_map(|w| w.strip_prefix(key)?.strip_prefix('='));
+            value.and_then(|a| a.parse().ok()).with_context(|| format!("{key} in {line:?}"))
         };
         let addresses = NodeAddresses {
             callers: address("callers")?,
@@ -215,26 +215,26 @@
         Ok(())
     }
 
-    /// Waits until every instance is ready and sees every other.
+    /// Waits until every instance is ready and lists all instances as entries.
     pub async fn ready(&self) -> anyhow::Result<()> {
         let start = Instant::now();
         for (name, node) in &self.nodes {
             while !self.is_ready(node).await {
-                anyhow::ensure!(start.elapsed() < READY, "{name} is not ready");
-                sleep(POLL).await;
+                anyhow::ensure!(start.elapsed() < READY_TIMEOUT, "{name} is not ready");
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Reads one instance's counters.
+    /// Reads an instance's metrics.
     pub async fn metrics(&self, name: &str) -> anyhow::Result<String> {
         let node = self.nodes.get(name).with_context(|| format!("no instance {name}"))?;
-        let got = send(node.admin, Method::GET, "/metrics", &[], Vec::new()).await?;
-        Ok(String::from_utf8_lossy(&got.1).into_owned())
+        let response = send(node.admin, Method::GET, "/metrics", &[], Vec::new()).await?;
+        Ok(String::from_utf8_lossy(&response.1).into_owned())
     }
 
-    /// Sums the samples of an instance's metrics whose name and labels begin with `prefix`.
+    /// Returns the sum of an instance's metric samples whose name and labels begin with `prefix`.
     pub async fn counter(&self, name: &str, prefix: &str) -> anyhow::Result<f64> {
         let text = self.metrics(name).await?;
         let samples = text.lines().filter(|l| l.starts_with(prefix));
@@ -242,19 +242,19 @@
         Ok(samples.filter_map(value).sum())
     }
 
-    /// Returns what a process uses.
+    /// Returns the resource usage of a process.
     pub fn usage(&self, name: &str) -> anyhow::Result<Usage> {
         let process = self.processes.get(name).with_context(|| format!("no process {name}"))?;
         Usage::read(process.id())
     }
 
-    /// Reads one instance's status.
+    /// Reads an instance's status.
     pub async fn status(&self, name: &str) -> anyhow::Result<Value> {
         let node = self.nodes.get(name).with_context(|| format!("no instance {name}"))?;
         let token = format!("Bearer {OPERATOR_TOKEN}");
         let headers = [("authorization", token.as_str())];
-        let got = send(node.admin, Method::GET, "/status", &headers, Vec::new()).await?;
-        serde_json::from_slice(&got.1).context("decode status")
+        let response = send(node.admin, Method::GET, "/status", &headers, Vec::new()).await?;
+        serde_json::from_slice(&response.1).context("decode status")
     }
 
     async fn is_ready(&self, node: &NodeAddresses) -> bool {
@@ -263,8 +263,8 @@
         let Ok(entries) = ask::<Value>(node.callers, Method::GET, path, None).await else {
             return false;
         };
-        let seen = entries.get("entries").and_then(Value::as_array).map_or(0, Vec::len);
-        ready && seen >= self.nodes.len()
+        let entry_count = entries.get("entries").and_then(Value::as_array).map_or(0, Vec::len);
+        ready && entry_count >= self.nodes.len()
     }
 
     async fn start_endpoint(
@@ -273,23 +273,25 @@
         program: &str,
         args: &[String],
         n: usize,
-        kind: &Value,
+        attributes: &Value,
     ) -> anyhow::Result<()> {
-        let (process, listening) = example(name, program, args)?;
+        let (process, listening) = start_example(name, program, args)?;
         let address: SocketAddr = listening.parse().context("endpoint address")?;
         self.relay(name, address).await?;
-        let shown = self.relays.get(name).map_or(address, |r| r.address);
-        let mut row = json!({
+        let listed_address = self.relays.get(name).map_or(address, |r| r.address);
+        let mut registration = json!({
             "id": name,
-            "address": shown,
+            "address": listed_address,
             "domain": self.plan.domain(n),
             "state": "live",
             "checks_fencing": true,
         });
-        if let (Some(row), Some(kind)) = (row.as_object_mut(), kind.as_object()) {
-            row.extend(kind.clone());
+        if let (Some(registration), Some(attributes)) =
+            (registration.as_object_mut(), attributes.as_object())
+        {
+            registration.extend(attributes.clone());
         }
-        let body = row.to_string().into_bytes();
+        let body = registration.to_string().into_bytes();
         let (status, _) = send(self.platform, Method::PUT, "/endpoints", &[], body).await?;
         anyhow::ensure!(status.is_success(), "register {name}: {status}");
         self.endpoints.insert(name.to_owned(), address);
@@ -315,7 +317,7 @@
     }
 }
 
-fn example(name: &str, program: &str, args: &[String]) -> anyhow::Result<(Process, String)> {
+fn start_example(name: &str, program: &str, args: &[String]) -> anyhow::Result<(Process, String)> {
     let program = programs()?.join("examples").join(program);
     Process::start(name, &program, args, &[])
 }
