--- a/crates/nutmeggrade-fakes/examples/decision_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/decision_cost.rs
@@ -1,7 +1,7 @@
-//! Measures what one decision costs at three numbers of engines:
+//! Measures the cost of one scheduling decision at three numbers of engines:
 //! `cargo run --release --example decision_cost`.
 //!
-//! Each cell gives the time and the allocations of one decision.
+//! Each cell of the table is the time and the number of allocations of one decision.
 
 use std::alloc::System;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,70 +17,70 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Engines of today's deployments, ten times as many, and the largest that is planned for.
+/// Numbers of engines: the current deployments, ten times as many, and the largest planned one.
 const SIZES: [usize; 3] = [15, 150, 1_300];
-/// Rounds over which each cost is averaged.
+/// Number of rounds over which each cost is averaged.
 const ROUNDS: u64 = 20_000;
-/// Generations that one instance has on each engine.
-const EACH: u64 = 3;
-/// Memory of an engine, in tokens.
-const MEMORY: u64 = 40_000;
+/// Number of generations that one instance has on each engine.
+const GENERATIONS_PER_ENGINE: u64 = 3;
+/// Key/value memory of an engine, in tokens.
+const MEMORY_TOKENS: u64 = 40_000;
 
-/// What one decision spent on average.
+/// Average cost of one decision.
 #[derive(Debug, Clone, Copy)]
-struct Spent {
+struct MeanCost {
     nanos: f64,
     allocations: f64,
 }
 
-/// Measures from its start.
+/// Measures time and allocations from its start.
 struct Meter {
-    began: Instant,
+    start: Instant,
     region: Region<'static, System>,
 }
 
 impl Meter {
     fn start() -> Self {
-        Self { began: Instant::now(), region: Region::new(ALLOCATOR) }
+        Self { start: Instant::now(), region: Region::new(ALLOCATOR) }
     }
 
-    fn mean(&self, rounds: u64) -> Spent {
-        let nanos = self.began.elapsed().as_nanos() as f64 / rounds as f64;
+    fn mean(&self, rounds: u64) -> MeanCost {
+        let nanos = self.start.elapsed().as_nanos() as f64 / rounds as f64;
         let allocations = self.region.change().allocations as f64 / rounds as f64;
-        Spent { nanos, allocations }
+        MeanCost { nanos, allocations }
     }
 }
 
 #[derive(Debug)]
-struct Cost {
+struct ResultRow {
     name: &'static str,
-    spent: Vec<Spent>,
+    values: Vec<MeanCost>,
 }
 
 fn main() -> anyhow::Result<()> {
-    let mut costs: Vec<Cost> = Vec::new();
+    let mut rows: Vec<ResultRow> = Vec::new();
     for size in SIZES {
         let measured = [
-            ("ask and end, engines with room", room(size)?),
-            ("ask, all engines full", full(size)?),
-            ("look at the queue, 256 waiting", release(size)?),
-            ("token", token(size)?),
-            ("peers' counts, once a heartbeat", peers(size)?),
+            ("ask and end, engines with room", measure_placement(size)?),
+            ("ask, all engines full", measure_full_engines(size)?),
+            ("look at the queue, 256 waiting", measure_queue_check(size)?),
+            ("token", measure_token(size)?),
+            ("peers' counts, once a heartbeat", measure_peer_counts(size)?),
         ];
-        for (name, spent) in measured {
-            match costs.iter_mut().find(|c| c.name == name) {
-                Some(cost) => cost.spent.push(spent),
-                None => costs.push(Cost { name, spent: vec![spent] }),
+        for (name, values) in measured {
+            match rows.iter_mut().find(|c| c.name == name) {
+                Some(row) => row.values.push(values),
+                None => rows.push(ResultRow { name, values: vec![values] }),
             }
         }
     }
     println!("| decision | 15 engines | 150 | 1,300 | growth exponent |");
     println!("|---|---|---|---|---|");
-    for Cost { name, spent } in &costs {
+    for ResultRow { name, values } in &rows {
         let ratio = SIZES[2] as f64 / SIZES[0] as f64;
-        let growth = (spent[2].nanos / spent[0].nanos).ln() / ratio.ln();
-        let cell = |s: &Spent| format!("{:.0} ns, {:.2}", s.nanos, s.allocations);
-        let cells: Vec<_> = spent.iter().map(cell).collect();
+        let growth = (values[2].nanos / values[0].nanos).ln() / ratio.ln();
+        let cell = |s: &MeanCost| format!("{:.0} ns, {:.2}", s.nanos, s.allocations);
+        let cells: Vec<_> = values.iter().map(cell).collect();
         println!("| {name} | {} | {growth:.2} |", cells.join(" | "));
     }
     Ok(())
@@ -101,7 +101,7 @@
         id: engine_id(i),
         domain: DomainId::new(&format!("domain-{}", i % 3)).expect("a valid id"),
         models: BTreeSet::from([model()]),
-        memory: MEMORY,
+        memory: MEMORY_TOKENS,
         cold_right: 0,
         sharers: 7,
     };
@@ -111,7 +111,7 @@
         running: 10,
         waiting: 0,
         memory_used: used,
-        memory_total: MEMORY,
+        memory_total: MEMORY_TOKENS,
         preemptions: 0,
         cold: false,
         cold_limit: 2,
@@ -120,15 +120,15 @@
     for i in 0..size {
         scheduler.report(&engine_id(i), &report, Moment::ZERO);
     }
-    scheduler.set_peers(&counts(size), Moment::ZERO);
+    scheduler.set_peers(&peer_counts(size), Moment::ZERO);
     Ok(scheduler)
 }
 
-fn counts(size: usize) -> BTreeMap<EndpointId, u32> {
+fn peer_counts(size: usize) -> BTreeMap<EndpointId, u32> {
     (0..size).map(|i| (engine_id(i), 10)).collect()
 }
 
-fn ask(number: u64) -> GenerationRequest {
+fn generation_request(number: u64) -> GenerationRequest {
     GenerationRequest {
         ticket: Ticket(number),
         workspace: WorkspaceId::new(&format!("workspace-{}", number % 10)).expect("a valid id"),
@@ -143,53 +143,54 @@
     }
 }
 
-/// Time between two requests, so that engines stay below their limits for unseen admissions.
-fn at(number: u64, size: usize) -> Moment {
+/// Returns the arrival time of a request, spaced so that engines stay below their limit for
+/// admissions that load reports don't show yet.
+fn arrival_time(number: u64, size: usize) -> Moment {
     Moment::new(Duration::from_secs_f64(number as f64 / size as f64))
 }
 
-fn room(size: usize) -> anyhow::Result<Spent> {
+fn measure_placement(size: usize) -> anyhow::Result<MeanCost> {
     let mut scheduler = scheduler(size, 5_000)?;
-    let hold = size as u64 * EACH;
-    let asks: Vec<_> = (0..ROUNDS + hold).map(ask).collect();
+    let in_flight_target = size as u64 * GENERATIONS_PER_ENGINE;
+    let requests: Vec<_> = (0..ROUNDS + in_flight_target).map(generation_request).collect();
     let mut placed = 0;
     let mut meter = Meter::start();
-    for (number, ask) in (0..).zip(&asks) {
-        if number == hold {
+    for (number, generation_request) in (0..).zip(&requests) {
+        if number == in_flight_target {
             meter = Meter::start();
         }
-        let now = at(number, size);
-        let verdict = black_box(scheduler.ask(ask, now));
-        // The first token ends the reading of the prompt, which holds the next one back.
+        let now = arrival_time(number, size);
+        let verdict = black_box(scheduler.ask(generation_request, now));
+        // The first token ends the prefill, during which the scheduler holds back the next request.
         scheduler.token(Ticket(number), now);
         if matches!(verdict, Verdict::Wait) {
             scheduler.end(Ticket(number), End::Cancelled, now);
         }
-        if number >= hold {
+        if number >= in_flight_target {
             placed += u64::from(matches!(verdict, Verdict::Go { .. }));
-            scheduler.end(Ticket(number - hold), End::Cancelled, now);
+            scheduler.end(Ticket(number - in_flight_target), End::Cancelled, now);
         }
     }
-    let spent = meter.mean(ROUNDS);
+    let values = meter.mean(ROUNDS);
     anyhow::ensure!(placed * 10 > ROUNDS * 9, "only {placed} of {ROUNDS} were placed");
-    Ok(spent)
+    Ok(values)
 }
 
-fn full(size: usize) -> anyhow::Result<Spent> {
-    let mut scheduler = scheduler(size, MEMORY)?;
-    let asks: Vec<_> = (0..ROUNDS).map(ask).collect();
+fn measure_full_engines(size: usize) -> anyhow::Result<MeanCost> {
+    let mut scheduler = scheduler(size, MEMORY_TOKENS)?;
+    let requests: Vec<_> = (0..ROUNDS).map(generation_request).collect();
     let meter = Meter::start();
-    for ask in &asks {
-        black_box(scheduler.ask(ask, Moment::ZERO));
-        scheduler.end(ask.ticket, End::Cancelled, Moment::ZERO);
+    for generation_request in &requests {
+        black_box(scheduler.ask(generation_request, Moment::ZERO));
+        scheduler.end(generation_request.ticket, End::Cancelled, Moment::ZERO);
     }
     Ok(meter.mean(ROUNDS))
 }
 
-fn release(size: usize) -> anyhow::Result<Spent> {
-    let mut scheduler = scheduler(size, MEMORY)?;
+fn measure_queue_check(size: usize) -> anyhow::Result<MeanCost> {
+    let mut scheduler = scheduler(size, MEMORY_TOKENS)?;
     for number in 0..256 {
-        scheduler.ask(&ask(number), Moment::ZERO);
+        scheduler.ask(&generation_request(number), Moment::ZERO);
     }
     anyhow::ensure!(scheduler.waiting() > 200, "the queue did not fill");
     let meter = Meter::start();
@@ -199,28 +200,28 @@
     Ok(meter.mean(ROUNDS))
 }
 
-fn token(size: usize) -> anyhow::Result<Spent> {
+fn measure_token(size: usize) -> anyhow::Result<MeanCost> {
     let mut scheduler = scheduler(size, 5_000)?;
-    let hold = size as u64 * EACH;
-    for number in 0..hold {
-        scheduler.ask(&ask(number), at(number, size));
-        scheduler.token(Ticket(number), at(number, size));
+    let in_flight_target = size as u64 * GENERATIONS_PER_ENGINE;
+    for number in 0..in_flight_target {
+        scheduler.ask(&generation_request(number), arrival_time(number, size));
+        scheduler.token(Ticket(number), arrival_time(number, size));
     }
     let meter = Meter::start();
     for round in 0..ROUNDS {
-        let now = Moment::from_millis(4_000 + round / hold * 15);
-        scheduler.token(Ticket(round % hold), now);
+        let now = Moment::from_millis(4_000 + round / in_flight_target * 15);
+        scheduler.token(Ticket(round % in_flight_target), now);
     }
     Ok(meter.mean(ROUNDS))
 }
 
-fn peers(size: usize) -> anyhow::Result<Spent> {
+fn measure_peer_counts(size: usize) -> anyhow::Result<MeanCost> {
     let mut scheduler = scheduler(size, 5_000)?;
-    let counts = counts(size);
+    let peer_counts = peer_counts(size);
     let rounds = 200;
     let meter = Meter::start();
     for _ in 0..rounds {
-        scheduler.set_peers(black_box(&counts), Moment::ZERO);
+        scheduler.set_peers(black_box(&peer_counts), Moment::ZERO);
     }
     Ok(meter.mean(rounds))
 }
--- a/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
+++ b/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
@@ -1,7 +1,7 @@
-//! The usual policies that the scheduler is compared with.
+//! Common scheduling policies, as baselines for the scheduler.
 //!
-//! They read the same reports and heartbeats. All pass over engines that report a cold start, since
-//! otherwise each returning engine would fall over at once and the comparison would say little.
+//! They use the same load reports and heartbeats. All skip engines that report a cold start:
+//! without that, each returning engine would crash at once and the comparison would say little.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,20 +10,20 @@
 use nutmeggrade_fakes::driver::Decider;
 use nutmeggrade_policy::{End, Engine, GenerationRequest, Ticket, Verdict};
 
-/// Generations in a batch under the fixed limit, over all instances; the engines' memory divided by
-/// the mean memory of a long generation.
-const BATCH: u32 = 24;
+/// Fixed limit of generations in an engine's batch, over all instances; the engine's memory divided
+/// by the mean memory of a long generation.
+const MAX_BATCH: u32 = 24;
 
-/// How a baseline decides.
+/// Selection rule of a baseline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// Every engine in turn.
+    /// Selects the engines in turn.
     RoundRobin,
-    /// The engine with the fewest in flight, by own count and peers' heartbeats.
+    /// Selects the engine with the fewest requests in flight, by the own count and peers' heartbeats.
     LeastOutstanding,
-    /// The engine with the most memory that is not reserved; a reservation is prompt and limit.
+    /// Selects the engine with the least reserved memory; a request reserves prompt plus token limit.
     ReserveMax,
-    /// Least outstanding, as long as the batch is under a fixed limit.
+    /// Like `LeastOutstanding`, among engines whose batch is below a fixed limit.
     FixedBatch,
 }
 
@@ -42,137 +42,149 @@
 }
 
 #[derive(Debug)]
-struct Place {
+struct EngineState {
     memory: u64,
     peers: u32,
     cold: bool,
     usable: bool,
-    own: BTreeMap<Ticket, u64>,
+    reservations: BTreeMap<Ticket, u64>,
 }
 
-impl Place {
-    fn count(&self) -> u32 {
-        u32::try_from(self.own.len()).unwrap_or(u32::MAX) + self.peers
+impl EngineState {
+    fn in_flight_count(&self) -> u32 {
+        u32::try_from(self.reservations.len()).unwrap_or(u32::MAX) + self.peers
     }
 
-    fn reserved(&self) -> u64 {
-        self.own.values().sum()
+    fn reserved_memory(&self) -> u64 {
+        self.reservations.values().sum()
     }
 }
 
-/// A baseline of one instance.
+/// The baseline policy of one instance.
 #[derive(Debug)]
 pub struct Baseline {
     rule: Rule,
-    places: BTreeMap<EndpointId, Place>,
+    engines: BTreeMap<EndpointId, EngineState>,
     queue: VecDeque<GenerationRequest>,
-    turn: usize,
-    mean: f64,
+    next_index: usize,
+    mean_reservation: f64,
 }
 
 impl Baseline {
     pub fn new(rule: Rule) -> Self {
-        Self { rule, places: BTreeMap::new(), queue: VecDeque::new(), turn: 0, mean: 0.0 }
+        Self {
+            rule,
+            engines: BTreeMap::new(),
+            queue: VecDeque::new(),
+            next_index: 0,
+            mean_reservation: 0.0,
+        }
     }
 
-    fn place(&mut self, ask: &GenerationRequest) -> Option<EndpointId> {
-        let need = ask.prompt + ask.max_tokens;
-        let mean = self.mean;
-        let fits = |p: &Place| match self.rule {
+    fn select_engine(&mut self, request: &GenerationRequest) -> Option<EndpointId> {
+        let reservation = request.prompt + request.max_tokens;
+        let mean_reservation = self.mean_reservation;
+        let fits = |p: &EngineState| match self.rule {
             Rule::RoundRobin | Rule::LeastOutstanding => true,
-            Rule::FixedBatch => p.count() < BATCH,
+            Rule::FixedBatch => p.in_flight_count() < MAX_BATCH,
             Rule::ReserveMax => {
-                let peers = f64::from(p.peers) * mean;
-                p.reserved() as f64 + peers + need as f64 <= p.memory as f64
+                let peers = f64::from(p.peers) * mean_reservation;
+                p.reserved_memory() as f64 + peers + reservation as f64 <= p.memory as f64
             }
         };
-        let open: Vec<_> = self
-            .places
+        let eligible: Vec<_> = self
+            .engines
             .iter()
-            .filter(|(id, p)| p.usable && !p.cold && !ask.avoid.contains(*id) && fits(p))
+            .filter(|(id, p)| p.usable && !p.cold && !request.avoid.contains(*id) && fits(p))
             .collect();
-        let turn = self.turn;
-        let count = open.len();
+        let next_index = self.next_index;
+        let eligible_count = eligible.len();
         let (id, _) = match self.rule {
-            Rule::RoundRobin => open.get(turn.checked_rem(count)?).copied()?,
+            Rule::RoundRobin => eligible.get(next_index.checked_rem(eligible_count)?).copied()?,
             Rule::LeastOutstanding | Rule::FixedBatch => {
-                let order = (0..count).map(|i| open[(i + turn) % count]);
-                order.min_by_key(|(_, p)| p.count())?
+                let order =
+                    (0..eligible_count).map(|i| eligible[(i + next_index) % eligible_count]);
+                order.min_by_key(|(_, p)| p.in_flight_count())?
             }
             Rule::ReserveMax => {
-                let order = (0..count).map(|i| open[(i + turn) % count]);
-                let load = |p: &Place| p.reserved() as f64 + f64::from(p.peers) * mean;
+                let order =
+                    (0..eligible_count).map(|i| eligible[(i + next_index) % eligible_count]);
+                let load = |p: &EngineState| {
+                    p.reserved_memory() as f64 + f64::from(p.peers) * mean_reservation
+                };
                 order.min_by(|a, b| load(a.1).total_cmp(&load(b.1)))?
             }
         };
         let id = id.clone();
-        self.turn += 1;
-        self.mean += 0.02 * (need as f64 - self.mean);
-        self.places.get_mut(&id)?.own.insert(ask.ticket, need);
+        self.next_index += 1;
+        self.mean_reservation += 0.02 * (reservation as f64 - self.mean_reservation);
+        self.engines.get_mut(&id)?.reservations.insert(request.ticket, reservation);
         Some(id)
     }
 }
 
 impl Decider for Baseline {
     fn set_engines(&mut self, engines: &[Engine], _now: Moment) {
-        for place in self.places.values_mut() {
-            place.usable = false;
+        for state in self.engines.values_mut() {
+            state.usable = false;
         }
         for engine in engines {
-            let place = self.places.entry(engine.id.clone()).or_insert_with(|| Place {
+            let state = self.engines.entry(engine.id.clone()).or_insert_with(|| EngineState {
                 memory: engine.memory,
                 peers: 0,
                 cold: false,
                 usable: true,
-                own: BTreeMap::new(),
+                reservations: BTreeMap::new(),
             });
-            place.usable = true;
+            state.usable = true;
         }
     }
 
     fn report(&mut self, endpoint: &EndpointId, report: &LoadReport, _now: Moment) {
-        if let Some(place) = self.places.get_mut(endpoint) {
-            place.cold = report.cold;
+        if let Some(state) = self.engines.get_mut(endpoint) {
+            state.cold = report.cold;
         }
     }
 
     fn set_peers(&mut self, in_flight: &BTreeMap<EndpointId, u32>, _now: Moment) {
-        for (id, place) in &mut self.places {
-            place.peers = in_flight.get(id).copied().unwrap_or(0);
+        for (id, state) in &mut self.engines {
+            state.peers = in_flight.get(id).copied().unwrap_or(0);
         }
     }
 
-    fn ask(&mut self, ask: &GenerationRequest, _now: Moment) -> Verdict {
+    fn ask(&mut self, request: &GenerationRequest, _now: Moment) -> Verdict {
         if self.queue.is_empty()
-            && let Some(endpoint) = self.place(ask)
+            && let Some(endpoint) = self.select_engine(request)
         {
             return Verdict::Go { endpoint, priority: 0 };
         }
-        self.queue.push_back(ask.clone());
+        self.queue.push_back(request.clone());
         Verdict::Wait
     }
 
     fn release(&mut self, _now: Moment) -> Vec<(Ticket, Verdict)> {
-        let mut ended = Vec::new();
-        while let Some(ask) = self.queue.front().cloned() {
-            let Some(endpoint) = self.place(&ask) else { break };
+        let mut placements = Vec::new();
+        while let Some(request) = self.queue.front().cloned() {
+            let Some(endpoint) = self.select_engine(&request) else { break };
             self.queue.pop_front();
-            ended.push((ask.ticket, Verdict::Go { endpoint, priority: 0 }));
+            placements.push((request.ticket, Verdict::Go { endpoint, priority: 0 }));
         }
-        ended
+        placements
     }
 
     fn token(&mut self, _ticket: Ticket, _now: Moment) {}
 
     fn end(&mut self, ticket: Ticket, _end: End, _now: Moment) {
         self.queue.retain(|a| a.ticket != ticket);
-        for place in self.places.values_mut() {
-            place.own.remove(&ticket);
+        for state in self.engines.values_mut() {
+            state.reservations.remove(&ticket);
         }
     }
 
     fn in_flight(&self) -> BTreeMap<EndpointId, u32> {
-        let counts = self.places.iter().filter(|(_, p)| !p.own.is_empty());
-        counts.map(|(id, p)| (id.clone(), u32::try_from(p.own.len()).unwrap_or(u32::MAX))).collect()
+        let counts = self.engines.iter().filter(|(_, p)| !p.reservations.is_empty());
+        counts
+            .map(|(id, p)| (id.clone(), u32::try_from(p.reservations.len()).unwrap_or(u32::MAX)))
+            .collect()
     }
 }
--- a/crates/nutmeggrade-fakes/examples/decisions/main.rs
+++ b/crates/nutmeggrade-fakes/examples/decisions/main.rs
@@ -1,7 +1,7 @@
-//! Plays every pattern under the scheduler and the baselines, and prints the table of
+//! Simulates every load pattern with the scheduler and the baselines, and prints the table of
 //! `docs/measurements/decisions.md`:
 //! `cargo run --release --example decisions [PATTERN [alone]]`;
-//! `alone` leaves the baselines out, and `weights` as the pattern compares presets.
+//! `alone` omits the baselines, and the pattern `weights` compares presets.
 
 mod baseline;
 
@@ -13,36 +13,36 @@
 use nutmeggrade_fakes::fleet::preset;
 use nutmeggrade_policy::Scheduler;
 
-/// Seeds of the patterns; fixed, so that two runs can be compared.
+/// Seeds of the patterns, fixed so that runs are comparable.
 const SEEDS: [u64; 3] = [11, 23, 47];
 
 fn main() -> anyhow::Result<()> {
-    let wanted = std::env::args().nth(1);
-    let alone = std::env::args().nth(2).is_some_and(|a| a == "alone");
+    let pattern_filter = std::env::args().nth(1);
+    let without_baselines = std::env::args().nth(2).is_some_and(|a| a == "alone");
     let preset = preset()?;
     println!(
         "| pattern | policy | whole % | whole long % | stall s | stall p99 s | preempt | \
          gap p50/95/99 ms | first p50/p99 s | fair | refused % | false % | crashes |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|");
-    if wanted.as_deref() == Some("weights") {
+    if pattern_filter.as_deref() == Some("weights") {
         return weights();
     }
     for shape in Shape::ALL {
-        if wanted.as_ref().is_some_and(|w| !shape.name().contains(w.as_str())) {
+        if pattern_filter.as_ref().is_some_and(|w| !shape.name().contains(w.as_str())) {
             continue;
         }
-        for rule in Rule::ALL.into_iter().filter(|_| !alone) {
+        for rule in Rule::ALL.into_iter().filter(|_| !without_baselines) {
             let runs = run(shape, |_| Baseline::new(rule));
-            print(shape, rule.name(), &runs);
+            print_row(shape, rule.name(), &runs);
         }
         let runs = run(shape, |node| scheduler(node, &preset));
-        print(shape, "**nutmeggrade**", &runs);
+        print_row(shape, "**nutmeggrade**", &runs);
     }
     Ok(())
 }
 
-/// Prints what each choice of weights costs, on the patterns that show it.
+/// Prints the results of several choices of weights, for the patterns in which they differ.
 fn weights() -> anyhow::Result<()> {
     let choices = [
         ("all equal", Weights::default()),
@@ -54,7 +54,7 @@
         for (name, weights) in choices {
             let preset = Preset { weights, ..preset()? };
             let runs = run(shape, |node| scheduler(node, &preset));
-            print(shape, name, &runs);
+            print_row(shape, name, &runs);
         }
     }
     Ok(())
@@ -78,7 +78,7 @@
     })
 }
 
-fn print(shape: Shape, policy: &str, runs: &[Figures]) {
+fn print_row(shape: Shape, policy: &str, runs: &[Figures]) {
     let mean = |f: fn(&Figures) -> f64| runs.iter().map(f).sum::<f64>() / runs.len() as f64;
     println!(
         "| {} | {policy} | {:.1} | {:.1} | {:.1} | {:.2} | {:.0} | {:.1}/{:.1}/{:.1} | \
--- a/crates/nutmeggrade-fakes/examples/demo.rs
+++ b/crates/nutmeggrade-fakes/examples/demo.rs
@@ -1,7 +1,8 @@
-//! Shows the whole system at work: `demo [--keep]`.
+//! Demonstrates a complete deployment: `demo [--keep]`.
 //!
-//! Starts everything as separate processes, serves streams and calls while a failure domain leaves
-//! and returns, and fails if anything was duplicated, lost or run twice.
+//! Starts all processes, serves streams and calls while a failure domain is taken out of service
+//! and put back, and fails if anything was duplicated, lost or run twice. `--keep` keeps the
+//! processes running until Ctrl-C.
 
 use anyhow::Context;
 use futures::future::join_all;
@@ -18,17 +19,17 @@
         Some("--keep") => true,
         Some(other) => anyhow::bail!("usage: demo [--keep], not {other}"),
     };
-    // Whichever way this ends, the fleet is dropped, and a dropped fleet stops its processes.
+    // On every way out the fleet is dropped, which stops its processes.
     let fleet = tokio::select! {
-        shown = demo() => shown?,
-        stopped = stopped() => {
-            stopped?;
+        fleet = demo() => fleet?,
+        signalled = wait_for_signal() => {
+            signalled?;
             anyhow::bail!("stopped by a signal");
         }
     };
     if keep {
         print_hints(&fleet)?;
-        stopped().await?;
+        wait_for_signal().await?;
     }
     Ok(())
 }
@@ -37,21 +38,21 @@
     let fleet = Fleet::start(&Plan::default()).await.context("start the fleet")?;
     println!("started: platform, 3 engines, 1 service, {} instances\n", fleet.nodes.len());
     println!("{:<44}seen", "step");
-    let outcome = show(&fleet).await?;
+    let outcome = run_steps(&fleet).await?;
     println!(
         "\ndemo: served {} of {}, duplicated {}, lost {}, ran-twice {}",
-        outcome.served, outcome.asked, outcome.duplicated, outcome.lost, outcome.twice
+        outcome.served, outcome.asked, outcome.duplicated, outcome.lost, outcome.ran_twice
     );
-    anyhow::ensure!(outcome.is_good(), "the demo did not end as it must");
+    anyhow::ensure!(outcome.is_successful(), "a request failed, was duplicated, or ran twice");
     Ok(fleet)
 }
 
-/// Waits for Ctrl-C or SIGTERM, which end the demo and everything that it started.
-async fn stopped() -> anyhow::Result<()> {
+/// Waits for Ctrl-C or SIGTERM, which end the demo and its processes.
+async fn wait_for_signal() -> anyhow::Result<()> {
     let mut term = signal(SignalKind::terminate()).context("handle SIGTERM")?;
     tokio::select! {
         _ = term.recv() => Ok(()),
-        pressed = tokio::signal::ctrl_c() => pressed.context("handle Ctrl-C"),
+        interrupted = tokio::signal::ctrl_c() => interrupted.context("handle Ctrl-C"),
     }
 }
 
@@ -61,92 +62,95 @@
     served: usize,
     duplicated: usize,
     lost: usize,
-    twice: u64,
+    ran_twice: u64,
 }
 
 impl Outcome {
-    fn is_good(&self) -> bool {
-        self.served == self.asked && self.duplicated == 0 && self.lost == 0 && self.twice == 0
+    fn is_successful(&self) -> bool {
+        self.served == self.asked && self.duplicated == 0 && self.lost == 0 && self.ran_twice == 0
     }
 
-    fn count(&mut self, heard: &Heard) {
+    fn count(&mut self, result: &Heard) {
         self.asked += 1;
-        if heard.is_whole() {
+        if result.is_whole() {
             self.served += 1;
         } else {
             self.lost += 1;
         }
-        if !heard.in_order() {
+        if !result.in_order() {
             self.duplicated += 1;
         }
     }
 }
 
-fn row(step: &str, seen: &str) {
+fn print_row(step: &str, seen: &str) {
     println!("{step:<44}{seen}");
 }
 
-async fn show(fleet: &Fleet) -> anyhow::Result<Outcome> {
+async fn run_steps(fleet: &Fleet) -> anyhow::Result<Outcome> {
     let mut outcome = Outcome::default();
     let entries = fleet.caller("staatsbos").ask_entries(0).await?;
-    row("GET /v1/entries", &format!("{} addresses", entries.len()));
-    anyhow::ensure!(entries.len() == fleet.nodes.len(), "an instance is not among the entries");
+    print_row("GET /v1/entries", &format!("{} addresses", entries.len()));
+    anyhow::ensure!(entries.len() == fleet.nodes.len(), "an instance is missing from the entries");
     let streams = async {
-        let one = |n: usize| async move {
+        let stream = |n: usize| async move {
             let caller = fleet.caller(["staatsbos", "gemeente-ede"][n % 2]);
             let (task, length) = [("permit-draft", 250), ("district-sort", 12)][n % 2];
             caller.stream(n, task, &format!("application {n} len={length}")).await
         };
-        join_all((0..STREAMS).map(one)).await
+        join_all((0..STREAMS).map(stream)).await
     };
-    let (heard, operated) = futures::join!(streams, operate(fleet));
-    operated?;
-    for result in heard {
+    let (results, cycled) = futures::join!(streams, cycle_domain(fleet));
+    cycled?;
+    for result in results {
         match result {
-            Ok(heard) => outcome.count(&heard),
+            Ok(result) => outcome.count(&result),
             Err(error) => {
                 println!("stream failed: {error:#}");
                 outcome.count(&Heard::default());
             }
         }
     }
-    row("streams while it left and returned", &format!("{} of {STREAMS} whole", outcome.served));
-    issue(fleet, &mut outcome).await?;
+    print_row(
+        "streams while it left and returned",
+        &format!("{} of {STREAMS} whole", outcome.served),
+    );
+    issue_permit(fleet, &mut outcome).await?;
     Ok(outcome)
 }
 
-async fn operate(fleet: &Fleet) -> anyhow::Result<()> {
+async fn cycle_domain(fleet: &Fleet) -> anyhow::Result<()> {
     for direction in ["out", "in"] {
-        let words = ["domain", direction, DOMAIN, "--who", "demo", "--why", "show a change"];
-        let (code, text) = fleet.operate(&words).await?;
-        anyhow::ensure!(code == 0, "nutmegctl ended with {code}: {text}");
+        let args = ["domain", direction, DOMAIN, "--who", "demo", "--why", "show a change"];
+        let (code, text) = fleet.operate(&args).await?;
+        anyhow::ensure!(code == 0, "nutmegctl exited with {code}: {text}");
         let step = format!("nutmegctl domain {direction} {DOMAIN}");
-        row(&step, "accepted and in force everywhere");
+        print_row(&step, "accepted and in force everywhere");
     }
     Ok(())
 }
 
-async fn issue(fleet: &Fleet, outcome: &mut Outcome) -> anyhow::Result<()> {
+async fn issue_permit(fleet: &Fleet, outcome: &mut Outcome) -> anyhow::Result<()> {
     let caller = fleet.caller("staatsbos");
     let key = Some("plot-17-2026");
     let first = caller.operation(0, "issue-permit", key, "plot-17").await?;
     let second = caller.operation(1, "issue-permit", key, "plot-17").await?;
-    let looked = caller.operation(2, "lookup-permit", None, "plot-17").await?;
-    for (status, _) in [&first, &second, &looked] {
+    let lookup = caller.operation(2, "lookup-permit", None, "plot-17").await?;
+    for (status, _) in [&first, &second, &lookup] {
         outcome.asked += 1;
         outcome.served += usize::from(status.is_success());
     }
     let log = fleet.log("service-0").await?;
     let ran = log.get("issue-permit/plot-17").and_then(serde_json::Value::as_u64).unwrap_or(0);
-    outcome.twice = ran.saturating_sub(1);
-    row("issue-permit twice with one key", &format!("ran {ran} time(s)"));
-    row("lookup-permit", looked.0.as_str());
+    outcome.ran_twice = ran.saturating_sub(1);
+    print_row("issue-permit twice with one key", &format!("ran {ran} time(s)"));
+    print_row("lookup-permit", lookup.0.as_str());
     anyhow::ensure!(ran > 0, "the permit was not issued");
-    anyhow::ensure!(first.1 == second.1, "the retry got another answer");
+    anyhow::ensure!(first.1 == second.1, "the retry got a different response");
     Ok(())
 }
 
-/// Prints what a newcomer pastes into another shell; docs/operators/try-it.md goes on from there.
+/// Prints commands for trying the running deployment; `docs/operators/try-it.md` explains more.
 fn print_hints(fleet: &Fleet) -> anyhow::Result<()> {
     let node = fleet.nodes.values().next().context("no instance")?;
     let admin: Vec<_> = fleet.nodes.values().map(|n| n.admin.to_string()).collect();
--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -1,8 +1,8 @@
-//! Measures what knowing the fleet costs one instance at three sizes of the fleet:
+//! Measures the cost of fleet membership for one instance at three fleet sizes:
 //! `cargo run --release --example fleet_cost`.
 //!
-//! The last column is the processor time of a second in which each peer's heartbeats and changes come at
-//! the rates that the fleet's own rules give.
+//! The last column is the share of a core that is used when each peer's heartbeats and changes
+//! arrive at the rates that the gossip rules give.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -17,21 +17,21 @@
 use nutmeggrade_policy::dispatch::LoadTable;
 use nutmeggrade_state::fleet_view::{FleetView, HEARTBEAT_INTERVAL, RelayOrder};
 
-/// Instances of a fleet.
+/// Numbers of instances.
 const SIZES: [u32; 3] = [30, 100, 300];
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: u32 = 5;
-/// Rounds over which each cost is averaged.
+/// Number of rounds over which each cost is averaged.
 const ROUNDS: u32 = 2_000;
-/// Engines at which each instance has work.
-const PLACES: u32 = 2;
-/// Looks at the fleet in a second.
-const LOOKS: f64 = 10.0;
-/// Changes of placed work that an instance makes in a second.
-const CHANGES: f64 = 1.3;
-const KEY: [u8; 32] = [7; 32];
-
-fn name(number: u32) -> anyhow::Result<InstanceId> {
+/// Number of engines on which each instance has work.
+const ENGINES_PER_INSTANCE: u32 = 2;
+/// Membership checks per second.
+const CHECKS_PER_SECOND: f64 = 10.0;
+/// Changes of placed work per instance and second.
+const CHANGES_PER_SECOND: f64 = 1.3;
+const PEER_KEY: [u8; 32] = [7; 32];
+
+fn instance_id(number: u32) -> anyhow::Result<InstanceId> {
     Ok(InstanceId::new(&format!("instance-{number}"))?)
 }
 
@@ -43,15 +43,15 @@
 }
 
 fn placed(number: u32) -> anyhow::Result<BTreeMap<EndpointId, Placed>> {
-    let one = Placed { requests: 1, memory: 3_500, reading: 0, moving: 0 };
-    let place = |n| Ok((EndpointId::new(&format!("engine-{}", (number * 7 + n) % 97))?, one));
-    (0..PLACES).map(place).collect()
+    let counts = Placed { requests: 1, memory: 3_500, reading: 0, moving: 0 };
+    let place = |n| Ok((EndpointId::new(&format!("engine-{}", (number * 7 + n) % 97))?, counts));
+    (0..ENGINES_PER_INSTANCE).map(place).collect()
 }
 
 fn beacon(number: u32, sequence: u64) -> anyhow::Result<FleetBeacon> {
     let intro = Introduction { seat: seat(number)?, others: Contacts::new() };
     Ok(FleetBeacon {
-        instance: name(number)?,
+        instance: instance_id(number)?,
         incarnation: 1,
         sequence,
         intro: (sequence == 1).then_some(intro),
@@ -63,111 +63,113 @@
     })
 }
 
-/// What one instance of a fleet knows.
-struct Known {
+/// An instance's view of the fleet.
+struct InstanceView {
     view: FleetView,
-    book: LoadTable,
+    load_table: LoadTable,
     size: u32,
     now: Moment,
 }
 
-impl Known {
+impl InstanceView {
     fn new(size: u32) -> anyhow::Result<Self> {
-        let view = FleetView::new(&name(0)?, &seat(0)?, &[]);
+        let view = FleetView::new(&instance_id(0)?, &seat(0)?, &[]);
         let now = Moment::from_millis(60_000);
-        let mut known = Self { view, book: LoadTable::new(), size, now };
+        let mut instance = Self { view, load_table: LoadTable::new(), size, now };
         for number in 1..size {
-            known.hear(&beacon(number, 1)?);
+            instance.receive(&beacon(number, 1)?);
         }
-        Ok(known)
+        Ok(instance)
     }
 
-    fn hear(&mut self, beacon: &FleetBeacon) {
+    fn receive(&mut self, beacon: &FleetBeacon) {
         if self.view.hear(beacon, self.now) {
-            self.book.set_peer(&beacon.instance, &beacon.placed);
+            self.load_table.set_peer(&beacon.instance, &beacon.placed);
         }
     }
 
-    /// Returns the mean time of a heartbeat from its datagram to the tables, in microseconds.
-    fn heartbeat(&mut self) -> anyhow::Result<f64> {
+    /// Returns the mean time to decode and apply a heartbeat, in microseconds.
+    fn heartbeat_micros(&mut self) -> anyhow::Result<f64> {
         let frame = |round| {
             let number = 1 + round % (self.size - 1);
-            Ok(seal(&FleetMessage::Beacon(beacon(number, u64::from(round) + 2)?), &KEY)
+            Ok(seal(&FleetMessage::Beacon(beacon(number, u64::from(round) + 2)?), &PEER_KEY)
                 .unwrap_or_default())
         };
         let frames: Vec<Vec<u8>> = (0..ROUNDS).map(frame).collect::<anyhow::Result<_>>()?;
-        let began = Instant::now();
+        let start = Instant::now();
         for frame in &frames {
-            if let Ok(FleetMessage::Beacon(beacon)) = open(frame, &KEY) {
-                self.hear(&beacon);
+            if let Ok(FleetMessage::Beacon(beacon)) = open(frame, &PEER_KEY) {
+                self.receive(&beacon);
             }
         }
-        Ok(mean(began))
+        Ok(mean_micros(start))
     }
 
-    /// Returns the mean time of a peer's change of placed work, in microseconds.
-    fn change(&mut self) -> anyhow::Result<f64> {
-        let change = |round| {
+    /// Returns the mean time to decode and apply a peer's change of placed work, in microseconds.
+    fn change_micros(&mut self) -> anyhow::Result<f64> {
+        let frame = |round| {
             let number = 1 + round % (self.size - 1);
-            let placed = FleetPlaced { instance: name(number)?, placed: placed(number)? };
-            Ok(seal(&FleetMessage::Placed(vec![placed]), &KEY).unwrap_or_default())
+            let placed = FleetPlaced { instance: instance_id(number)?, placed: placed(number)? };
+            Ok(seal(&FleetMessage::Placed(vec![placed]), &PEER_KEY).unwrap_or_default())
         };
-        let frames: Vec<Vec<u8>> = (0..ROUNDS).map(change).collect::<anyhow::Result<_>>()?;
-        let began = Instant::now();
+        let frames: Vec<Vec<u8>> = (0..ROUNDS).map(frame).collect::<anyhow::Result<_>>()?;
+        let start = Instant::now();
         for frame in &frames {
-            if let Ok(FleetMessage::Placed(all)) = open(frame, &KEY) {
+            if let Ok(FleetMessage::Placed(all)) = open(frame, &PEER_KEY) {
                 for FleetPlaced { instance, placed } in all {
-                    self.book.change_peer(&instance, &placed);
+                    self.load_table.change_peer(&instance, &placed);
                 }
             }
         }
-        Ok(mean(began))
+        Ok(mean_micros(start))
     }
 
-    /// Returns the mean time of a regular look at who lives, in microseconds.
-    fn look(&mut self) -> f64 {
-        let began = Instant::now();
+    /// Returns the mean time of a periodic membership check, in microseconds.
+    fn check_micros(&mut self) -> f64 {
+        let start = Instant::now();
         for _ in 0..ROUNDS {
             self.view.forget(self.now);
             let live: Vec<&InstanceId> = self.view.live(self.now).collect();
             black_box((live.len(), self.view.sharers(self.now), self.view.is_reader(self.now)));
         }
-        mean(began)
+        mean_micros(start)
     }
 
-    /// Returns heartbeats that an instance sends in a second, and as many come.
-    fn heartbeats(&mut self) -> f64 {
+    /// Returns the number of heartbeats per second that an instance sends, and also receives.
+    fn heartbeats_per_second(&mut self) -> f64 {
         self.view.targets().len() as f64 / HEARTBEAT_INTERVAL.as_secs_f64()
     }
 
-    /// Returns the mean time in which it is worked out who gets a message, in microseconds.
-    fn audience(&self) -> f64 {
-        let began = Instant::now();
+    /// Returns the mean time to select the recipients of a broadcast, in microseconds.
+    fn recipients_micros(&self) -> f64 {
+        let start = Instant::now();
         for _ in 0..ROUNDS {
             black_box(self.view.broadcast_recipients(RelayOrder::Common, self.now));
         }
-        mean(began)
+        mean_micros(start)
     }
 }
 
-fn mean(began: Instant) -> f64 {
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+fn mean_micros(start: Instant) -> f64 {
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
 fn main() -> anyhow::Result<()> {
     println!("| instances | heartbeat, µs | change, µs | look, µs | audience, µs | of a core |");
     println!("|---|---|---|---|---|---|");
     for size in SIZES {
-        let mut known = Known::new(size)?;
-        let (heartbeat, change) = (known.heartbeat()?, known.change()?);
-        let (look, audience) = (known.look(), known.audience());
-        let second = heartbeat * known.heartbeats()
-            + change * CHANGES * f64::from(size)
-            + look * LOOKS
-            + audience * CHANGES;
+        let mut instance = InstanceView::new(size)?;
+        let (heartbeat_micros, change_micros) =
+            (instance.heartbeat_micros()?, instance.change_micros()?);
+        let (check_micros, recipients_micros) =
+            (instance.check_micros(), instance.recipients_micros());
+        let micros_per_second = heartbeat_micros * instance.heartbeats_per_second()
+            + change_micros * CHANGES_PER_SECOND * f64::from(size)
+            + check_micros * CHECKS_PER_SECOND
+            + recipients_micros * CHANGES_PER_SECOND;
         println!(
-            "| {size} | {heartbeat:.1} | {change:.1} | {look:.1} | {audience:.1} | {:.3}% |",
-            second / 1e4
+            "| {size} | {heartbeat_micros:.1} | {change_micros:.1} | {check_micros:.1} | {recipients_micros:.1} | {:.3}% |",
+            micros_per_second / 1e4
         );
     }
     Ok(())
--- a/crates/nutmeggrade-fakes/examples/measure/stream.rs
+++ b/crates/nutmeggrade-fakes/examples/measure/stream.rs
@@ -1,4 +1,4 @@
-//! Streams whose tokens' arrivals are noted.
+//! Streams with recorded token arrival times.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,26 +17,26 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-const CONNECT: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When the tokens of one answer came.
+/// Arrival times of the tokens of one stream.
 #[derive(Debug, Default)]
 pub struct Arrivals {
     /// Time from the request to the first token.
     pub first: Duration,
-    /// When each token came.
+    /// Arrival time of each event.
     pub times: Vec<Instant>,
 }
 
 impl Arrivals {
-    /// Returns the times between tokens.
+    /// Returns the intervals between events.
     pub fn gaps(&self) -> Vec<Duration> {
         self.times.windows(2).map(|w| w[1] - w[0]).collect()
     }
 }
 
-/// Streams an answer straight from an engine.
-pub async fn straight(engine: SocketAddr, length: usize) -> anyhow::Result<Arrivals> {
+/// Streams a new generation directly from an engine.
+pub async fn stream_from_engine(engine: SocketAddr, length: usize) -> anyhow::Result<Arrivals> {
     let generation = GenerationId::new(rand::random());
     let body = json!({
         "generation": generation,
@@ -45,27 +45,28 @@
         "max_tokens": length,
         "priority": 0,
     });
-    let arrivals = listen(engine, Method::POST, GENERATIONS_PATH, &body.to_string(), None).await?;
+    let arrivals =
+        read_events(engine, Method::POST, GENERATIONS_PATH, &body.to_string(), None).await?;
     anyhow::ensure!(arrivals.times.len() == length, "{} tokens", arrivals.times.len());
     Ok(arrivals)
 }
 
-/// Follows a generation at its engine from its first token.
-pub async fn follow(engine: SocketAddr, generation: &str) -> anyhow::Result<Arrivals> {
+/// Streams an existing generation from its engine, from the first token.
+pub async fn resume_from_engine(engine: SocketAddr, generation: &str) -> anyhow::Result<Arrivals> {
     let path = format!("{GENERATIONS_PATH}/{generation}?from=0");
-    listen(engine, Method::GET, &path, "", None).await
+    read_events(engine, Method::GET, &path, "", None).await
 }
 
-/// Streams an answer through an instance.
-pub async fn through(node: SocketAddr, length: usize) -> anyhow::Result<Arrivals> {
-    through_telling(node, length, None).await
+/// Streams a new generation through an instance.
+pub async fn stream_through_instance(node: SocketAddr, length: usize) -> anyhow::Result<Arrivals> {
+    stream_and_send_id(node, length, None).await
 }
 
-/// Streams an answer through an instance and tells its generation with the first token.
-pub async fn through_telling(
+/// Streams a new generation through an instance and sends its id with the first token.
+pub async fn stream_and_send_id(
     node: SocketAddr,
     length: usize,
-    tell: Option<oneshot::Sender<String>>,
+    id_sender: Option<oneshot::Sender<String>>,
 ) -> anyhow::Result<Arrivals> {
     let body = json!({
         "model": MODEL,
@@ -73,18 +74,19 @@
         "max_tokens": length,
         "stream": true,
     });
-    let arrivals = listen(node, Method::POST, "/v1/completions", &body.to_string(), tell).await?;
-    // The last event says that the stream is over.
+    let arrivals =
+        read_events(node, Method::POST, "/v1/completions", &body.to_string(), id_sender).await?;
+    // The last event marks the end of the stream.
     anyhow::ensure!(arrivals.times.len() == length + 1, "{} events", arrivals.times.len());
     Ok(arrivals)
 }
 
-async fn listen(
+async fn read_events(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: &str,
-    mut tell: Option<oneshot::Sender<String>>,
+    mut id_sender: Option<oneshot::Sender<String>>,
 ) -> anyhow::Result<Arrivals> {
     let request = Request::builder()
         .method(method)
@@ -94,21 +96,21 @@
         .header("nutmeggrade-task", "permit-draft")
         .body(Full::new(Bytes::copy_from_slice(body.as_bytes())))?;
     let start = Instant::now();
-    let response = call(address, request, CONNECT).await?;
+    let response = call(address, request, CONNECT_TIMEOUT).await?;
     anyhow::ensure!(response.status().is_success(), "{path}: {}", response.status());
     let mut events = BodyDataStream::new(response.into_body()).eventsource();
     let mut arrivals = Arrivals::default();
     while let Some(event) = events.next().await {
         arrivals.times.push(Instant::now());
-        if let Some(tell) = tell.take() {
-            drop(tell.send(generation(&event?.data)?));
+        if let Some(id_sender) = id_sender.take() {
+            drop(id_sender.send(generation_id(&event?.data)?));
         }
     }
     arrivals.first = arrivals.times.first().context("no token")?.duration_since(start);
     Ok(arrivals)
 }
 
-fn generation(chunk: &str) -> anyhow::Result<String> {
+fn generation_id(chunk: &str) -> anyhow::Result<String> {
     let chunk: Value = serde_json::from_str(chunk).context("decode chunk")?;
     let id = chunk.get("id").and_then(Value::as_str).context("no id")?;
     Ok(id.trim_start_matches("cmpl-").to_owned())
--- a/crates/nutmeggrade-fakes/examples/platform.rs
+++ b/crates/nutmeggrade-fakes/examples/platform.rs
@@ -1,4 +1,4 @@
-//! Runs the platform's stand-in: `platform [ip:port]`, port 0 by default.
+//! Runs the fake platform: `platform [ip:port]`, port 0 by default.
 
 use anyhow::Context;
 use nutmeggrade_fakes::platform::serve;
--- a/crates/nutmeggrade-fakes/examples/rollouts.rs
+++ b/crates/nutmeggrade-fakes/examples/rollouts.rs
@@ -1,4 +1,4 @@
-//! Plays many roll-outs in virtual time and prints how they were handled.
+//! Simulates many roll-outs in virtual time and prints a summary by kind.
 //!
 //! `cargo run --release -p nutmeggrade-fakes --example rollouts -- --seeds 1000`
 
@@ -7,20 +7,20 @@
 use anyhow::Context;
 use nutmeggrade_fakes::rollout::{End, Fault, Flaw, Plan, Report, play};
 
-const SIZES: [usize; 3] = [7, 18, 70];
+const FLEET_SIZES: [usize; 3] = [7, 18, 70];
 
-/// What became of the roll-outs of one kind.
+/// Results of the roll-outs of one kind.
 #[derive(Debug, Default)]
-struct Row {
+struct Summary {
     plays: u32,
     right: u32,
     in_time: u32,
     broken: Vec<u64>,
-    late: Vec<f64>,
+    delays_s: Vec<f64>,
 }
 
-impl Row {
-    fn add(&mut self, plan: &Plan, report: &Report) {
+impl Summary {
+    fn record(&mut self, plan: &Plan, report: &Report) {
         self.plays += 1;
         self.right += u32::from(report.is_right());
         self.in_time += u32::from(report.is_right() && report.is_in_time());
@@ -30,12 +30,12 @@
         if let End::Decided(_, after) = report.end
             && !report.is_in_time()
         {
-            self.late.push(after.as_secs_f64() - plan.duration.as_secs_f64());
+            self.delays_s.push(after.as_secs_f64() - plan.duration.as_secs_f64());
         }
     }
 
-    fn print(&self, name: &str) {
-        let latest = self.late.iter().copied().fold(0.0, f64::max);
+    fn print_summary(&self, name: &str) {
+        let latest = self.delays_s.iter().copied().fold(0.0, f64::max);
         println!(
             "{name:32} plays={} right={} in_time={} latest_s={latest:.1} broken={} {:?}",
             self.plays,
@@ -51,28 +51,33 @@
     let args: Vec<String> = std::env::args().skip(1).collect();
     let mut options = getopts::Options::new();
     options.optopt("", "seeds", "roll-outs", "N").optopt("", "from", "first seed", "N");
-    options.optflag("", "each", "print each roll-out that ended wrong or broke a rule");
+    options.optflag("", "each", "print each roll-out that ended wrong or violated a rule");
     let matches =
         options.parse(&args).context("usage: rollouts [--seeds N] [--from N] [--each]")?;
-    let number = |name: &str, or| matches.opt_get_default(name, or).context("a whole number");
-    let (seeds, from) = (number("seeds", 200_u64)?, number("from", 1)?);
-    let mut rows: BTreeMap<String, Row> = BTreeMap::new();
+    let number_option =
+        |name: &str, or| matches.opt_get_default(name, or).context("a whole number");
+    let (seeds, from) = (number_option("seeds", 200_u64)?, number_option("from", 1)?);
+    let mut summaries: BTreeMap<String, Summary> = BTreeMap::new();
     for seed in from..from + seeds {
-        let at = usize::try_from(seed)?;
-        let fault = Fault::ALL[at / SIZES.len() % Fault::ALL.len()];
-        let plan = Plan::draw(seed, SIZES[at % SIZES.len()], fault, at % 2 == 0);
+        let index = usize::try_from(seed)?;
+        let fault = Fault::ALL[index / FLEET_SIZES.len() % Fault::ALL.len()];
+        let plan = Plan::draw(seed, FLEET_SIZES[index % FLEET_SIZES.len()], fault, index % 2 == 0);
         let report = play(&plan)?;
         if matches.opt_present("each") && (report.is_broken() || !report.is_right()) {
             println!("{plan:?} {report:?}");
         }
-        let flaw = if plan.flaw == Flaw::None { "good".to_owned() } else { flaw_name(plan.flaw) };
-        rows.entry(flaw).or_default().add(&plan, &report);
-        rows.entry(format!("fault {:?}", plan.fault)).or_default().add(&plan, &report);
-        rows.entry(format!("instances {}", plan.instances)).or_default().add(&plan, &report);
-        rows.entry("all".to_owned()).or_default().add(&plan, &report);
+        let category =
+            if plan.flaw == Flaw::None { "good".to_owned() } else { flaw_name(plan.flaw) };
+        summaries.entry(category).or_default().record(&plan, &report);
+        summaries.entry(format!("fault {:?}", plan.fault)).or_default().record(&plan, &report);
+        summaries
+            .entry(format!("instances {}", plan.instances))
+            .or_default()
+            .record(&plan, &report);
+        summaries.entry("all".to_owned()).or_default().record(&plan, &report);
     }
-    for (name, row) in &rows {
-        row.print(name);
+    for (name, summary) in &summaries {
+        summary.print_summary(name);
     }
     Ok(())
 }
--- a/crates/nutmeggrade-fakes/examples/service.rs
+++ b/crates/nutmeggrade-fakes/examples/service.rs
@@ -1,4 +1,4 @@
-//! Runs the service's stand-in: `service [ip:port]`, port 0 by default.
+//! Runs the fake plain service: `service [ip:port]`, port 0 by default.
 
 use anyhow::Context;
 use nutmeggrade_fakes::service::serve;
--- a/crates/nutmeggrade-fakes/src/engine/token_stream.rs
+++ b/crates/nutmeggrade-fakes/src/engine/token_stream.rs
@@ -56,7 +56,7 @@
     injected: Option<Token>,
 }
 
-/// Streams a generation's tokens from an offset; ends early if the engine lost them or a cut is set.
+/// Streams a generation's tokens from an offset; ends early after a crash or an injected cut.
 pub(super) fn token_stream(
     engine: Arc<Engine>,
     id: GenerationId,
--- a/crates/nutmeggrade-fakes/src/fleet/client.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/client.rs
@@ -11,9 +11,9 @@
 use super::{Caller, Heard};
 use crate::http::ask;
 
-/// A caller that follows the callers' documentation exactly: it requests the list of entries, caches
-/// it for the advertised time, connects to the first entry, and refreshes the list there before the
-/// time is over.
+/// A caller that follows the callers' documentation exactly: it requests the list of entries,
+/// caches it for the advertised time, connects to the first entry, and refreshes the list there
+/// before the time is over.
 ///
 /// It never tries a second address by itself, so that each refusal or broken response is visible.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
         if self.fetched_at.elapsed() >= self.keep_time / 2 { self.refresh().await } else { Ok(()) }
     }
 
-    /// Streams a completion from the entry in use and follows the `moved` events of stopping instances.
+    /// Streams a completion from the entry in use and follows `moved` events of stopping instances.
     pub async fn stream(&self, task: &str, prompt: &str) -> anyhow::Result<Heard> {
         let mut output = Heard::default();
         let caller = self.caller();
--- a/crates/nutmeggrade-fakes/src/service/server.rs
+++ b/crates/nutmeggrade-fakes/src/service/server.rs
@@ -24,8 +24,8 @@
 
 /// Serves the service until the process ends.
 ///
-/// `POST /call/{operation}` runs a call and counts it under the body's `subject`; `GET /run_log` returns
-/// how often each `operation/subject` ran.
+/// `POST /call/{operation}` runs a call and counts it under the body's `subject`; `GET /log`
+/// returns how often each `operation/subject` ran.
 pub async fn serve(address: SocketAddr) -> anyhow::Result<()> {
     let router = Router::new()
         .post("/call/:operation", run)
