--- a/crates/nutmeggrade-fakes/src/driver/decider.rs
+++ b/crates/nutmeggrade-fakes/src/driver/decider.rs
@@ -15,7 +15,7 @@
     /// Records the peers' numbers of requests in flight per engine.
     fn set_peers(&mut self, in_flight: &BTreeMap<EndpointId, u32>, now: Moment);
     /// Decides about a new request.
-    fn ask(&mut self, ask: &GenerationRequest, now: Moment) -> Verdict;
+    fn ask(&mut self, request: &GenerationRequest, now: Moment) -> Verdict;
     /// Decides about queued requests.
     fn release(&mut self, now: Moment) -> Vec<(Ticket, Verdict)>;
     /// Records a token of a request.
@@ -39,8 +39,8 @@
         Self::set_peers(self, in_flight, now);
     }
 
-    fn ask(&mut self, ask: &GenerationRequest, now: Moment) -> Verdict {
-        Self::ask(self, ask, now)
+    fn ask(&mut self, request: &GenerationRequest, now: Moment) -> Verdict {
+        Self::ask(self, request, now)
     }
 
     fn release(&mut self, now: Moment) -> Vec<(Ticket, Verdict)> {
--- a/crates/nutmeggrade-fakes/src/engine/faults.rs
+++ b/crates/nutmeggrade-fakes/src/engine/faults.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Failures of an engine, set by `POST /fault`; absent fields keep their value.
+/// Failures of an engine, set by `POST /fault`. An absent `cold`, `slow`, `ignore_fence` or `load_ms`
+/// keeps its value; other absent faults are cleared.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
@@ -28,7 +29,7 @@
     pub leaving: Option<bool>,
     /// Accepts requests for new generations and never responds.
     pub hang: Option<bool>,
-    /// Obeys orders with old fencing numbers.
+    /// Applies orders with outdated fencing numbers.
     pub ignore_fence: Option<bool>,
     /// Time that loading weights takes, in milliseconds.
     pub load_ms: Option<u64>,
