--- a/crates/nutmeggrade-fakes/examples/measure/main.rs
+++ b/crates/nutmeggrade-fakes/examples/measure/main.rs
@@ -115,8 +115,8 @@
     let call_repeatedly = |_| async {
         let caller = fleet.caller("staatsbos");
         for _ in 0..CALLS_PER_CALLER {
-            let (status, answer) = caller.operation(0, "lookup-permit", None, "plot-1").await?;
-            anyhow::ensure!(status.is_success(), "{status}: {answer}");
+            let (status, response) = caller.operation(0, "lookup-permit", None, "plot-1").await?;
+            anyhow::ensure!(status.is_success(), "{status}: {response}");
         }
         anyhow::Ok(CALLS_PER_CALLER)
     };
@@ -136,16 +136,16 @@
         while fleet.counter(NODE, "nutmeggrade_streams ").await? < OPEN_STREAMS as f64 {
             sleep(Duration::from_millis(50)).await;
         }
-        let tokens = fleet.counter(NODE, "nutmeggrade_tokens_total").await?;
+        let tokens_before = fleet.counter(NODE, "nutmeggrade_tokens_total").await?;
         let (before, start) = (fleet.usage(NODE)?, Instant::now());
         sleep(MEASURING_TIME).await;
-        let token_count = fleet.counter(NODE, "nutmeggrade_tokens_total").await? - tokens;
-        let (after, elapsed_time) = (fleet.usage(NODE)?, start.elapsed());
-        report_streams(&empty, &before, &after, token_count, elapsed_time);
+        let token_count = fleet.counter(NODE, "nutmeggrade_tokens_total").await? - tokens_before;
+        let (after, elapsed) = (fleet.usage(NODE)?, start.elapsed());
+        report_streams(&empty, &before, &after, token_count, elapsed);
         anyhow::Ok(())
     };
-    let (results, measured) = tokio::join!(load, measuring);
-    measured?;
+    let (results, measurement) = tokio::join!(load, measuring);
+    measurement?;
     let failed = results.iter().filter(|s| s.is_err()).count();
     anyhow::ensure!(failed == 0, "{failed} streams failed");
     Ok(())
--- a/crates/nutmeggrade-fakes/src/engine/orders.rs
+++ b/crates/nutmeggrade-fakes/src/engine/orders.rs
@@ -30,7 +30,7 @@
 
 impl Orders {
     /// Applies an order unless its fencing number is outdated; returns whether it was applied.
-    pub fn take(&mut self, order: &FencedOrder) -> bool {
+    pub fn apply(&mut self, order: &FencedOrder) -> bool {
         let taken = self.ignores_fence || order.fence >= self.state.fence;
         self.history.push(OrderRecord { order: order.clone(), taken, at_ms: unix_time_ms() });
         if !taken {
--- a/crates/nutmeggrade-fakes/src/engine/refusal.rs
+++ b/crates/nutmeggrade-fakes/src/engine/refusal.rs
@@ -6,5 +6,5 @@
     /// The engine restarts, or is set to refuse all work.
     Down,
     /// A generation with this id was submitted before.
-    Known,
+    Duplicate,
 }
--- a/crates/nutmeggrade-fakes/src/engine/server.rs
+++ b/crates/nutmeggrade-fakes/src/engine/server.rs
@@ -76,7 +76,7 @@
     match app.submit(&request) {
         Ok(()) => Ok(Sse::new(token_stream(app, request.generation, 0)).into_response()),
         Err(Refusal::Down) => Ok(status(StatusCode::SERVICE_UNAVAILABLE)),
-        Err(Refusal::Known) => Ok(status(StatusCode::CONFLICT)),
+        Err(Refusal::Duplicate) => Ok(status(StatusCode::CONFLICT)),
     }
 }
 
@@ -147,7 +147,7 @@
 async fn receive_order(mut req: Request) -> Result<Response> {
     let app = app(&req)?;
     let order: FencedOrder = req.json().await?;
-    let applied = app.lock().orders.take(&order);
+    let applied = app.lock().orders.apply(&order);
     Ok(status(if applied { StatusCode::OK } else { StatusCode::CONFLICT }))
 }
 
--- a/crates/nutmeggrade-fakes/src/engine/state.rs
+++ b/crates/nutmeggrade-fakes/src/engine/state.rs
@@ -78,7 +78,7 @@
         }
         let id = request.generation;
         if inner.runs.contains_key(&id) {
-            return Err(Refusal::Known);
+            return Err(Refusal::Duplicate);
         }
         inner.runs.insert(id, request.prompt.chars().take(64).collect());
         inner.outputs.insert(id, Output::default());
