--- a/crates/nutmeggrade-fakes/examples/decisions/main.rs
+++ b/crates/nutmeggrade-fakes/examples/decisions/main.rs
@@ -9,7 +9,7 @@
 
 use baseline::{Baseline, Rule};
 use nutmeggrade_core::config::{Preset, Weights};
-use nutmeggrade_fakes::driver::{Driver, Figures, Pattern, Shape};
+use nutmeggrade_fakes::driver::{Figures, LoadPattern, LoadShape, Simulation};
 use nutmeggrade_fakes::fleet::preset;
 use nutmeggrade_policy::Scheduler;
 
@@ -28,7 +28,7 @@
     if pattern_filter.as_deref() == Some("weights") {
         return weights();
     }
-    for shape in Shape::ALL {
+    for shape in LoadShape::ALL {
         if pattern_filter.as_ref().is_some_and(|w| !shape.name().contains(w.as_str())) {
             continue;
         }
@@ -49,7 +49,7 @@
         ("Permit Desk", Weights { stall: 2.0, domains: 2.0, gap: 1.0, preemptions: 1.0 }),
         ("Rāmis Kopā", Weights { stall: 1.0, domains: 1.0, gap: 2.0, preemptions: 2.0 }),
     ];
-    let shapes = [Shape::Burst, Shape::Saturation15, Shape::DomainOutBusy];
+    let shapes = [LoadShape::Burst, LoadShape::Saturation15, LoadShape::DomainOutBusy];
     for shape in shapes {
         for (name, weights) in choices {
             let preset = Preset { weights, ..preset()? };
@@ -67,18 +67,19 @@
 }
 
 fn run<D: nutmeggrade_fakes::driver::Decider>(
-    shape: Shape,
+    shape: LoadShape,
     make: impl Fn(usize) -> D + Sync,
 ) -> Vec<Figures> {
     let make = &make;
     thread::scope(|scope| {
-        let threads = SEEDS
-            .map(|seed| scope.spawn(move || Driver::new(&Pattern::new(shape, seed), make).run()));
+        let threads = SEEDS.map(|seed| {
+            scope.spawn(move || Simulation::new(&LoadPattern::new(shape, seed), make).run())
+        });
         threads.into_iter().map(|t| t.join().expect("a run ends")).collect()
     })
 }
 
-fn print_row(shape: Shape, policy: &str, runs: &[Figures]) {
+fn print_row(shape: LoadShape, policy: &str, runs: &[Figures]) {
     let mean = |f: fn(&Figures) -> f64| runs.iter().map(f).sum::<f64>() / runs.len() as f64;
     println!(
         "| {} | {policy} | {:.1} | {:.1} | {:.1} | {:.2} | {:.0} | {:.1}/{:.1}/{:.1} | \
--- a/crates/nutmeggrade-fakes/examples/demo.rs
+++ b/crates/nutmeggrade-fakes/examples/demo.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Context;
 use futures::future::join_all;
-use nutmeggrade_fakes::fleet::{Fleet, Heard, MODEL, Plan, SERVICE};
+use nutmeggrade_fakes::fleet::{Fleet, MODEL, Plan, SERVICE, StreamOutput};
 use tokio::signal::unix::{SignalKind, signal};
 
 const STREAMS: usize = 24;
@@ -70,7 +70,7 @@
         self.served == self.asked && self.duplicated == 0 && self.lost == 0 && self.ran_twice == 0
     }
 
-    fn count(&mut self, result: &Heard) {
+    fn count(&mut self, result: &StreamOutput) {
         self.asked += 1;
         if result.is_whole() {
             self.served += 1;
@@ -89,7 +89,7 @@
 
 async fn run_steps(fleet: &Fleet) -> anyhow::Result<Outcome> {
     let mut outcome = Outcome::default();
-    let entries = fleet.caller("staatsbos").ask_entries(0).await?;
+    let entries = fleet.caller("staatsbos").fetch_entries(0).await?;
     print_row("GET /v1/entries", &format!("{} addresses", entries.len()));
     anyhow::ensure!(entries.len() == fleet.nodes.len(), "an instance is missing from the entries");
     let streams = async {
@@ -107,7 +107,7 @@
             Ok(result) => outcome.count(&result),
             Err(error) => {
                 println!("stream failed: {error:#}");
-                outcome.count(&Heard::default());
+                outcome.count(&StreamOutput::default());
             }
         }
     }
@@ -122,7 +122,7 @@
 async fn cycle_domain(fleet: &Fleet) -> anyhow::Result<()> {
     for direction in ["out", "in"] {
         let args = ["domain", direction, DOMAIN, "--who", "demo", "--why", "show a change"];
-        let (code, text) = fleet.operate(&args).await?;
+        let (code, text) = fleet.run_nutmegctl(&args).await?;
         anyhow::ensure!(code == 0, "nutmegctl exited with {code}: {text}");
         let step = format!("nutmegctl domain {direction} {DOMAIN}");
         print_row(&step, "accepted and in force everywhere");
--- a/crates/nutmeggrade-fakes/src/driver.rs
+++ b/crates/nutmeggrade-fakes/src/driver.rs
@@ -23,8 +23,8 @@
 pub use change::Change;
 pub use decider::Decider;
 pub use figures::{Figures, Outcome};
-pub use pattern::Pattern;
-pub use shape::{CAPACITY_PER_SECOND, Shape};
+pub use pattern::LoadPattern;
+pub use shape::{CAPACITY_PER_SECOND, LoadShape};
 
 /// Number of instances, each with its own decider; the size of the current deployments.
 pub const NODES: usize = 7;
@@ -63,8 +63,8 @@
 
 /// A discrete-event simulation of instances and engines.
 #[derive(Debug)]
-pub struct Driver<'a, D> {
-    pattern: &'a Pattern,
+pub struct Simulation<'a, D> {
+    pattern: &'a LoadPattern,
     nodes: Vec<D>,
     models: Vec<Model>,
     busy: Vec<bool>,
@@ -91,9 +91,9 @@
     EndpointId::new(&format!("engine-{engine:02}")).expect("a valid id")
 }
 
-impl<'a, D: Decider> Driver<'a, D> {
+impl<'a, D: Decider> Simulation<'a, D> {
     /// Creates a simulation with idle, warm engines; `make` builds the decider of each instance.
-    pub fn new(pattern: &'a Pattern, make: impl FnMut(usize) -> D) -> Self {
+    pub fn new(pattern: &'a LoadPattern, make: impl FnMut(usize) -> D) -> Self {
         let count = pattern.arrivals.len();
         Self {
             pattern,
--- a/crates/nutmeggrade-fakes/src/driver/arrival.rs
+++ b/crates/nutmeggrade-fakes/src/driver/arrival.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::Shape;
+use super::LoadShape;
 
 /// Deadline of a long completion.
 const LONG_DEADLINE: Duration = Duration::from_secs(90);
@@ -90,14 +90,14 @@
     ModelId::new("nutmeg-schrijvers").expect("a valid id")
 }
 
-pub(super) fn draw(rng: &mut ChaCha8Rng, shape: Shape, at: f64) -> Arrival {
+pub(super) fn draw(rng: &mut ChaCha8Rng, shape: LoadShape, at: f64) -> Arrival {
     let at = Moment::new(Duration::from_secs_f64(at));
-    let uneven = shape == Shape::TwoWorkspaces;
+    let uneven = shape == LoadShape::TwoWorkspaces;
     let is_heavy = uneven && rng.random_bool(0.8);
     let lowest = if uneven && !is_heavy { 2 } else { 0 };
     let highest = if is_heavy { 2 } else { WORKSPACE_COUNT };
     let workspace = rng.random_range(lowest..highest);
-    let huge = shape == Shape::Huge && rng.random_bool(1.0 / 150.0);
+    let huge = shape == LoadShape::Huge && rng.random_bool(1.0 / 150.0);
     let long = huge || rng.random_bool(0.5);
     let conversation: u64 = rng.random_range(0..20);
     let deadline = match (huge, long) {
--- a/crates/nutmeggrade-fakes/src/driver/engines.rs
+++ b/crates/nutmeggrade-fakes/src/driver/engines.rs
@@ -3,10 +3,10 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::{End, Ticket};
 
-use super::{DOMAINS, Decider, Driver, MAX_ATTEMPTS, SimulationEvent, endpoint};
+use super::{DOMAINS, Decider, MAX_ATTEMPTS, Simulation, SimulationEvent, endpoint};
 use crate::engine::{Event, Job};
 
-impl<D: Decider> Driver<'_, D> {
+impl<D: Decider> Simulation<'_, D> {
     /// Returns whether an engine has room for the request, given the true output lengths.
     pub(super) fn fits(&self, engine: usize, request: usize, now: Moment) -> bool {
         let assigned = &self.assigned[engine];
--- a/crates/nutmeggrade-fakes/src/driver/figures.rs
+++ b/crates/nutmeggrade-fakes/src/driver/figures.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::moment::Moment;
 
-use super::Pattern;
+use super::LoadPattern;
 
 /// Gap between two tokens above which the excess counts as stall time; six times the gap of a
 /// half-full engine, and about the shortest pause that a reader notices.
@@ -78,7 +78,7 @@
 
 impl Figures {
     pub(super) fn new(
-        pattern: &Pattern,
+        pattern: &LoadPattern,
         outcomes: &[Outcome],
         preemptions: u64,
         crashes: u64,
@@ -121,7 +121,7 @@
     *values.select_nth_unstable_by(rank, f64::total_cmp).1
 }
 
-fn fairness(pattern: &Pattern, outcomes: &[Outcome]) -> f64 {
+fn fairness(pattern: &LoadPattern, outcomes: &[Outcome]) -> f64 {
     let mut shares: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     for (outcome, arrival) in outcomes.iter().zip(&pattern.arrivals) {
         let (whole, total) = shares.entry(arrival.workspace).or_default();
--- a/crates/nutmeggrade-fakes/src/driver/pattern.rs
+++ b/crates/nutmeggrade-fakes/src/driver/pattern.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{Arrival, Change, Shape, arrival, spec};
+use super::{Arrival, Change, LoadShape, arrival, spec};
 use crate::engine::Spec;
 
 /// Period in which requests arrive, in seconds.
@@ -14,7 +14,7 @@
 
 /// A load pattern in which every random value is already drawn.
 #[derive(Debug, Clone)]
-pub struct Pattern {
+pub struct LoadPattern {
     /// Requests in the order of arrival.
     pub arrivals: Vec<Arrival>,
     /// Scheduled changes of the engines.
@@ -27,14 +27,14 @@
     pub spec: Spec,
 }
 
-impl Pattern {
+impl LoadPattern {
     /// Draws a pattern; the same shape and seed give the same pattern.
-    pub fn new(shape: Shape, seed: u64) -> Self {
+    pub fn new(shape: LoadShape, seed: u64) -> Self {
         Self::scaled(shape, seed, 1.0)
     }
 
     /// Draws a pattern whose duration is scaled, at the same rates.
-    pub fn scaled(shape: Shape, seed: u64, scale: f64) -> Self {
+    pub fn scaled(shape: LoadShape, seed: u64, scale: f64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut arrivals = Vec::new();
         let mut at = 0.0;
@@ -47,7 +47,7 @@
             arrivals.push(arrival::draw(&mut rng, shape, at));
         }
         let last_deadline = arrivals.iter().map(|a| a.deadline).max().unwrap_or(Moment::ZERO);
-        let is_stale = shape == Shape::StaleReports;
+        let is_stale = shape == LoadShape::StaleReports;
         Self {
             arrivals,
             changes: shape.changes(scale),
--- a/crates/nutmeggrade-fakes/src/driver/shape.rs
+++ b/crates/nutmeggrade-fakes/src/driver/shape.rs
@@ -12,7 +12,7 @@
 
 /// Shape of a load pattern.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shape {
+pub enum LoadShape {
     /// Half of the capacity, with a burst of four times as much for 10 s.
     Burst,
     /// 1.3 times the capacity, 80 % of it from two of ten workspaces.
@@ -35,7 +35,7 @@
     StaleReports,
 }
 
-impl Shape {
+impl LoadShape {
     /// All shapes.
     pub const ALL: [Self; 10] = [
         Self::Burst,
--- a/crates/nutmeggrade-fakes/src/driver/views.rs
+++ b/crates/nutmeggrade-fakes/src/driver/views.rs
@@ -6,9 +6,9 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::Engine;
 
-use super::{DOMAINS, Decider, Driver, ENGINES, HEARTBEAT_INTERVAL, NODES, endpoint, model};
+use super::{DOMAINS, Decider, ENGINES, HEARTBEAT_INTERVAL, NODES, Simulation, endpoint, model};
 
-impl<D: Decider> Driver<'_, D> {
+impl<D: Decider> Simulation<'_, D> {
     pub(super) fn deliver_reports(&mut self, now: Moment) {
         let lag = self.pattern.report_lag;
         for engine in 0..ENGINES {
--- a/crates/nutmeggrade-fakes/src/fleet.rs
+++ b/crates/nutmeggrade-fakes/src/fleet.rs
@@ -8,7 +8,7 @@
 mod running;
 mod usage;
 
-pub use caller::{Caller, Heard};
+pub use caller::{Caller, StreamOutput};
 pub use client::Client;
 pub use deployment::{Deployment, MODEL, SERVICE, preset};
 pub use plan::Plan;
--- a/crates/nutmeggrade-fakes/src/fleet/caller.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/caller.rs
@@ -20,7 +20,7 @@
 
 /// Events that a caller received on one stream.
 #[derive(Debug, Clone, Default)]
-pub struct Heard {
+pub struct StreamOutput {
     /// Tokens in the order of arrival.
     pub tokens: Vec<String>,
     /// Id of the last token's event, for resuming the stream.
@@ -33,7 +33,7 @@
     pub moved: Option<Value>,
 }
 
-impl Heard {
+impl StreamOutput {
     /// Returns whether the stream is complete and each token came once and in order.
     pub fn is_whole(&self) -> bool {
         self.done && self.in_order()
@@ -75,7 +75,7 @@
     }
 
     /// Requests the list of entry addresses from the n-th entry.
-    pub async fn ask_entries(&self, n: usize) -> anyhow::Result<Vec<SocketAddr>> {
+    pub async fn fetch_entries(&self, n: usize) -> anyhow::Result<Vec<SocketAddr>> {
         let response: Value = ask(self.entry(n), Method::GET, "/v1/entries", None).await?;
         let rows = response.get("entries").and_then(Value::as_array).context("no entries")?;
         let address = |row: &Value| row.get("address")?.as_str()?.parse().ok();
@@ -88,8 +88,8 @@
     }
 
     /// Streams a completion and resumes it at further entries until it is complete or has failed.
-    pub async fn stream(&self, n: usize, task: &str, prompt: &str) -> anyhow::Result<Heard> {
-        let mut output = Heard::default();
+    pub async fn stream(&self, n: usize, task: &str, prompt: &str) -> anyhow::Result<StreamOutput> {
+        let mut output = StreamOutput::default();
         self.listen(self.entry(n), task, prompt, &mut output, None).await?;
         let mut entry = n;
         while !output.done && output.failure.is_none() {
@@ -107,7 +107,7 @@
         entry: SocketAddr,
         task: &str,
         prompt: &str,
-        output: &mut Heard,
+        output: &mut StreamOutput,
         token_limit: Option<usize>,
     ) -> anyhow::Result<()> {
         let body = json!({ "model": self.deployment.model, "prompt": prompt, "stream": true });
--- a/crates/nutmeggrade-fakes/src/fleet/client.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/client.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-use super::{Caller, Heard};
+use super::{Caller, StreamOutput};
 use crate::http::ask;
 
 /// A caller that follows the callers' documentation exactly: it requests the list of entries,
@@ -61,13 +61,13 @@
     }
 
     /// Refreshes the cached list once half of its lifetime is over.
-    pub async fn keep_fresh(&mut self) -> anyhow::Result<()> {
+    pub async fn refresh_if_due(&mut self) -> anyhow::Result<()> {
         if self.fetched_at.elapsed() >= self.keep_time / 2 { self.refresh().await } else { Ok(()) }
     }
 
     /// Streams a completion from the entry in use and follows `moved` events of stopping instances.
-    pub async fn stream(&self, task: &str, prompt: &str) -> anyhow::Result<Heard> {
-        let mut output = Heard::default();
+    pub async fn stream(&self, task: &str, prompt: &str) -> anyhow::Result<StreamOutput> {
+        let mut output = StreamOutput::default();
         let caller = self.caller();
         caller.listen(self.addresses[0], task, prompt, &mut output, None).await?;
         while let Some(moved) = output.moved.take() {
--- a/crates/nutmeggrade-fakes/src/fleet/running.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/running.rs
@@ -120,7 +120,7 @@
     }
 
     /// Runs `nutmegctl` and returns its exit code and output.
-    pub async fn operate(&self, args: &[&str]) -> anyhow::Result<(i32, String)> {
+    pub async fn run_nutmegctl(&self, args: &[&str]) -> anyhow::Result<(i32, String)> {
         let program = programs()?.join("nutmegctl");
         let platform = self.platform.to_string();
         let mut command = std::process::Command::new(program);
--- a/tests/suite/operators/audit.rs
+++ b/tests/suite/operators/audit.rs
@@ -68,7 +68,7 @@
         while !is_written(&held.fleet).await? {
             sleep(Duration::from_millis(50)).await;
         }
-        let (code, text) = held.fleet.operate(&["audit"]).await?;
+        let (code, text) = held.fleet.run_nutmegctl(&["audit"]).await?;
         assert_eq!(code, 0, "{text}");
         let lines: Vec<_> = text.lines().collect();
         let places = |start: &str| -> Vec<usize> {
@@ -79,7 +79,7 @@
         assert!(change < refusal && lines[refusal[0]].contains("instance=node-0 "), "{text}");
         held.fleet.fault("platform", &json!({ "down": true })).await?;
         let admin = admin.to_string();
-        let (code, text) = held.fleet.operate(&["audit", "--admin", &admin]).await?;
+        let (code, text) = held.fleet.run_nutmegctl(&["audit", "--admin", &admin]).await?;
         assert!(code == 0 && text.contains("token_refused instance=node-0 "), "{text}");
         Ok(())
     });
--- a/tests/suite/operators/changes.rs
+++ b/tests/suite/operators/changes.rs
@@ -16,7 +16,7 @@
 }
 
 async fn change(fleet: &Fleet, words: &[&str]) -> anyhow::Result<(i32, String)> {
-    fleet.operate(&[words, &WHY].concat()).await
+    fleet.run_nutmegctl(&[words, &WHY].concat()).await
 }
 
 async fn versions(fleet: &Fleet) -> anyhow::Result<usize> {
@@ -74,11 +74,11 @@
         let (code, text) = change(&held.fleet, &["domain", "in", "veluwe"]).await?;
         assert_eq!(code, 7, "{text}");
         let admin = held.fleet.nodes["node-1"].admin.to_string();
-        let (code, text) = held.fleet.operate(&["audit", "--admin", &admin]).await?;
+        let (code, text) = held.fleet.run_nutmegctl(&["audit", "--admin", &admin]).await?;
         assert_eq!(code, 0, "{text}");
         let line = text.lines().find(|l| l.starts_with("change version=2")).unwrap_or("");
         assert!(line.contains("anna") && line.contains("domain_out veluwe"), "{text}");
-        let (code, text) = held.fleet.operate(&["status", "--admin", &admin]).await?;
+        let (code, text) = held.fleet.run_nutmegctl(&["status", "--admin", &admin]).await?;
         assert!(code == 0 && text.contains("config=2"), "{text}");
         Ok(())
     });
--- a/tests/suite/operators/explain.rs
+++ b/tests/suite/operators/explain.rs
@@ -75,7 +75,7 @@
         let name = response.headers().get("nutmeggrade-request").expect("request id");
         let name = name.to_str()?.to_owned();
         body_bytes(response.into_body(), 1 << 20).await?;
-        let (code, text) = held.fleet.operate(&["explain", &name]).await?;
+        let (code, text) = held.fleet.run_nutmegctl(&["explain", &name]).await?;
         assert_eq!(code, 0, "{text}");
         for part in ["instance=node-1", "step=let_in", "waited_ms=", "engine-0", "code=0 "] {
             assert!(text.contains(part), "{part}: {text}");
@@ -100,7 +100,7 @@
             ];
             let body = json!({ "subject": "plot-1" }).to_string().into_bytes();
             send(entry, Method::POST, &path, &headers, body).await?;
-            let (code, text) = held.fleet.operate(&["explain", name]).await?;
+            let (code, text) = held.fleet.run_nutmegctl(&["explain", name]).await?;
             assert!(code == 0 && text.contains("step=claimed"), "{text}");
             assert!(text.contains(expected), "{name}: {text}");
         }
--- a/tests/suite/operators/orders.rs
+++ b/tests/suite/operators/orders.rs
@@ -24,7 +24,7 @@
 
 async fn order(fleet: &Fleet, who: &str, words: &[&str]) -> anyhow::Result<(i32, String)> {
     let rest = ["--who", who, "--why", "new version", "--wait", "60000"];
-    fleet.operate(&[&["order"], words, &rest[..]].concat()).await
+    fleet.run_nutmegctl(&[&["order"], words, &rest[..]].concat()).await
 }
 
 async fn done(fleet: &Fleet, words: &[&str]) -> anyhow::Result<()> {
@@ -61,7 +61,7 @@
         let names: Vec<_> = orders.iter().filter_map(|o| o["order"].as_str()).collect();
         assert_eq!(names, ["load", "load", "role"]);
         assert!(fences(&orders).iter().all(|f| *f > 0), "{orders:?}");
-        let (code, text) = held.fleet.operate(&["audit"]).await?;
+        let (code, text) = held.fleet.run_nutmegctl(&["audit"]).await?;
         assert!(code == 0 && text.contains("order_sent"), "{text}");
         Ok(())
     });
@@ -114,7 +114,7 @@
         // The command is only needed to write the order; its wait is cut short.
         let rest = ["--who", "anna", "--why", "x", "--wait", "0"];
         let cut = [&["order"], &words[..], &rest[..]].concat();
-        let give = held.fleet.operate(&cut);
+        let give = held.fleet.run_nutmegctl(&cut);
         let (_, first) = tokio::try_join!(give, sent)?;
         let first = first.context("no effect")?;
         let owner = first.instance.to_string();
@@ -128,7 +128,7 @@
         let names: Vec<_> = orders.iter().filter_map(|o| o["order"].as_str()).collect();
         assert_eq!(names, ["load", "role"], "{orders:?}");
         assert!(fences(&orders).is_sorted(), "{orders:?}");
-        let (_, trail) = held.fleet.operate(&["audit"]).await?;
+        let (_, trail) = held.fleet.run_nutmegctl(&["audit"]).await?;
         let mut taken = trail.lines().filter(|l| l.starts_with("took_over "));
         let of_epoch = format!("epoch={} ", second.epoch);
         assert!(taken.any(|l| l.contains(&of_epoch)), "{trail}");
--- a/tests/suite/operators/presets.rs
+++ b/tests/suite/operators/presets.rs
@@ -26,7 +26,7 @@
         let held = fleet(&Plan::default().with_nodes(1).with_engines(2)).await?;
         let file = with_engine("engine-1")?;
         for words in [vec!["preset", "put", "one", &file], vec!["preset", "use", "one"]] {
-            let (code, text) = held.fleet.operate(&[&*words, &WHY].concat()).await?;
+            let (code, text) = held.fleet.run_nutmegctl(&[&*words, &WHY].concat()).await?;
             assert_eq!(code, 0, "{text}");
         }
         let caller = held.fleet.caller("staatsbos");
@@ -38,7 +38,7 @@
         assert_eq!(runs, Some(0));
         let file = with_engine("engine-9")?;
         let words = ["preset", "put", "other", &file];
-        let (code, text) = held.fleet.operate(&[&words[..], &WHY].concat()).await?;
+        let (code, text) = held.fleet.run_nutmegctl(&[&words[..], &WHY].concat()).await?;
         assert!(code == 3 && text.contains("5011"), "{text}");
         Ok(())
     });
--- a/tests/suite/operators/refusals.rs
+++ b/tests/suite/operators/refusals.rs
@@ -62,7 +62,7 @@
         let plan = Plan::default().with_nodes(1).with_engines(1).with_services(1);
         let held = fleet(&plan).await?;
         for (expected, part, words) in CASES {
-            let (code, text) = held.fleet.operate(words).await?;
+            let (code, text) = held.fleet.run_nutmegctl(words).await?;
             assert_eq!(code, *expected, "{words:?}: {text}");
             assert!(text.contains(part), "{words:?}: {text}");
         }
@@ -80,11 +80,11 @@
         held.fleet.client().remove("config/000000000001", 1).await?;
         let why = ["--who", "anna", "--why", "start"];
         let (code, text) =
-            held.fleet.operate(&[&["preset", "use", "peak"], &why[..]].concat()).await?;
+            held.fleet.run_nutmegctl(&[&["preset", "use", "peak"], &why[..]].concat()).await?;
         assert!(code == 3 && text.contains("5003"), "{text}");
         let file = format!("{PERMIT_DESK}/peak.json");
         let words = [&["preset", "put", "peak", &file], &why[..]].concat();
-        let (code, text) = held.fleet.operate(&words).await?;
+        let (code, text) = held.fleet.run_nutmegctl(&words).await?;
         assert!(code == 0 && text.contains("accepted version=1"), "{text}");
         Ok(())
     });
--- a/tests/suite/policy/patterns.rs
+++ b/tests/suite/policy/patterns.rs
@@ -1,6 +1,6 @@
 //! The patterns of load, played over the engine stand-in's model in a quarter of the usual time.
 
-use nutmeggrade_fakes::driver::{Driver, Figures, Pattern, Shape};
+use nutmeggrade_fakes::driver::{Figures, LoadPattern, LoadShape, Simulation};
 use nutmeggrade_policy::Scheduler;
 
 /// Part of the usual time that the patterns take here.
@@ -8,15 +8,15 @@
 /// Seed of the patterns.
 const SEED: u64 = 11;
 
-fn play(shape: Shape) -> Figures {
+fn play(shape: LoadShape) -> Figures {
     let preset = nutmeggrade_fakes::fleet::preset().expect("a preset");
-    let pattern = Pattern::scaled(shape, SEED, SCALE);
+    let pattern = LoadPattern::scaled(shape, SEED, SCALE);
     let make = |node: usize| {
         let mut scheduler = Scheduler::new(node as u64 + 1);
         scheduler.set_preset(&preset);
         scheduler
     };
-    Driver::new(&pattern, make).run()
+    Simulation::new(&pattern, make).run()
 }
 
 #[derive(Debug)]
@@ -27,7 +27,7 @@
     gap: f64,
 }
 
-fn holds(shape: Shape, bound: &Bound) {
+fn holds(shape: LoadShape, bound: &Bound) {
     let figures = play(shape);
     assert!(figures.whole >= bound.whole, "{figures:?}");
     assert!(figures.stall <= bound.stall, "{figures:?}");
@@ -40,22 +40,22 @@
 // that stand still while an engine computes a preempted answer again, and gaps that stutter.
 cases! {
     holds {
-        burst: Shape::Burst, &Bound { whole: 0.99, stall: 1.0, preemptions: 5, gap: 0.034 };
-        two_workspaces: Shape::TwoWorkspaces,
+        burst: LoadShape::Burst, &Bound { whole: 0.99, stall: 1.0, preemptions: 5, gap: 0.034 };
+        two_workspaces: LoadShape::TwoWorkspaces,
             &Bound { whole: 0.99, stall: 30.0, preemptions: 60, gap: 0.042 };
-        slow_endpoint: Shape::SlowEndpoint,
+        slow_endpoint: LoadShape::SlowEndpoint,
             &Bound { whole: 0.99, stall: 50.0, preemptions: 1, gap: 0.035 };
-        huge_among_short: Shape::Huge,
+        huge_among_short: LoadShape::Huge,
             &Bound { whole: 0.99, stall: 30.0, preemptions: 5, gap: 0.02 };
-        saturation_1: Shape::Saturation1,
+        saturation_1: LoadShape::Saturation1,
             &Bound { whole: 0.99, stall: 3.0, preemptions: 10, gap: 0.037 };
-        saturation_1_5: Shape::Saturation15,
+        saturation_1_5: LoadShape::Saturation15,
             &Bound { whole: 0.93, stall: 30.0, preemptions: 60, gap: 0.042 };
-        domain_out: Shape::DomainOut,
+        domain_out: LoadShape::DomainOut,
             &Bound { whole: 0.99, stall: 1.0, preemptions: 1, gap: 0.03 };
-        busy_domain_out: Shape::DomainOutBusy,
+        busy_domain_out: LoadShape::DomainOutBusy,
             &Bound { whole: 0.97, stall: 15.0, preemptions: 30, gap: 0.042 };
-        stale_reports: Shape::StaleReports,
+        stale_reports: LoadShape::StaleReports,
             &Bound { whole: 0.97, stall: 1.0, preemptions: 5, gap: 0.035 };
     }
 }
@@ -64,7 +64,7 @@
 // other out of memory; here they wait, and those who are let in get whole answers.
 #[test]
 fn saturated_three_times_over() {
-    let figures = play(Shape::Saturation3);
+    let figures = play(LoadShape::Saturation3);
     assert!(figures.whole >= 0.95, "{figures:?}");
     assert!(figures.whole + figures.refused >= 0.95, "{figures:?}");
     assert!(figures.preemptions <= 60, "{figures:?}");
@@ -73,5 +73,5 @@
 // A run that differed from the next could not be searched for the decision that went wrong.
 #[test]
 fn same_seed_same_figures() {
-    assert_eq!(play(Shape::Burst), play(Shape::Burst));
+    assert_eq!(play(LoadShape::Burst), play(LoadShape::Burst));
 }
--- a/tests/suite/process/cold.rs
+++ b/tests/suite/process/cold.rs
@@ -4,7 +4,7 @@
 
 use anyhow::ensure;
 use nix::sys::signal::Signal;
-use nutmeggrade_fakes::fleet::{Fleet, Heard, Plan};
+use nutmeggrade_fakes::fleet::{Fleet, Plan, StreamOutput};
 use rstest::rstest;
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
@@ -77,7 +77,7 @@
             tokio::join!(futures::future::join_all(calls), keep_cold(&held.fleet, 3));
         kept?;
         assert_unharmed(&held.fleet).await?;
-        let whole = heard.into_iter().flatten().filter(Heard::is_whole).count();
+        let whole = heard.into_iter().flatten().filter(StreamOutput::is_whole).count();
         assert!(whole >= 3, "only {whole} were served");
         Ok(())
     });
--- a/tests/suite/process/config.rs
+++ b/tests/suite/process/config.rs
@@ -7,7 +7,7 @@
 use nix::sys::signal::Signal;
 use nutmeggrade_core::config::Change;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_fakes::fleet::{Fleet, Heard, Plan};
+use nutmeggrade_fakes::fleet::{Fleet, Plan, StreamOutput};
 use nutmeggrade_fakes::relay::Link;
 use nutmeggrade_platform::newest_config;
 use rstest::rstest;
@@ -111,7 +111,7 @@
     Ok(())
 }
 
-fn code(heard: &Heard) -> Option<u64> {
+fn code(heard: &StreamOutput) -> Option<u64> {
     heard.failure.as_ref()?.get("code")?.as_u64()
 }
 
@@ -133,7 +133,7 @@
             .collect();
         let words = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
         let (code, output) =
-            held.fleet.operate(&[&words[..], &["--wait", "2500"]].concat()).await?;
+            held.fleet.run_nutmegctl(&[&words[..], &["--wait", "2500"]].concat()).await?;
         assert_eq!(code, 5, "{output}");
         assert!(output.contains("node-1"), "{output}");
         for peer in ["node-0", "node-2"] {
@@ -177,7 +177,7 @@
         assert!(log.get("issue-permit/plot-1").is_none(), "{log}");
         held.fleet.fault("platform", &json!({})).await?;
         let words = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
-        let (code, output) = held.fleet.operate(&words).await?;
+        let (code, output) = held.fleet.run_nutmegctl(&words).await?;
         assert_eq!(code, 0, "{output}");
         Ok(())
     });
@@ -196,7 +196,7 @@
             let place = if round % 2 == 0 { "out" } else { "in" };
             let change = |domain| async move {
                 let words = ["domain", place, domain, "--who", domain, "--why", "race"];
-                fleet.operate(&words).await
+                fleet.run_nutmegctl(&words).await
             };
             let both = tokio::join!(change(DOMAIN), change("gooi"));
             for (code, output) in [both.0?, both.1?] {
@@ -228,13 +228,13 @@
             sleep(PAUSE).await;
         }
         let go = |place| ["domain", place, DOMAIN, "--who", "anna", "--why", "switch work"];
-        assert_eq!(held.fleet.operate(&go("out")).await?.0, 0);
+        assert_eq!(held.fleet.run_nutmegctl(&go("out")).await?.0, 0);
         let before = ran(&held.fleet, "engine-0").await?;
         for n in 0..6 {
             assert!(caller.stream(n, "district-sort", "a len=5").await?.is_whole());
         }
         assert_eq!(ran(&held.fleet, "engine-0").await?, before);
-        assert_eq!(held.fleet.operate(&go("in")).await?.0, 0);
+        assert_eq!(held.fleet.run_nutmegctl(&go("in")).await?.0, 0);
         let start = Instant::now();
         while ran(&held.fleet, "engine-0").await? == before {
             assert!(caller.stream(0, "district-sort", "a len=5").await?.is_whole());
--- a/tests/suite/process/crashers.rs
+++ b/tests/suite/process/crashers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use nutmeggrade_fakes::fleet::{Fleet, Heard, Plan};
+use nutmeggrade_fakes::fleet::{Fleet, Plan, StreamOutput};
 use rstest::rstest;
 use tokio::time::sleep;
 
@@ -25,8 +25,13 @@
     Ok(sum)
 }
 
-async fn ask(fleet: &Fleet, workspace: &str, n: usize, prompt: &str) -> anyhow::Result<Heard> {
-    let mut heard = Heard::default();
+async fn ask(
+    fleet: &Fleet,
+    workspace: &str,
+    n: usize,
+    prompt: &str,
+) -> anyhow::Result<StreamOutput> {
+    let mut heard = StreamOutput::default();
     let caller = fleet.caller(workspace);
     caller.listen(caller.entry(n), TASK, prompt, &mut heard, None).await?;
     Ok(heard)
--- a/tests/suite/process/cuts.rs
+++ b/tests/suite/process/cuts.rs
@@ -3,7 +3,7 @@
 use http::StatusCode;
 use nix::sys::signal::Signal;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_fakes::fleet::{Caller, Fleet, Heard, Plan};
+use nutmeggrade_fakes::fleet::{Caller, Fleet, Plan, StreamOutput};
 use nutmeggrade_fakes::relay::Link;
 use rstest::rstest;
 use serde_json::json;
@@ -19,8 +19,8 @@
 }
 
 /// Hears the first tokens of a long answer at an entry.
-async fn begin(caller: &Caller, entry: usize) -> anyhow::Result<Heard> {
-    let mut heard = Heard::default();
+async fn begin(caller: &Caller, entry: usize) -> anyhow::Result<StreamOutput> {
+    let mut heard = StreamOutput::default();
     caller.listen(caller.entry(entry), TASK, LONG, &mut heard, Some(10)).await?;
     anyhow::ensure!(heard.failure.is_none(), "{heard:?}");
     Ok(heard)
@@ -48,7 +48,7 @@
     until("tokens flow", async || Ok(tokens().await? >= 10.0)).await
 }
 
-fn assert_whole(heard: &Heard) {
+fn assert_whole(heard: &StreamOutput) {
     assert!(heard.is_whole(), "{heard:?}");
     assert_eq!(heard.tokens.len(), LENGTH);
 }
@@ -60,7 +60,7 @@
     run(async {
         let mut held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
         let killing = async {
             flowing(&held.fleet).await?;
@@ -89,7 +89,7 @@
         held.fleet.process("node-0")?.signal(Signal::SIGCONT)?;
         assert_whole(&heard);
         let again = async || {
-            let mut heard = Heard::default();
+            let mut heard = StreamOutput::default();
             let got = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None).await;
             Ok(got.is_ok() && heard.is_whole())
         };
@@ -107,7 +107,7 @@
             held.fleet.fault(&format!("engine-{n}"), &json!({ "slow": 60 })).await?;
         }
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
         let killing = async {
             let name = busy(&held.fleet).await?;
@@ -130,7 +130,7 @@
     run(async {
         let mut held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
         let killing = async {
             flowing(&held.fleet).await?;
@@ -154,7 +154,7 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
         let stalling = async {
             flowing(&held.fleet).await?;
--- a/tests/suite/process/limits.rs
+++ b/tests/suite/process/limits.rs
@@ -193,7 +193,7 @@
             Ok(text.contains("nutmeggrade_peer_messages_dropped_total{"))
         };
         until("its messages are dropped", dropped).await?;
-        let entries = held.fleet.caller("staatsbos").ask_entries(0).await?;
+        let entries = held.fleet.caller("staatsbos").fetch_entries(0).await?;
         let stranger = held.fleet.nodes["node-7"].callers;
         assert_eq!(entries.len(), 2);
         assert!(!entries.contains(&stranger), "{entries:?}");
--- a/tests/suite/process/membership.rs
+++ b/tests/suite/process/membership.rs
@@ -39,7 +39,7 @@
         held.fleet.process("node-1")?.kill()?;
         registered(&held.fleet, "node-1", false).await?;
         let words = ["domain", "out", "gooi", "--who", "anna", "--why", "switch work"];
-        let (code, output) = held.fleet.operate(&words).await?;
+        let (code, output) = held.fleet.run_nutmegctl(&words).await?;
         assert_eq!(code, 0, "{output}");
         Ok(())
     });
@@ -102,13 +102,13 @@
         let caller = held.fleet.caller("staatsbos");
         let out = held.fleet.nodes["node-0"].callers;
         let go = |place| ["domain", place, "veluwe", "--who", "anna", "--why", "switch work"];
-        assert_eq!(held.fleet.operate(&go("out")).await?.0, 0);
+        assert_eq!(held.fleet.run_nutmegctl(&go("out")).await?.0, 0);
         for n in 0..3 {
-            let entries = caller.ask_entries(n).await?;
+            let entries = caller.fetch_entries(n).await?;
             assert!(entries.len() == 2 && !entries.contains(&out), "{entries:?}");
         }
-        assert_eq!(held.fleet.operate(&go("in")).await?.0, 0);
-        assert!(caller.ask_entries(1).await?.contains(&out));
+        assert_eq!(held.fleet.run_nutmegctl(&go("in")).await?.0, 0);
+        assert!(caller.fetch_entries(1).await?.contains(&out));
         Ok(())
     });
 }
--- a/tests/suite/process/planned_stop.rs
+++ b/tests/suite/process/planned_stop.rs
@@ -8,7 +8,7 @@
 use http::{Method, StatusCode};
 use nix::sys::signal::Signal;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_fakes::fleet::{Client, Fleet, Heard, Plan};
+use nutmeggrade_fakes::fleet::{Client, Fleet, Plan, StreamOutput};
 use nutmeggrade_fakes::http::send;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -63,14 +63,14 @@
         if client.is_stale() {
             client.restart(shared.any(n)?);
         }
-        client.keep_fresh().await?;
+        client.refresh_if_due().await?;
         let heard = client.stream("permit-draft", "a len=30").await?;
         anyhow::ensure!(heard.is_whole(), "broken stream: {heard:?}");
-        client.keep_fresh().await?;
+        client.refresh_if_due().await?;
         let subject = format!("plot-{n}-{served}");
         let (status, answer) = client.operation("issue-permit", Some(&subject), &subject).await?;
         anyhow::ensure!(status == StatusCode::OK, "lost call: {status} {answer}");
-        client.keep_fresh().await?;
+        client.refresh_if_due().await?;
         let (status, answer) = client.operation("lookup-permit", None, &subject).await?;
         anyhow::ensure!(status == StatusCode::OK, "lost look-up: {status} {answer}");
         served += 1;
@@ -129,7 +129,7 @@
     run(async {
         let mut held = fleet(&plan("0", "0")).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let entry = held.fleet.nodes["node-0"].callers;
         held.fleet.process("node-0")?.signal(Signal::SIGTERM)?;
         caller.listen(entry, "permit-draft", "a len=400", &mut heard, None).await?;
@@ -189,7 +189,7 @@
         assert!(answer.contains("connection: close"), "{answer}");
         assert!(!answer.contains(&address), "{answer}");
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let prompt = "a len=300";
         caller.listen(own.callers, "permit-draft", prompt, &mut heard, Some(1)).await?;
         let listening = caller.listen(own.callers, "permit-draft", prompt, &mut heard, None);
@@ -216,7 +216,7 @@
     run(async {
         let mut held = fleet(&plan("1000", "60000")).await?;
         let caller = held.fleet.caller("staatsbos");
-        let (mut first, mut second) = (Heard::default(), Heard::default());
+        let (mut first, mut second) = (StreamOutput::default(), StreamOutput::default());
         let entries = [held.fleet.nodes["node-0"].callers, held.fleet.nodes["node-1"].callers];
         let prompt = "a len=150";
         let streams = async {
--- a/tests/suite/process/streams.rs
+++ b/tests/suite/process/streams.rs
@@ -4,7 +4,7 @@
 
 use http::Method;
 use nix::sys::signal::Signal;
-use nutmeggrade_fakes::fleet::{Fleet, Heard, MODEL, Plan};
+use nutmeggrade_fakes::fleet::{Fleet, MODEL, Plan, StreamOutput};
 use nutmeggrade_fakes::http::send;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -113,7 +113,7 @@
     run(async {
         let mut held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let listen = caller.listen(caller.entry(0), TASK, "a len=4000", &mut heard, None);
         let (ended, killed) = futures::join!(listen, async {
             until_running(&held.fleet, 1).await?;
@@ -139,7 +139,7 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         caller.listen(caller.entry(0), TASK, "a len=9", &mut heard, Some(9)).await?;
         assert!(!heard.done);
         caller.listen(caller.entry(1), TASK, "a len=9", &mut heard, None).await?;
@@ -156,7 +156,7 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         caller.listen(caller.entry(0), TASK, "a len=8000", &mut heard, Some(5)).await?;
         assert_eq!(running(&held.fleet).await?, 1);
         until_running(&held.fleet, 0).await
@@ -187,7 +187,7 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let prompt = "a len=1100";
         caller.listen(caller.entry(0), TASK, prompt, &mut heard, Some(5)).await?;
         caller.listen(caller.entry(1), TASK, prompt, &mut heard, None).await?;
@@ -222,9 +222,9 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         caller.listen(caller.entry(0), TASK, "a len=300", &mut heard, Some(5)).await?;
-        let mut rival = Heard { last: heard.last, ..Heard::default() };
+        let mut rival = StreamOutput { last: heard.last, ..StreamOutput::default() };
         let caller = held.fleet.caller("rival");
         caller.listen(caller.entry(1), TASK, "a len=300", &mut rival, None).await?;
         assert_eq!(rival.failure.unwrap_or_default()["code"], 1010);
--- a/tests/suite/process/traces.rs
+++ b/tests/suite/process/traces.rs
@@ -91,7 +91,7 @@
         What::Domain { direction, name } => {
             let words = ["domain", direction, name, "--who", "trace", "--why", "replay"];
             // Whether it is in force everywhere is not asked here: an instance may be frozen.
-            let (code, text) = fleet.operate(&words).await?;
+            let (code, text) = fleet.run_nutmegctl(&words).await?;
             anyhow::ensure!(text.contains("accepted"), "nutmegctl ended with {code}: {text}");
             Ok(())
         }
--- a/tests/suite/process/whole_path.rs
+++ b/tests/suite/process/whole_path.rs
@@ -1,6 +1,6 @@
 //! A request is served from end to end.
 
-use nutmeggrade_fakes::fleet::{Heard, Plan};
+use nutmeggrade_fakes::fleet::{Plan, StreamOutput};
 use rstest::rstest;
 
 use crate::support::{fleet, run};
@@ -27,7 +27,7 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let prompt = "a len=200";
         caller.listen(caller.entry(0), "permit-draft", prompt, &mut heard, Some(20)).await?;
         assert!(!heard.done);
