--- a/crates/nutmeggrade-fakes/src/engine/cache_log.rs
+++ b/crates/nutmeggrade-fakes/src/engine/cache_log.rs
@@ -28,7 +28,7 @@
     }
 
     /// Records a change; a lost event also takes up a number.
-    pub fn note(&mut self, change: CacheChange, now: Moment) {
+    pub fn record(&mut self, change: CacheChange, now: Moment) {
         let CacheChange { prefix, kept } = change;
         let event = CacheEvent { number: self.next_number, prefix, kept };
         self.next_number += 1;
--- a/crates/nutmeggrade-fakes/src/engine/job.rs
+++ b/crates/nutmeggrade-fakes/src/engine/job.rs
@@ -25,7 +25,7 @@
 impl Job {
     /// Parses the output length, the prefix and a crash request from words of the prompt: `len=N`,
     /// `prefix=N`, `crash=now`.
-    pub fn read(request: &Generate) -> Self {
+    pub fn from_request(request: &Generate) -> Self {
         let words = request.prompt.split_whitespace();
         let mut output = 20 + request.prompt.len() as u64 % 80;
         let mut poison = false;
--- a/crates/nutmeggrade-fakes/src/engine/state.rs
+++ b/crates/nutmeggrade-fakes/src/engine/state.rs
@@ -82,7 +82,7 @@
         }
         inner.runs.insert(id, request.prompt.chars().take(64).collect());
         inner.outputs.insert(id, Output::default());
-        let events = inner.model.submit(Job::read(request), self.now());
+        let events = inner.model.submit(Job::from_request(request), self.now());
         for event in events {
             inner.apply(event);
         }
@@ -124,7 +124,7 @@
             let mut inner = self.lock();
             let now = self.now();
             for change in inner.model.cache_changes() {
-                inner.cache.note(change, now);
+                inner.cache.record(change, now);
             }
             for event in events {
                 inner.apply(event);
--- a/crates/nutmeggrade-fakes/src/fleet.rs
+++ b/crates/nutmeggrade-fakes/src/fleet.rs
@@ -12,6 +12,6 @@
 pub use client::Client;
 pub use deployment::{Deployment, MODEL, SERVICE, preset};
 pub use plan::Plan;
-pub use process::{Process, logs, programs};
+pub use process::{Process, log_folder, program_folder};
 pub use running::{Fleet, NodeAddresses};
 pub use usage::Usage;
--- a/crates/nutmeggrade-fakes/src/fleet/caller.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/caller.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 use super::Deployment;
-use crate::http::{ask, send};
+use crate::http::{request_json, send};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
@@ -76,7 +76,7 @@
 
     /// Requests the list of entry addresses from the n-th entry.
     pub async fn fetch_entries(&self, n: usize) -> anyhow::Result<Vec<SocketAddr>> {
-        let response: Value = ask(self.entry(n), Method::GET, "/v1/entries", None).await?;
+        let response: Value = request_json(self.entry(n), Method::GET, "/v1/entries", None).await?;
         let rows = response.get("entries").and_then(Value::as_array).context("no entries")?;
         let address = |row: &Value| row.get("address")?.as_str()?.parse().ok();
         Ok(rows.iter().filter_map(address).collect())
@@ -90,19 +90,19 @@
     /// Streams a completion and resumes it at further entries until it is complete or has failed.
     pub async fn stream(&self, n: usize, task: &str, prompt: &str) -> anyhow::Result<StreamOutput> {
         let mut output = StreamOutput::default();
-        self.listen(self.entry(n), task, prompt, &mut output, None).await?;
+        self.read_stream(self.entry(n), task, prompt, &mut output, None).await?;
         let mut entry = n;
         while !output.done && output.failure.is_none() {
             entry += 1;
             anyhow::ensure!(entry < n + 3 * self.entries.len(), "no entry resumes the stream");
             // An entry that stopped is skipped; the next one resumes the stream.
-            drop(self.listen(self.entry(entry), task, prompt, &mut output, None).await);
+            drop(self.read_stream(self.entry(entry), task, prompt, &mut output, None).await);
         }
         Ok(output)
     }
 
     /// Reads a stream at one entry, after the last event if there is one, up to `token_limit` tokens.
-    pub async fn listen(
+    pub async fn read_stream(
         &self,
         entry: SocketAddr,
         task: &str,
--- a/crates/nutmeggrade-fakes/src/fleet/client.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/client.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::{Caller, StreamOutput};
-use crate::http::ask;
+use crate::http::request_json;
 
 /// A caller that follows the callers' documentation exactly: it requests the list of entries,
 /// caches it for the advertised time, connects to the first entry, and refreshes the list there
@@ -48,7 +48,8 @@
     /// Requests the list of entries from the entry in use.
     pub async fn refresh(&mut self) -> anyhow::Result<()> {
         let requested_at = Instant::now();
-        let response: Value = ask(self.addresses[0], Method::GET, "/v1/entries", None).await?;
+        let response: Value =
+            request_json(self.addresses[0], Method::GET, "/v1/entries", None).await?;
         let rows = response.get("entries").and_then(Value::as_array).context("no entries")?;
         let address = |row: &Value| row.get("address")?.as_str()?.parse().ok();
         let addresses: Vec<_> = rows.iter().filter_map(address).collect();
@@ -69,11 +70,11 @@
     pub async fn stream(&self, task: &str, prompt: &str) -> anyhow::Result<StreamOutput> {
         let mut output = StreamOutput::default();
         let caller = self.caller();
-        caller.listen(self.addresses[0], task, prompt, &mut output, None).await?;
+        caller.read_stream(self.addresses[0], task, prompt, &mut output, None).await?;
         while let Some(moved) = output.moved.take() {
             let next = moved.pointer("/entries/0").and_then(Value::as_str);
             let next = next.context("`moved` event without an entry")?.parse()?;
-            caller.listen(next, task, prompt, &mut output, None).await?;
+            caller.read_stream(next, task, prompt, &mut output, None).await?;
         }
         Ok(output)
     }
--- a/crates/nutmeggrade-fakes/src/fleet/deployment.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/deployment.rs
@@ -23,7 +23,7 @@
     /// Task class of short completions.
     pub short: &'static str,
     /// Operation that isn't idempotent.
-    pub once: &'static str,
+    pub non_idempotent: &'static str,
     /// Operation that is idempotent.
     pub idempotent: &'static str,
 }
@@ -36,7 +36,7 @@
         service: SERVICE,
         long: "permit-draft",
         short: "district-sort",
-        once: "issue-permit",
+        non_idempotent: "issue-permit",
         idempotent: "lookup-permit",
     };
     /// The framing cooperative Rāmis Kopā.
@@ -46,7 +46,7 @@
         service: "order-desk",
         long: "proposal",
         short: "glass-check",
-        once: "place-order",
+        non_idempotent: "place-order",
         idempotent: "lookup-stock",
     };
 
@@ -60,7 +60,7 @@
             },
             "services": {
                 self.service: {
-                    self.once: { "idempotent": false },
+                    self.non_idempotent: { "idempotent": false },
                     self.idempotent: { "idempotent": true },
                 },
             },
--- a/crates/nutmeggrade-fakes/src/fleet/process.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/process.rs
@@ -25,7 +25,7 @@
         args: &[String],
         environment: &[(&str, &str)],
     ) -> anyhow::Result<(Self, String)> {
-        let log = File::create(logs()?.join(format!("{name}.log"))).context("create log")?;
+        let log = File::create(log_folder()?.join(format!("{name}.log"))).context("create log")?;
         let mut command = command(program, args, environment);
         command.stdout(Stdio::piped()).stderr(log);
         let mut child = command.spawn().with_context(|| format!("start {}", program.display()))?;
@@ -72,7 +72,7 @@
     }
 
     /// Returns the exit status, if the process has ended.
-    pub fn ended(&mut self) -> anyhow::Result<Option<ExitStatus>> {
+    pub fn exit_status(&mut self) -> anyhow::Result<Option<ExitStatus>> {
         self.child.try_wait().context("wait")
     }
 }
@@ -92,7 +92,7 @@
 }
 
 /// Returns the build folder of the programs: that of the running program, or its parent.
-pub fn programs() -> anyhow::Result<PathBuf> {
+pub fn program_folder() -> anyhow::Result<PathBuf> {
     let executable = std::env::current_exe().context("path of the running program")?;
     let folder = executable.parent().context("folder of the running program")?;
     let is_nested = folder.ends_with("examples") || folder.ends_with("deps");
@@ -101,8 +101,8 @@
 }
 
 /// Returns the folder for the logs of this process's children, and creates it.
-pub fn logs() -> anyhow::Result<PathBuf> {
-    let folder = programs()?.join("fleet-logs").join(std::process::id().to_string());
+pub fn log_folder() -> anyhow::Result<PathBuf> {
+    let folder = program_folder()?.join("fleet-logs").join(std::process::id().to_string());
     std::fs::create_dir_all(&folder).context("create log folder")?;
     Ok(folder)
 }
--- a/crates/nutmeggrade-fakes/src/fleet/running.rs
+++ b/crates/nutmeggrade-fakes/src/fleet/running.rs
@@ -14,9 +14,9 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use super::process::{Process, programs};
+use super::process::{Process, program_folder};
 use super::{Caller, Plan, Usage};
-use crate::http::{ask, send};
+use crate::http::{request_json, send};
 use crate::relay::Relay;
 
 /// Shared secret of the instances.
@@ -66,7 +66,7 @@
             relays: BTreeMap::new(),
             processes: BTreeMap::from([("platform".to_owned(), process)]),
         };
-        fleet.relay("platform", platform).await?;
+        fleet.start_relay("platform", platform).await?;
         for n in 0..plan.engines {
             fleet.start_engine(n).await?;
         }
@@ -77,7 +77,7 @@
         for n in 0..plan.nodes {
             fleet.start_node(n)?;
         }
-        fleet.ready().await?;
+        fleet.wait_until_ready().await?;
         Ok(fleet)
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Returns the relay in front of the platform or an endpoint.
-    pub fn link(&self, name: &str) -> anyhow::Result<&Relay> {
+    pub fn relay(&self, name: &str) -> anyhow::Result<&Relay> {
         self.relays.get(name).with_context(|| format!("no relay in front of {name}"))
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Sets the injected failures of the platform, an engine or a service.
-    pub async fn fault(&self, name: &str, faults: &Value) -> anyhow::Result<()> {
+    pub async fn set_faults(&self, name: &str, faults: &Value) -> anyhow::Result<()> {
         let address = match name {
             "platform" => self.platform,
             _ => *self.endpoints.get(name).with_context(|| format!("no endpoint {name}"))?,
@@ -116,12 +116,12 @@
     /// Reads an endpoint's log of the requests it ran.
     pub async fn log(&self, name: &str) -> anyhow::Result<Value> {
         let address = self.endpoints.get(name).with_context(|| format!("no endpoint {name}"))?;
-        ask(*address, Method::GET, "/log", None).await
+        request_json(*address, Method::GET, "/log", None).await
     }
 
     /// Runs `nutmegctl` and returns its exit code and output.
     pub async fn run_nutmegctl(&self, args: &[&str]) -> anyhow::Result<(i32, String)> {
-        let program = programs()?.join("nutmegctl");
+        let program = program_folder()?.join("nutmegctl");
         let platform = self.platform.to_string();
         let mut command = std::process::Command::new(program);
         command.args(args).args(["--platform", &platform]);
@@ -152,14 +152,14 @@
     /// Stops an instance with SIGTERM, waits until its process ends and returns the exit status.
     pub async fn stop_node(&mut self, name: &str) -> anyhow::Result<ExitStatus> {
         self.process(name)?.signal(Signal::SIGTERM)?;
-        self.ended(name).await
+        self.wait_for_exit(name).await
     }
 
     /// Waits until a process ends and returns the exit status.
-    pub async fn ended(&mut self, name: &str) -> anyhow::Result<ExitStatus> {
+    pub async fn wait_for_exit(&mut self, name: &str) -> anyhow::Result<ExitStatus> {
         let start = Instant::now();
         loop {
-            if let Some(status) = self.process(name)?.ended()? {
+            if let Some(status) = self.process(name)?.exit_status()? {
                 return Ok(status);
             }
             anyhow::ensure!(start.elapsed() < STOP_TIMEOUT, "{name} does not end");
@@ -173,7 +173,7 @@
     }
 
     /// Sends an instance a configuration, as `nutmegctl` does with an accepted one.
-    pub async fn push(&self, name: &str, config: &Configuration) -> anyhow::Result<()> {
+    pub async fn push_config(&self, name: &str, config: &Configuration) -> anyhow::Result<()> {
         let node = self.nodes.get(name).with_context(|| format!("no instance {name}"))?;
         let token = format!("Bearer {OPERATOR_TOKEN}");
         let headers = [("authorization", token.as_str())];
@@ -199,7 +199,7 @@
         args.extend(self.plan.flags.iter().cloned());
         let secrets =
             [("NUTMEGGRADE_PEER_KEY", key), ("NUTMEGGRADE_OPERATOR_TOKEN", OPERATOR_TOKEN)];
-        let program = programs()?.join("nutmeggrade");
+        let program = program_folder()?.join("nutmeggrade");
         let (process, line) = Process::start(&name, &program, &args, &secrets)?;
         let address = |key: &str| {
             let value = line.split(' ').find_map(|w| w.strip_prefix(key)?.strip_prefix('='));
@@ -216,7 +216,7 @@
     }
 
     /// Waits until every instance is ready and lists all instances as entries.
-    pub async fn ready(&self) -> anyhow::Result<()> {
+    pub async fn wait_until_ready(&self) -> anyhow::Result<()> {
         let start = Instant::now();
         for (name, node) in &self.nodes {
             while !self.is_ready(node).await {
@@ -258,9 +258,9 @@
     }
 
     async fn is_ready(&self, node: &NodeAddresses) -> bool {
-        let ready = ask::<Value>(node.admin, Method::GET, "/ready", None).await.is_ok();
+        let ready = request_json::<Value>(node.admin, Method::GET, "/ready", None).await.is_ok();
         let path = "/v1/entries";
-        let Ok(entries) = ask::<Value>(node.callers, Method::GET, path, None).await else {
+        let Ok(entries) = request_json::<Value>(node.callers, Method::GET, path, None).await else {
             return false;
         };
         let entry_count = entries.get("entries").and_then(Value::as_array).map_or(0, Vec::len);
@@ -277,7 +277,7 @@
     ) -> anyhow::Result<()> {
         let (process, listening) = start_example(name, program, args)?;
         let address: SocketAddr = listening.parse().context("endpoint address")?;
-        self.relay(name, address).await?;
+        self.start_relay(name, address).await?;
         let listed_address = self.relays.get(name).map_or(address, |r| r.address);
         let mut registration = json!({
             "id": name,
@@ -299,7 +299,7 @@
         Ok(())
     }
 
-    async fn relay(&mut self, name: &str, target: SocketAddr) -> anyhow::Result<()> {
+    async fn start_relay(&mut self, name: &str, target: SocketAddr) -> anyhow::Result<()> {
         if self.plan.relayed {
             self.relays.insert(name.to_owned(), Relay::start(target).await?);
         }
@@ -318,6 +318,6 @@
 }
 
 fn start_example(name: &str, program: &str, args: &[String]) -> anyhow::Result<(Process, String)> {
-    let program = programs()?.join("examples").join(program);
+    let program = program_folder()?.join("examples").join(program);
     Process::start(name, &program, args, &[])
 }
--- a/crates/nutmeggrade-fakes/src/http.rs
+++ b/crates/nutmeggrade-fakes/src/http.rs
@@ -53,7 +53,7 @@
 }
 
 /// Sends a request and decodes the JSON body of a successful response.
-pub async fn ask<T: DeserializeOwned>(
+pub async fn request_json<T: DeserializeOwned>(
     address: SocketAddr,
     method: Method,
     path: &str,
@@ -73,7 +73,7 @@
 }
 
 /// Builds a response whose body breaks off, as when a server dies after it has done the work.
-pub fn cut() -> Response {
+pub fn truncated_response() -> Response {
     let broken = futures::stream::iter([Err::<Bytes, _>(std::io::Error::other("cut"))]);
     Response::new(Body::from_stream(broken))
 }
--- a/crates/nutmeggrade-fakes/src/platform/server.rs
+++ b/crates/nutmeggrade-fakes/src/platform/server.rs
@@ -16,7 +16,7 @@
 };
 
 use super::{Faults, Store};
-use crate::http::{cut, serve as serve_http, status};
+use crate::http::{serve as serve_http, status, truncated_response};
 
 const MAX_VALUE_BYTES: u64 = 1 << 20;
 
@@ -131,7 +131,7 @@
     };
     app.changed.notify_waiters();
     match written {
-        _ if lost => Ok(cut()),
+        _ if lost => Ok(truncated_response()),
         Some(object) => Ok(Response::json(object)?),
         None => Ok(status(StatusCode::PRECONDITION_FAILED)),
     }
--- a/crates/nutmeggrade-fakes/src/service/server.rs
+++ b/crates/nutmeggrade-fakes/src/service/server.rs
@@ -11,7 +11,7 @@
 use viz::{IntoResponse, Request, RequestExt, Response, ResponseExt, Result, Router, types};
 
 use super::Faults;
-use crate::http::{cut, serve as serve_http, status};
+use crate::http::{serve as serve_http, status, truncated_response};
 
 #[derive(Debug, Default)]
 struct Inner {
@@ -63,7 +63,7 @@
     };
     sleep(Duration::from_millis(faults.after_ms)).await;
     if lost {
-        return Ok(cut());
+        return Ok(truncated_response());
     }
     let response = json!({ "operation": operation, "subject": subject, "number": run_number });
     Ok(Response::json(response)?)
--- a/crates/nutmeggrade-fakes/src/soak/instances.rs
+++ b/crates/nutmeggrade-fakes/src/soak/instances.rs
@@ -15,7 +15,7 @@
 
 use super::ledger::{Cause, Ledger};
 use super::lives::DOMAINS;
-use crate::fleet::{Process, logs, programs};
+use crate::fleet::{Process, log_folder, program_folder};
 use crate::http::send;
 use crate::site::{Door, Fault, Store};
 
@@ -67,7 +67,7 @@
     pub async fn start(store: &Store, count: usize, seed: u64) -> anyhow::Result<Self> {
         let base = base();
         let ports = Ports::choose(base)?;
-        let folder = logs()?;
+        let folder = log_folder()?;
         let log = folder.join(format!("soak-{seed}.log"));
         let mut hosts = Vec::new();
         for n in 0..count {
@@ -216,7 +216,7 @@
         self.write_settings(n, 0)?;
         let host = &self.hosts[n];
         let path = host.settings.to_str().context("path of the settings")?;
-        let program = programs()?.join("nutmeggrade");
+        let program = program_folder()?.join("nutmeggrade");
         let variables = [("NUTMEGGRADE_BOOT", path)];
         let args = ["relay".to_owned()];
         let process = Process::start_logged(&host.name, &program, &args, &variables, &self.log)?;
@@ -256,7 +256,7 @@
 
 /// Notes it if a process ended without being told to.
 fn check_lives(process: &mut Process, ledger: &Ledger) -> anyhow::Result<()> {
-    if let Some(status) = process.ended()? {
+    if let Some(status) = process.exit_status()? {
         ledger.broken(format!("{} ended by itself: {status}", process.name));
     }
     Ok(())
@@ -273,7 +273,7 @@
             drop(process.signal(Signal::SIGHUP));
             drop(process.signal(Signal::SIGTERM));
         }
-        if let Some(status) = process.ended()? {
+        if let Some(status) = process.exit_status()? {
             if !status.success() {
                 ledger.broken(format!("{} ended with {status} when stopped", process.name));
             }
--- a/tests/suite/operators/audit.rs
+++ b/tests/suite/operators/audit.rs
@@ -60,7 +60,7 @@
 fn refusals_are_in_the_trail() {
     run(async {
         let held = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
-        held.fleet.fault("platform", &json!({ "lose": 1 })).await?;
+        held.fleet.set_faults("platform", &json!({ "lose": 1 })).await?;
         let admin = held.fleet.nodes["node-0"].admin;
         let headers = [("authorization", "Bearer wrong")];
         let (status, _) = send(admin, Method::GET, "/status", &headers, Vec::new()).await?;
@@ -77,7 +77,7 @@
         let (change, refusal) = (places("change version=1 "), places("token_refused "));
         assert!(change.len() == 1 && refusal.len() == 1, "{text}");
         assert!(change < refusal && lines[refusal[0]].contains("instance=node-0 "), "{text}");
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
         let admin = admin.to_string();
         let (code, text) = held.fleet.run_nutmegctl(&["audit", "--admin", &admin]).await?;
         assert!(code == 0 && text.contains("token_refused instance=node-0 "), "{text}");
--- a/tests/suite/operators/changes.rs
+++ b/tests/suite/operators/changes.rs
@@ -29,7 +29,7 @@
 fn racing_operators_learn_who_won() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("platform", &json!({ "slow_ms": 100 })).await?;
+        held.fleet.set_faults("platform", &json!({ "slow_ms": 100 })).await?;
         let domain = |d| [["domain", d, "veluwe"], ["endpoint", d, "engine-1"]];
         for round in 0..10 {
             let [one, two] = domain(["out", "in"][round % 2]);
@@ -53,7 +53,7 @@
 fn lost_answer_is_settled() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("platform", &json!({ "lose": 1 })).await?;
+        held.fleet.set_faults("platform", &json!({ "lose": 1 })).await?;
         let (code, text) = change(&held.fleet, &["domain", "out", "veluwe"]).await?;
         assert_eq!(code, 0, "{text}");
         assert!(text.contains("accepted version=2"), "{text}");
@@ -70,7 +70,7 @@
         let held = fleet(&plan()).await?;
         let (code, text) = change(&held.fleet, &["domain", "out", "veluwe"]).await?;
         assert_eq!(code, 0, "{text}");
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
         let (code, text) = change(&held.fleet, &["domain", "in", "veluwe"]).await?;
         assert_eq!(code, 7, "{text}");
         let admin = held.fleet.nodes["node-1"].admin.to_string();
--- a/tests/suite/operators/orders.rs
+++ b/tests/suite/operators/orders.rs
@@ -8,7 +8,7 @@
 use nutmeggrade_core::order::{Effect, EngineState, Load, ORDERS_PATH, Progress};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_fakes::fleet::{Fleet, Plan};
-use nutmeggrade_fakes::http::{ask, send};
+use nutmeggrade_fakes::http::{request_json, send};
 use nutmeggrade_platform::Platform;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -75,7 +75,7 @@
         let held = fleet(&Plan::default().with_nodes(2).with_engines(3)).await?;
         let engines = ["engine-0", "engine-1", "engine-2"];
         for engine in engines {
-            held.fleet.fault(engine, &json!({ "load_ms": LOAD_MS })).await?;
+            held.fleet.set_faults(engine, &json!({ "load_ms": LOAD_MS })).await?;
         }
         let [a, b, c] = engines.map(|e| ["load", e, "nutmeg-schrijvers@2"]);
         let one = |words| done(&held.fleet, words);
@@ -101,7 +101,7 @@
     run(async {
         let mut held = fleet(&Plan::default().with_nodes(3).with_engines(1)).await?;
         let faults = json!({ "ignore_fence": true, "load_ms": 1_500 });
-        held.fleet.fault("engine-0", &faults).await?;
+        held.fleet.set_faults("engine-0", &faults).await?;
         let words = ["load", "engine-0", "nutmeg-schrijvers@2"];
         let sent = async {
             loop {
@@ -142,7 +142,7 @@
 fn late_order_does_not_last() {
     run(async {
         let held = fleet(&Plan::default().with_nodes(1).with_engines(2)).await?;
-        held.fleet.fault("engine-1", &json!({ "ignore_fence": true })).await?;
+        held.fleet.set_faults("engine-1", &json!({ "ignore_fence": true })).await?;
         let late = json!({ "fence": 0, "order": "unload", "load": "m@2" }).to_string();
         let mut statuses = Vec::new();
         for engine in ["engine-0", "engine-1"] {
@@ -157,7 +157,7 @@
         }
         let state = |engine: &str| {
             let address = held.fleet.endpoints[engine];
-            async move { ask::<EngineState>(address, Method::GET, ORDERS_PATH, None).await }
+            async move { request_json::<EngineState>(address, Method::GET, ORDERS_PATH, None).await }
         };
         for engine in ["engine-0", "engine-1"] {
             assert!(state(engine).await?.loaded.contains(&Load::parse("m@2")?), "{engine}");
@@ -172,7 +172,7 @@
 fn racing_orders_show_the_winner() {
     run(async {
         let held = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
-        held.fleet.fault("platform", &json!({ "slow_ms": 50 })).await?;
+        held.fleet.set_faults("platform", &json!({ "slow_ms": 50 })).await?;
         for round in 0..10 {
             let load = format!("m@{round}");
             let (one, two) = (["load", "engine-0", &load], ["unload", "engine-0", &load]);
--- a/tests/suite/process/cold.rs
+++ b/tests/suite/process/cold.rs
@@ -24,7 +24,7 @@
 async fn owner(fleet: &Fleet, but: Option<&str>) -> anyhow::Result<String> {
     let start = Instant::now();
     loop {
-        fleet.fault(ENGINE, &json!({ "cold": true })).await?;
+        fleet.set_faults(ENGINE, &json!({ "cold": true })).await?;
         for name in fleet.nodes.keys().filter(|n| Some(n.as_str()) != but) {
             let status = fleet.status(name).await.unwrap_or(Value::Null);
             let row = status.pointer("/endpoints/0").cloned().unwrap_or_default();
@@ -41,7 +41,7 @@
 async fn keep_cold(fleet: &Fleet, done: usize) -> anyhow::Result<()> {
     let start = Instant::now();
     loop {
-        fleet.fault(ENGINE, &json!({ "cold": true })).await?;
+        fleet.set_faults(ENGINE, &json!({ "cold": true })).await?;
         let log = fleet.log(ENGINE).await?;
         let ran = log["runs"].as_object().map_or(0, serde_json::Map::len);
         if ran >= done && log["running"] == 0 {
@@ -125,7 +125,7 @@
 async fn keep_running(fleet: &Fleet) -> anyhow::Result<()> {
     let start = Instant::now();
     while fleet.log(ENGINE).await?["running"] == 0 {
-        fleet.fault(ENGINE, &json!({ "cold": true })).await?;
+        fleet.set_faults(ENGINE, &json!({ "cold": true })).await?;
         ensure!(start.elapsed() < PATIENCE, "nothing runs");
         sleep(PAUSE).await;
     }
@@ -139,7 +139,7 @@
     run(async {
         let held = fleet(&plan()).await?;
         owner(&held.fleet, None).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
         let start = Instant::now();
         while owned(&held.fleet).await? {
             ensure!(start.elapsed() < PATIENCE, "the lease does not lapse");
@@ -153,11 +153,11 @@
             })
             .collect();
         for _ in 0..10 {
-            held.fleet.fault(ENGINE, &json!({ "cold": true })).await?;
+            held.fleet.set_faults(ENGINE, &json!({ "cold": true })).await?;
             sleep(PAUSE).await;
         }
         assert_eq!(held.fleet.log(ENGINE).await?["runs"], json!({}));
-        held.fleet.fault(ENGINE, &json!({ "cold": false })).await?;
+        held.fleet.set_faults(ENGINE, &json!({ "cold": false })).await?;
         for call in calls {
             let heard = call.await??;
             assert!(heard.is_whole(), "{heard:?}");
@@ -168,7 +168,7 @@
 
 /// Keeps the engine cold, and says whether an instance may use it.
 async fn owned(fleet: &Fleet) -> anyhow::Result<bool> {
-    fleet.fault(ENGINE, &json!({ "cold": true })).await?;
+    fleet.set_faults(ENGINE, &json!({ "cold": true })).await?;
     for name in fleet.nodes.keys() {
         let status = fleet.status(name).await?;
         if status.pointer("/endpoints/0/owner_epoch").is_some_and(Value::is_u64) {
@@ -185,7 +185,7 @@
     run(async {
         let held = fleet(&plan()).await?;
         owner(&held.fleet, None).await?;
-        held.fleet.fault(ENGINE, &json!({ "cold": false })).await?;
+        held.fleet.set_faults(ENGINE, &json!({ "cold": false })).await?;
         let caller = held.fleet.caller("staatsbos");
         let first = caller.stream(0, "district-sort", "a len=5").await?;
         assert!(first.is_whole(), "{first:?}");
@@ -203,7 +203,7 @@
             })
             .collect();
         sleep(Duration::from_millis(400)).await;
-        held.fleet.fault(ENGINE, &json!({ "cold": true })).await?;
+        held.fleet.set_faults(ENGINE, &json!({ "cold": true })).await?;
         for call in calls {
             call.await?;
         }
--- a/tests/suite/process/config.rs
+++ b/tests/suite/process/config.rs
@@ -59,8 +59,8 @@
     run(async {
         let held = fleet(&plan()).await?;
         let next = domain_out(&held.fleet).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
-        held.fleet.push("node-1", &next).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
+        held.fleet.push_config("node-1", &next).await?;
         in_force(&held.fleet, next.version).await?;
         let before = ran(&held.fleet, "engine-0").await?;
         let caller = held.fleet.caller("staatsbos");
@@ -77,11 +77,11 @@
 fn starts_in_an_outage() {
     run(async {
         let mut held = fleet(&plan().with_nodes(2)).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
         let seed = held.fleet.nodes["node-0"].admin.to_string();
         held.fleet.add_flag("seeds", &seed);
         held.fleet.start_node(2)?;
-        held.fleet.ready().await?;
+        held.fleet.wait_until_ready().await?;
         let heard = held.fleet.caller("staatsbos").stream(2, "district-sort", "a len=5").await?;
         assert!(heard.is_whole(), "{heard:?}");
         Ok(())
@@ -93,7 +93,7 @@
 fn is_not_ready_without_a_configuration() {
     run(async {
         let mut held = fleet(&plan().with_nodes(1)).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
         held.fleet.start_node(1)?;
         sleep(Duration::from_secs(1)).await;
         let answer = held.fleet.caller("staatsbos").stream(1, "district-sort", "a").await?;
@@ -121,7 +121,7 @@
 fn frozen_instance_wakes_after_a_change() {
     run(async {
         let mut held = fleet(&plan().with_relays()).await?;
-        held.fleet.link("platform")?.set(Link::Stalled);
+        held.fleet.relay("platform")?.set(Link::Stalled);
         held.fleet.process("node-1")?.signal(Signal::SIGSTOP)?;
         stopped(&held.fleet, "node-1").await?;
         let caller = held.fleet.caller("staatsbos");
@@ -159,7 +159,7 @@
 fn serves_through_a_long_outage() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
         let caller = held.fleet.caller("staatsbos");
         let start = Instant::now();
         let mut n = 0;
@@ -175,7 +175,7 @@
         assert_eq!((&failure["code"], &failure["run"]), (&json!(4001), &json!("unknown")));
         let log = held.fleet.log("service-0").await?;
         assert!(log.get("issue-permit/plot-1").is_none(), "{log}");
-        held.fleet.fault("platform", &json!({})).await?;
+        held.fleet.set_faults("platform", &json!({})).await?;
         let words = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
         let (code, output) = held.fleet.run_nutmegctl(&words).await?;
         assert_eq!(code, 0, "{output}");
@@ -192,7 +192,7 @@
         let fleet = &held.fleet;
         let mut accepted = 1;
         for round in 0..3 {
-            fleet.fault("platform", &json!({ "lose": 1 })).await?;
+            fleet.set_faults("platform", &json!({ "lose": 1 })).await?;
             let place = if round % 2 == 0 { "out" } else { "in" };
             let change = |domain| async move {
                 let words = ["domain", place, domain, "--who", domain, "--why", "race"];
--- a/tests/suite/process/config_size.rs
+++ b/tests/suite/process/config_size.rs
@@ -33,7 +33,7 @@
         write(&held.fleet, last, size).await?;
         raise_head(&held.fleet.client(), hint).await?;
         held.fleet.start_node(0)?;
-        held.fleet.ready().await?;
+        held.fleet.wait_until_ready().await?;
         let status = held.fleet.status("node-0").await?;
         assert_eq!(status["config"], last);
         Ok(())
--- a/tests/suite/process/crashers.rs
+++ b/tests/suite/process/crashers.rs
@@ -33,7 +33,7 @@
 ) -> anyhow::Result<StreamOutput> {
     let mut heard = StreamOutput::default();
     let caller = fleet.caller(workspace);
-    caller.listen(caller.entry(n), TASK, prompt, &mut heard, None).await?;
+    caller.read_stream(caller.entry(n), TASK, prompt, &mut heard, None).await?;
     Ok(heard)
 }
 
--- a/tests/suite/process/cuts.rs
+++ b/tests/suite/process/cuts.rs
@@ -21,7 +21,7 @@
 /// Hears the first tokens of a long answer at an entry.
 async fn begin(caller: &Caller, entry: usize) -> anyhow::Result<StreamOutput> {
     let mut heard = StreamOutput::default();
-    caller.listen(caller.entry(entry), TASK, LONG, &mut heard, Some(10)).await?;
+    caller.read_stream(caller.entry(entry), TASK, LONG, &mut heard, Some(10)).await?;
     anyhow::ensure!(heard.failure.is_none(), "{heard:?}");
     Ok(heard)
 }
@@ -61,7 +61,7 @@
         let mut held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
-        let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
+        let listening = caller.read_stream(caller.entry(0), TASK, LONG, &mut heard, None);
         let killing = async {
             flowing(&held.fleet).await?;
             held.fleet.process("node-0")?.kill()
@@ -70,7 +70,7 @@
         killed?;
         listened?;
         assert!(!heard.done && heard.last.is_some() && heard.in_order(), "{heard:?}");
-        caller.listen(caller.entry(1), TASK, LONG, &mut heard, None).await?;
+        caller.read_stream(caller.entry(1), TASK, LONG, &mut heard, None).await?;
         assert_whole(&heard);
         Ok(())
     });
@@ -85,12 +85,12 @@
         let caller = held.fleet.caller("staatsbos");
         let mut heard = begin(&caller, 0).await?;
         held.fleet.process("node-0")?.signal(Signal::SIGSTOP)?;
-        caller.listen(caller.entry(1), TASK, LONG, &mut heard, None).await?;
+        caller.read_stream(caller.entry(1), TASK, LONG, &mut heard, None).await?;
         held.fleet.process("node-0")?.signal(Signal::SIGCONT)?;
         assert_whole(&heard);
         let again = async || {
             let mut heard = StreamOutput::default();
-            let got = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None).await;
+            let got = caller.read_stream(caller.entry(0), TASK, LONG, &mut heard, None).await;
             Ok(got.is_ok() && heard.is_whole())
         };
         until("it serves again", again).await
@@ -104,16 +104,16 @@
     run(async {
         let mut held = fleet(&plan()).await?;
         for n in 0..2 {
-            held.fleet.fault(&format!("engine-{n}"), &json!({ "slow": 60 })).await?;
+            held.fleet.set_faults(&format!("engine-{n}"), &json!({ "slow": 60 })).await?;
         }
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
-        let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
+        let listening = caller.read_stream(caller.entry(0), TASK, LONG, &mut heard, None);
         let killing = async {
             let name = busy(&held.fleet).await?;
             held.fleet.process(&name)?.kill()?;
             let other = if name == "engine-0" { "engine-1" } else { "engine-0" };
-            held.fleet.fault(other, &json!({ "slow": 1 })).await
+            held.fleet.set_faults(other, &json!({ "slow": 1 })).await
         };
         let (listened, killed) = tokio::join!(listening, killing);
         killed?;
@@ -131,7 +131,7 @@
         let mut held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
-        let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
+        let listening = caller.read_stream(caller.entry(0), TASK, LONG, &mut heard, None);
         let killing = async {
             flowing(&held.fleet).await?;
             let name = busy(&held.fleet).await?;
@@ -155,17 +155,17 @@
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
-        let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
+        let listening = caller.read_stream(caller.entry(0), TASK, LONG, &mut heard, None);
         let stalling = async {
             flowing(&held.fleet).await?;
             let name = busy(&held.fleet).await?;
-            held.fleet.link(&name)?.set(Link::Stalled);
+            held.fleet.relay(&name)?.set(Link::Stalled);
             let resumed = async || {
                 let text = held.fleet.metrics("node-0").await?;
                 Ok(!text.contains("nutmeggrade_resumes_total 0"))
             };
             until("the stall is noticed", resumed).await?;
-            held.fleet.link(&name)?.set(Link::Open);
+            held.fleet.relay(&name)?.set(Link::Open);
             anyhow::Ok(())
         };
         let (listened, stalled) = tokio::join!(listening, stalling);
@@ -182,7 +182,7 @@
     run(async {
         let held = fleet(&plan()).await?;
         for n in 0..2 {
-            held.fleet.link(&format!("engine-{n}"))?.set(Link::CutAnswer(bytes));
+            held.fleet.relay(&format!("engine-{n}"))?.set(Link::CutAnswer(bytes));
         }
         let heard = held.fleet.caller("staatsbos").stream(0, TASK, LONG).await?;
         assert_whole(&heard);
@@ -205,13 +205,13 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        held.fleet.link("service-0")?.set(link);
+        held.fleet.relay("service-0")?.set(link);
         let (_, answer) = caller.operation(0, "issue-permit", Some("k1"), "plot-1").await?;
         let log = held.fleet.log("service-0").await?;
         let ran = log.get("issue-permit/plot-1").is_some();
         let failure: Failure = serde_json::from_value(answer)?;
         assert!(failure.run != Run::NotRun || !ran, "{failure}: it ran");
-        held.fleet.link("service-0")?.set(Link::Open);
+        held.fleet.relay("service-0")?.set(Link::Open);
         let (status, answer) = caller.operation(1, "issue-permit", Some("k1"), "plot-1").await?;
         let log = held.fleet.log("service-0").await?;
         let runs = log.get("issue-permit/plot-1").and_then(serde_json::Value::as_u64);
@@ -242,7 +242,7 @@
     run(async {
         let held = fleet(&plan().with_flag("platform-wait", "300")).await?;
         let caller = held.fleet.caller("staatsbos");
-        held.fleet.link("platform")?.set(Link::Stalled);
+        held.fleet.relay("platform")?.set(Link::Stalled);
         let heard = caller.stream(0, TASK, LONG).await?;
         assert_whole(&heard);
         let (status, _) = caller.operation(1, "lookup-permit", None, "plot-1").await?;
@@ -250,7 +250,7 @@
         let (_, answer) = caller.operation(2, "issue-permit", Some("k"), "plot-1").await?;
         let failure: Failure = serde_json::from_value(answer)?;
         assert_eq!((failure.code, failure.run), (Code::PlatformDown, Run::Unknown));
-        held.fleet.link("platform")?.set(Link::Open);
+        held.fleet.relay("platform")?.set(Link::Open);
         let log = held.fleet.log("service-0").await?;
         assert!(log.get("issue-permit/plot-1").is_none(), "{log}");
         Ok(())
--- a/tests/suite/process/early_signals.rs
+++ b/tests/suite/process/early_signals.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::Signal;
 use nix::sys::stat::Mode;
 use nix::unistd::mkfifo;
-use nutmeggrade_fakes::fleet::{Process, logs, programs};
+use nutmeggrade_fakes::fleet::{Process, log_folder, program_folder};
 use nutmeggrade_fakes::site::Store;
 use tokio::time::{Duration, sleep};
 
@@ -22,7 +22,7 @@
 
 impl Starting {
     async fn new(name: &str) -> anyhow::Result<Self> {
-        let folder = logs()?;
+        let folder = log_folder()?;
         let (pipe, log) = (folder.join(format!("{name}.pipe")), folder.join(format!("{name}.log")));
         drop(std::fs::remove_file(&pipe));
         mkfifo(&pipe, Mode::S_IRWXU)?;
@@ -35,7 +35,7 @@
         for listener in ["CLIENT", "READY", "DIRECTORY", "CONTROL", "BEACON", "METRICS"] {
             writeln!(settings, "NUTMEGGRADE_{listener}_ADDRESS=127.0.0.1:0")?;
         }
-        let program = programs()?.join("nutmeggrade");
+        let program = program_folder()?.join("nutmeggrade");
         let path = pipe.to_string_lossy().into_owned();
         let variables = [("NUTMEGGRADE_BOOT", path.as_str())];
         let process =
@@ -73,7 +73,7 @@
         starting.signal(Signal::SIGHUP).await?;
         starting.until_logged("event=started").await?;
         starting.until_logged("event=reloaded").await?;
-        assert!(starting.process.ended()?.is_none());
+        assert!(starting.process.exit_status()?.is_none());
         Ok(())
     });
 }
@@ -85,8 +85,8 @@
         let mut starting = Starting::new("stop").await?;
         starting.signal(Signal::SIGTERM).await?;
         starting.until_logged("event=stopped").await?;
-        until("ended", async || Ok(starting.process.ended()?.is_some())).await?;
-        assert!(starting.process.ended()?.is_some_and(|status| status.success()));
+        until("ended", async || Ok(starting.process.exit_status()?.is_some())).await?;
+        assert!(starting.process.exit_status()?.is_some_and(|status| status.success()));
         Ok(())
     });
 }
--- a/tests/suite/process/intents.rs
+++ b/tests/suite/process/intents.rs
@@ -59,7 +59,7 @@
 fn answer_waits_for_a_caller_that_left() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("service-0", &json!({ "after_ms": 600 })).await?;
+        held.fleet.set_faults("service-0", &json!({ "after_ms": 600 })).await?;
         let caller = held.fleet.caller("staatsbos");
         let call = caller.operation(0, ISSUE, KEY, "plot-1");
         assert!(timeout(Duration::from_millis(200), call).await.is_err(), "answered too soon");
@@ -76,7 +76,7 @@
 fn three_instances_at_once_run_it_once() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("service-0", &json!({ "before_ms": 300 })).await?;
+        held.fleet.set_faults("service-0", &json!({ "before_ms": 300 })).await?;
         let caller = held.fleet.caller("staatsbos");
         let ask = |n| caller.operation(n, ISSUE, KEY, "plot-1");
         let (a, b, c) = futures::try_join!(ask(0), ask(1), ask(2))?;
@@ -97,7 +97,7 @@
 fn killed_instance_leaves_unknown() {
     run(async {
         let mut held = fleet(&plan()).await?;
-        held.fleet.fault("service-0", &json!({ "after_ms": 60_000 })).await?;
+        held.fleet.set_faults("service-0", &json!({ "after_ms": 60_000 })).await?;
         let caller = held.fleet.caller("staatsbos");
         let (_, died) = futures::join!(caller.operation(0, ISSUE, KEY, "plot-1"), async {
             until_ran(&held.fleet).await?;
@@ -105,7 +105,7 @@
         });
         died?;
         held.fleet.start_node(0)?;
-        held.fleet.ready().await?;
+        held.fleet.wait_until_ready().await?;
         let caller = held.fleet.caller("staatsbos");
         for n in 0..3 {
             let (_, answer) = settled(&caller, n, &[Code::InProgress, Code::NotReady]).await?;
@@ -124,11 +124,11 @@
 fn outcome_is_recorded_after_an_outage() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("service-0", &json!({ "after_ms": 500 })).await?;
+        held.fleet.set_faults("service-0", &json!({ "after_ms": 500 })).await?;
         let caller = held.fleet.caller("staatsbos");
         let (first, down) = futures::join!(caller.operation(0, ISSUE, KEY, "plot-1"), async {
             until_ran(&held.fleet).await?;
-            held.fleet.fault("platform", &json!({ "down": true })).await
+            held.fleet.set_faults("platform", &json!({ "down": true })).await
         });
         down?;
         let (status, answer) = first?;
@@ -136,7 +136,7 @@
         let (_, refused) = caller.operation(1, ISSUE, KEY, "plot-1").await?;
         assert_eq!(code(&refused), Some(4001), "{refused}");
         assert_eq!(refused["run"], "unknown", "{refused}");
-        held.fleet.fault("platform", &json!({})).await?;
+        held.fleet.set_faults("platform", &json!({})).await?;
         let passing = [Code::InProgress, Code::PlatformDown];
         let (status, again) = settled(&caller, 1, &passing).await?;
         assert_eq!((status, again), (200, answer));
@@ -150,7 +150,7 @@
 fn lost_platform_answers_run_it_once() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("platform", &json!({ "lose": 4 })).await?;
+        held.fleet.set_faults("platform", &json!({ "lose": 4 })).await?;
         let caller = held.fleet.caller("staatsbos");
         let (status, first) = caller.operation(0, ISSUE, KEY, "plot-1").await?;
         assert_eq!(status, StatusCode::OK, "{first}");
@@ -167,7 +167,7 @@
 fn frozen_instance_wakes_to_one_run() {
     run(async {
         let mut held = fleet(&plan()).await?;
-        held.fleet.fault("service-0", &json!({ "after_ms": 400 })).await?;
+        held.fleet.set_faults("service-0", &json!({ "after_ms": 400 })).await?;
         let caller = held.fleet.caller("staatsbos");
         let first = caller.operation(0, ISSUE, KEY, "plot-1");
         let (first, woken) = futures::join!(first, async {
@@ -193,12 +193,12 @@
 fn not_run_gives_the_key_back() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("service-0", &json!({ "refuse": true })).await?;
+        held.fleet.set_faults("service-0", &json!({ "refuse": true })).await?;
         let caller = held.fleet.caller("staatsbos");
         let (_, refused) = caller.operation(0, ISSUE, KEY, "plot-1").await?;
         assert_eq!(refused["run"], "not_run", "{refused}");
         assert_eq!(ran(&held.fleet).await?, 0);
-        held.fleet.fault("service-0", &json!({})).await?;
+        held.fleet.set_faults("service-0", &json!({})).await?;
         let (status, _) = caller.operation(1, ISSUE, KEY, "plot-1").await?;
         assert_eq!(status, StatusCode::OK);
         assert_eq!(ran(&held.fleet).await?, 1);
--- a/tests/suite/process/membership.rs
+++ b/tests/suite/process/membership.rs
@@ -54,7 +54,7 @@
         registered(&held.fleet, "node-2", false).await?;
         held.fleet.process("node-2")?.signal(Signal::SIGCONT)?;
         registered(&held.fleet, "node-2", true).await?;
-        held.fleet.ready().await
+        held.fleet.wait_until_ready().await
     });
 }
 
@@ -81,7 +81,7 @@
 fn leaving_engine_gets_nothing_though_the_list_lags() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("engine-0", &json!({ "leaving": true })).await?;
+        held.fleet.set_faults("engine-0", &json!({ "leaving": true })).await?;
         sees_as_leaving(&held.fleet, "engine-0").await?;
         let caller = held.fleet.caller("staatsbos");
         for n in 0..6 {
--- a/tests/suite/process/planned_stop.rs
+++ b/tests/suite/process/planned_stop.rs
@@ -95,7 +95,7 @@
                 let status = held.fleet.stop_node(&name).await?;
                 anyhow::ensure!(status.success(), "{name} ended with {status}");
                 held.fleet.start_node(n)?;
-                held.fleet.ready().await?;
+                held.fleet.wait_until_ready().await?;
                 shared.see(&held.fleet);
             }
             shared.over.store(true, Ordering::Relaxed);
@@ -132,15 +132,15 @@
         let mut heard = StreamOutput::default();
         let entry = held.fleet.nodes["node-0"].callers;
         held.fleet.process("node-0")?.signal(Signal::SIGTERM)?;
-        caller.listen(entry, "permit-draft", "a len=400", &mut heard, None).await?;
+        caller.read_stream(entry, "permit-draft", "a len=400", &mut heard, None).await?;
         assert!(!heard.done, "{heard:?}");
         let moved = heard.moved.take().expect("told where to go on");
         let next = moved["entries"][0].as_str().expect("an address").parse()?;
         assert_ne!(next, entry);
-        caller.listen(next, "permit-draft", "a len=400", &mut heard, None).await?;
+        caller.read_stream(next, "permit-draft", "a len=400", &mut heard, None).await?;
         assert!(heard.is_whole(), "{heard:?}");
         assert_eq!(heard.tokens.len(), 400);
-        assert!(held.fleet.ended("node-0").await?.success());
+        assert!(held.fleet.wait_for_exit("node-0").await?.success());
         Ok(())
     });
 }
@@ -151,7 +151,7 @@
 fn running_call_is_answered() {
     run(async {
         let mut held = fleet(&plan("0", "0")).await?;
-        held.fleet.fault("service-0", &json!({ "after_ms": 3_000 })).await?;
+        held.fleet.set_faults("service-0", &json!({ "after_ms": 3_000 })).await?;
         let caller = held.fleet.caller("staatsbos");
         let call = caller.operation(0, "issue-permit", Some("k"), "plot-1");
         let stop = async {
@@ -191,8 +191,8 @@
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
         let prompt = "a len=300";
-        caller.listen(own.callers, "permit-draft", prompt, &mut heard, Some(1)).await?;
-        let listening = caller.listen(own.callers, "permit-draft", prompt, &mut heard, None);
+        caller.read_stream(own.callers, "permit-draft", prompt, &mut heard, Some(1)).await?;
+        let listening = caller.read_stream(own.callers, "permit-draft", prompt, &mut heard, None);
         let watching = async {
             let refuses = async || Ok(Raw::connect(own.callers).await.is_err());
             until("it takes nothing new", refuses).await?;
@@ -204,7 +204,7 @@
         listened?;
         assert!(heard.is_whole(), "{heard:?}");
         assert_eq!(watched?, (StatusCode::SERVICE_UNAVAILABLE, Code::Leaving));
-        assert!(held.fleet.ended("node-0").await?.success());
+        assert!(held.fleet.wait_for_exit("node-0").await?.success());
         Ok(())
     });
 }
@@ -221,8 +221,8 @@
         let prompt = "a len=150";
         let streams = async {
             tokio::try_join!(
-                caller.listen(entries[0], "permit-draft", prompt, &mut first, None),
-                caller.listen(entries[1], "permit-draft", "a len=2000", &mut second, None),
+                caller.read_stream(entries[0], "permit-draft", prompt, &mut first, None),
+                caller.read_stream(entries[1], "permit-draft", "a len=2000", &mut second, None),
             )
         };
         let signals = async {
@@ -238,7 +238,10 @@
                 held.fleet.process("node-1")?.signal(Signal::SIGINT)?;
                 tokio::time::sleep(std::time::Duration::from_millis(200)).await;
             }
-            anyhow::Ok((held.fleet.ended("node-0").await?, held.fleet.ended("node-1").await?))
+            anyhow::Ok((
+                held.fleet.wait_for_exit("node-0").await?,
+                held.fleet.wait_for_exit("node-1").await?,
+            ))
         };
         let (streamed, ended) = tokio::join!(streams, signals);
         streamed?;
--- a/tests/suite/process/streams.rs
+++ b/tests/suite/process/streams.rs
@@ -22,7 +22,7 @@
 
 async fn fault_engines(fleet: &Fleet, faults: &Value) -> anyhow::Result<()> {
     for name in ["engine-0", "engine-1"] {
-        fleet.fault(name, faults).await?;
+        fleet.set_faults(name, faults).await?;
     }
     Ok(())
 }
@@ -97,7 +97,7 @@
 fn engine_that_hangs_is_left() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("engine-0", &json!({ "hang": true })).await?;
+        held.fleet.set_faults("engine-0", &json!({ "hang": true })).await?;
         for n in 0..4 {
             let heard = held.fleet.caller("staatsbos").stream(n, TASK, "a len=5").await?;
             assert!(heard.is_whole(), "{heard:?}");
@@ -114,7 +114,7 @@
         let mut held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
-        let listen = caller.listen(caller.entry(0), TASK, "a len=4000", &mut heard, None);
+        let listen = caller.read_stream(caller.entry(0), TASK, "a len=4000", &mut heard, None);
         let (ended, killed) = futures::join!(listen, async {
             until_running(&held.fleet, 1).await?;
             sleep(Duration::from_millis(300)).await;
@@ -140,9 +140,9 @@
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
-        caller.listen(caller.entry(0), TASK, "a len=9", &mut heard, Some(9)).await?;
+        caller.read_stream(caller.entry(0), TASK, "a len=9", &mut heard, Some(9)).await?;
         assert!(!heard.done);
-        caller.listen(caller.entry(1), TASK, "a len=9", &mut heard, None).await?;
+        caller.read_stream(caller.entry(1), TASK, "a len=9", &mut heard, None).await?;
         assert!(heard.is_whole() && heard.failure.is_none(), "{heard:?}");
         assert_eq!(heard.tokens.len(), 9);
         Ok(())
@@ -157,7 +157,7 @@
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
-        caller.listen(caller.entry(0), TASK, "a len=8000", &mut heard, Some(5)).await?;
+        caller.read_stream(caller.entry(0), TASK, "a len=8000", &mut heard, Some(5)).await?;
         assert_eq!(running(&held.fleet).await?, 1);
         until_running(&held.fleet, 0).await
     });
@@ -189,8 +189,8 @@
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
         let prompt = "a len=1100";
-        caller.listen(caller.entry(0), TASK, prompt, &mut heard, Some(5)).await?;
-        caller.listen(caller.entry(1), TASK, prompt, &mut heard, None).await?;
+        caller.read_stream(caller.entry(0), TASK, prompt, &mut heard, Some(5)).await?;
+        caller.read_stream(caller.entry(1), TASK, prompt, &mut heard, None).await?;
         assert!(heard.is_whole(), "{:?} {:?}", heard.tokens.len(), heard.failure);
         assert_eq!(heard.tokens.len(), 1100);
         Ok(())
@@ -223,10 +223,10 @@
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
-        caller.listen(caller.entry(0), TASK, "a len=300", &mut heard, Some(5)).await?;
+        caller.read_stream(caller.entry(0), TASK, "a len=300", &mut heard, Some(5)).await?;
         let mut rival = StreamOutput { last: heard.last, ..StreamOutput::default() };
         let caller = held.fleet.caller("rival");
-        caller.listen(caller.entry(1), TASK, "a len=300", &mut rival, None).await?;
+        caller.read_stream(caller.entry(1), TASK, "a len=300", &mut rival, None).await?;
         assert_eq!(rival.failure.unwrap_or_default()["code"], 1010);
         assert!(rival.tokens.is_empty());
         Ok(())
--- a/tests/suite/process/traces.rs
+++ b/tests/suite/process/traces.rs
@@ -41,7 +41,7 @@
         assert_eq!(whole, trace.outcome.streams_whole, "whole streams");
         let log = held.fleet.log("service-0").await?;
         for (subject, runs) in &trace.outcome.ran {
-            let key = format!("{}/{subject}", trace.deployment().once);
+            let key = format!("{}/{subject}", trace.deployment().non_idempotent);
             assert_eq!(log.get(&key).and_then(Value::as_u64), Some(*runs), "{key} in {log}");
         }
         Ok(())
@@ -69,7 +69,7 @@
         }
         What::Once { workspace, entry, key, subject, code } => {
             let caller = at(workspace);
-            let got = caller.operation(*entry, names.once, Some(key), subject).await?;
+            let got = caller.operation(*entry, names.non_idempotent, Some(key), subject).await?;
             let got = got.1.get("code").and_then(Value::as_u64).unwrap_or(0);
             anyhow::ensure!(got == *code, "{subject}: code {got} in place of {code}");
             Ok(false)
@@ -87,7 +87,7 @@
 
 async fn fail(fleet: &mut Fleet, what: &What) -> anyhow::Result<()> {
     match what {
-        What::Fault { process, faults } => fleet.fault(process, faults).await,
+        What::Fault { process, faults } => fleet.set_faults(process, faults).await,
         What::Domain { direction, name } => {
             let words = ["domain", direction, name, "--who", "trace", "--why", "replay"];
             // Whether it is in force everywhere is not asked here: an instance may be frozen.
--- a/tests/suite/process/whole_path.rs
+++ b/tests/suite/process/whole_path.rs
@@ -29,9 +29,9 @@
         let caller = held.fleet.caller("staatsbos");
         let mut heard = StreamOutput::default();
         let prompt = "a len=200";
-        caller.listen(caller.entry(0), "permit-draft", prompt, &mut heard, Some(20)).await?;
+        caller.read_stream(caller.entry(0), "permit-draft", prompt, &mut heard, Some(20)).await?;
         assert!(!heard.done);
-        caller.listen(caller.entry(1), "permit-draft", prompt, &mut heard, None).await?;
+        caller.read_stream(caller.entry(1), "permit-draft", prompt, &mut heard, None).await?;
         assert!(heard.is_whole(), "{heard:?}");
         assert_eq!(heard.tokens.len(), 200);
         Ok(())
--- a/tests/suite/relay/memory.rs
+++ b/tests/suite/relay/memory.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use anyhow::Context;
-use nutmeggrade_fakes::fleet::{Process, logs, programs};
+use nutmeggrade_fakes::fleet::{Process, log_folder, program_folder};
 use nutmeggrade_fakes::site::{RoutingPlan, Store};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -37,9 +37,9 @@
     for listener in ["CLIENT", "READY", "DIRECTORY", "CONTROL", "BEACON", "METRICS"] {
         writeln!(settings, "NUTMEGGRADE_{listener}_ADDRESS=127.0.0.1:0")?;
     }
-    let (file, log) = (logs()?.join("memory.env"), logs()?.join("memory.log"));
+    let (file, log) = (log_folder()?.join("memory.env"), log_folder()?.join("memory.log"));
     std::fs::write(&file, settings)?;
-    let program = programs()?.join("nutmeggrade");
+    let program = program_folder()?.join("nutmeggrade");
     let path = file.to_string_lossy().into_owned();
     let variables = [("NUTMEGGRADE_BOOT", path.as_str())];
     let process =
--- a/tests/suite/stand_ins.rs
+++ b/tests/suite/stand_ins.rs
@@ -14,7 +14,7 @@
 fn noted(at: Moment) -> CacheLog {
     let mut log = CacheLog::new(LAG);
     for prefix in 1..=EVENTS {
-        log.note(CacheChange { prefix, kept: true }, at);
+        log.record(CacheChange { prefix, kept: true }, at);
     }
     log
 }
@@ -66,7 +66,7 @@
     let mut model = Model::new(&Spec { prefixes: 1, ..Spec::default() });
     for prefix in [1, 2] {
         let order = order(prefix, &format!("a b c d prefix={prefix} len=1"));
-        model.submit(Job::read(&order), Moment::ZERO);
+        model.submit(Job::from_request(&order), Moment::ZERO);
         model.step(Moment::ZERO);
     }
     let change = |prefix, kept| CacheChange { prefix, kept };
