--- a/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
+++ b/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
@@ -19,9 +19,9 @@
 pub enum Rule {
     /// Selects the engines in turn.
     RoundRobin,
-    /// Selects the engine with the fewest requests in flight, by the own count and peers' heartbeats.
+    /// Selects the engine with the fewest requests in flight, by own count and peers' heartbeats.
     LeastOutstanding,
-    /// Selects the engine with the least reserved memory; a request reserves prompt plus token limit.
+    /// Selects the engine with the least reserved memory, counting prompt plus token limit.
     ReserveMax,
     /// Like `LeastOutstanding`, among engines whose batch is below a fixed limit.
     FixedBatch,
--- a/crates/nutmeggrade-fakes/src/engine/faults.rs
+++ b/crates/nutmeggrade-fakes/src/engine/faults.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Failures of an engine, set by `POST /fault`. An absent `cold`, `slow`, `ignore_fence` or `load_ms`
-/// keeps its value; other absent faults are cleared.
+/// Failures of an engine, set by `POST /fault`. An absent `cold`, `slow`, `ignore_fence` or
+/// `load_ms` keeps its value; other absent faults are cleared.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
@@ -13,7 +13,7 @@
     pub slow: Option<u32>,
     /// Closes every open stream after this many tokens; the generations continue.
     pub cut_after: Option<u64>,
-    /// Stalls every open stream after this many tokens without closing it; the generations continue.
+    /// Stalls every open stream after this many tokens, unclosed; the generations continue.
     pub stall_after: Option<u64>,
     /// Inserts tokens of another generation into every stream.
     pub cross: Option<bool>,
