--- a/crates/nutmeggrade-fakes/src/fleet.rs
+++ b/crates/nutmeggrade-fakes/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the whole system as separate processes, for the demo and the tests.
+//! Runs a complete deployment as separate processes, for the demo and the tests.
 
 mod caller;
 mod client;
@@ -8,10 +8,10 @@
 mod running;
 mod usage;
 
-pub use caller::{Caller, Heard};
+pub use caller::{Caller, StreamOutput};
 pub use client::Client;
 pub use deployment::{Deployment, MODEL, SERVICE, preset};
 pub use plan::Plan;
-pub use process::{Process, logs, programs};
+pub use process::{Process, log_folder, program_folder};
 pub use running::{Fleet, NodeAddresses};
 pub use usage::Usage;
--- a/tests/suite/operators/orders.rs
+++ b/tests/suite/operators/orders.rs
@@ -8,7 +8,7 @@
 use nutmeggrade_core::order::{EngineState, ModelRef, ORDERS_PATH, OrderStatus, Progress};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_fakes::fleet::{Fleet, Plan};
-use nutmeggrade_fakes::http::{ask, send};
+use nutmeggrade_fakes::http::{request_json, send};
 use nutmeggrade_platform::Platform;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -24,7 +24,7 @@
 
 async fn order(fleet: &Fleet, who: &str, words: &[&str]) -> anyhow::Result<(i32, String)> {
     let rest = ["--who", who, "--why", "new version", "--wait", "60000"];
-    fleet.operate(&[&["order"], words, &rest[..]].concat()).await
+    fleet.run_nutmegctl(&[&["order"], words, &rest[..]].concat()).await
 }
 
 async fn done(fleet: &Fleet, words: &[&str]) -> anyhow::Result<()> {
@@ -61,7 +61,7 @@
         let names: Vec<_> = orders.iter().filter_map(|o| o["order"].as_str()).collect();
         assert_eq!(names, ["load", "load", "role"]);
         assert!(fences(&orders).iter().all(|f| *f > 0), "{orders:?}");
-        let (code, text) = held.fleet.operate(&["audit"]).await?;
+        let (code, text) = held.fleet.run_nutmegctl(&["audit"]).await?;
         assert!(code == 0 && text.contains("order_sent"), "{text}");
         Ok(())
     });
@@ -75,7 +75,7 @@
         let held = fleet(&Plan::default().with_nodes(2).with_engines(3)).await?;
         let engines = ["engine-0", "engine-1", "engine-2"];
         for engine in engines {
-            held.fleet.fault(engine, &json!({ "load_ms": LOAD_MS })).await?;
+            held.fleet.set_faults(engine, &json!({ "load_ms": LOAD_MS })).await?;
         }
         let [a, b, c] = engines.map(|e| ["load", e, "nutmeg-schrijvers@2"]);
         let one = |words| done(&held.fleet, words);
@@ -101,7 +101,7 @@
     run(async {
         let mut held = fleet(&Plan::default().with_nodes(3).with_engines(1)).await?;
         let faults = json!({ "ignore_fence": true, "load_ms": 1_500 });
-        held.fleet.fault("engine-0", &faults).await?;
+        held.fleet.set_faults("engine-0", &faults).await?;
         let words = ["load", "engine-0", "nutmeg-schrijvers@2"];
         let sent = async {
             loop {
@@ -114,7 +114,7 @@
         // The command is only needed to write the order; its wait is cut short.
         let rest = ["--who", "anna", "--why", "x", "--wait", "0"];
         let cut = [&["order"], &words[..], &rest[..]].concat();
-        let give = held.fleet.operate(&cut);
+        let give = held.fleet.run_nutmegctl(&cut);
         let (_, first) = tokio::try_join!(give, sent)?;
         let first = first.context("no effect")?;
         let owner = first.instance.to_string();
@@ -128,7 +128,7 @@
         let names: Vec<_> = orders.iter().filter_map(|o| o["order"].as_str()).collect();
         assert_eq!(names, ["load", "role"], "{orders:?}");
         assert!(fences(&orders).is_sorted(), "{orders:?}");
-        let (_, trail) = held.fleet.operate(&["audit"]).await?;
+        let (_, trail) = held.fleet.run_nutmegctl(&["audit"]).await?;
         let mut taken = trail.lines().filter(|l| l.starts_with("took_over "));
         let of_epoch = format!("epoch={} ", second.epoch);
         assert!(taken.any(|l| l.contains(&of_epoch)), "{trail}");
@@ -142,7 +142,7 @@
 fn late_order_does_not_last() {
     run(async {
         let held = fleet(&Plan::default().with_nodes(1).with_engines(2)).await?;
-        held.fleet.fault("engine-1", &json!({ "ignore_fence": true })).await?;
+        held.fleet.set_faults("engine-1", &json!({ "ignore_fence": true })).await?;
         let late = json!({ "fence": 0, "order": "unload", "load": "m@2" }).to_string();
         let mut statuses = Vec::new();
         for engine in ["engine-0", "engine-1"] {
@@ -157,7 +157,7 @@
         }
         let state = |engine: &str| {
             let address = held.fleet.endpoints[engine];
-            async move { ask::<EngineState>(address, Method::GET, ORDERS_PATH, None).await }
+            async move { request_json::<EngineState>(address, Method::GET, ORDERS_PATH, None).await }
         };
         for engine in ["engine-0", "engine-1"] {
             assert!(state(engine).await?.loaded.contains(&ModelRef::parse("m@2")?), "{engine}");
@@ -172,7 +172,7 @@
 fn racing_orders_show_the_winner() {
     run(async {
         let held = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
-        held.fleet.fault("platform", &json!({ "slow_ms": 50 })).await?;
+        held.fleet.set_faults("platform", &json!({ "slow_ms": 50 })).await?;
         for round in 0..10 {
             let load = format!("m@{round}");
             let (one, two) = (["load", "engine-0", &load], ["unload", "engine-0", &load]);
--- a/tests/suite/process/config.rs
+++ b/tests/suite/process/config.rs
@@ -7,7 +7,7 @@
 use nix::sys::signal::Signal;
 use nutmeggrade_core::config::Change;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_fakes::fleet::{Fleet, Heard, Plan};
+use nutmeggrade_fakes::fleet::{Fleet, Plan, StreamOutput};
 use nutmeggrade_fakes::relay::Link;
 use nutmeggrade_platform::newest_config;
 use rstest::rstest;
@@ -59,8 +59,8 @@
     run(async {
         let held = fleet(&plan()).await?;
         let next = domain_out(&held.fleet).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
-        held.fleet.push("node-1", &next).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
+        held.fleet.push_config("node-1", &next).await?;
         in_force(&held.fleet, next.version).await?;
         let before = ran(&held.fleet, "engine-0").await?;
         let caller = held.fleet.caller("staatsbos");
@@ -77,11 +77,11 @@
 fn starts_in_an_outage() {
     run(async {
         let mut held = fleet(&plan().with_nodes(2)).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
         let seed = held.fleet.nodes["node-0"].admin.to_string();
         held.fleet.add_flag("seeds", &seed);
         held.fleet.start_node(2)?;
-        held.fleet.ready().await?;
+        held.fleet.wait_until_ready().await?;
         let heard = held.fleet.caller("staatsbos").stream(2, "district-sort", "a len=5").await?;
         assert!(heard.is_whole(), "{heard:?}");
         Ok(())
@@ -93,7 +93,7 @@
 fn is_not_ready_without_a_configuration() {
     run(async {
         let mut held = fleet(&plan().with_nodes(1)).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
         held.fleet.start_node(1)?;
         sleep(Duration::from_secs(1)).await;
         let answer = held.fleet.caller("staatsbos").stream(1, "district-sort", "a").await?;
@@ -111,7 +111,7 @@
     Ok(())
 }
 
-fn code(heard: &Heard) -> Option<u64> {
+fn code(heard: &StreamOutput) -> Option<u64> {
     heard.failure.as_ref()?.get("code")?.as_u64()
 }
 
@@ -121,7 +121,7 @@
 fn frozen_instance_wakes_after_a_change() {
     run(async {
         let mut held = fleet(&plan().with_relays()).await?;
-        held.fleet.link("platform")?.set(Link::Stalled);
+        held.fleet.relay("platform")?.set(Link::Stalled);
         held.fleet.process("node-1")?.signal(Signal::SIGSTOP)?;
         stopped(&held.fleet, "node-1").await?;
         let caller = held.fleet.caller("staatsbos");
@@ -133,7 +133,7 @@
             .collect();
         let words = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
         let (code, output) =
-            held.fleet.operate(&[&words[..], &["--wait", "2500"]].concat()).await?;
+            held.fleet.run_nutmegctl(&[&words[..], &["--wait", "2500"]].concat()).await?;
         assert_eq!(code, 5, "{output}");
         assert!(output.contains("node-1"), "{output}");
         for peer in ["node-0", "node-2"] {
@@ -159,7 +159,7 @@
 fn serves_through_a_long_outage() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        held.fleet.set_faults("platform", &json!({ "down": true })).await?;
         let caller = held.fleet.caller("staatsbos");
         let start = Instant::now();
         let mut n = 0;
@@ -175,9 +175,9 @@
         assert_eq!((&failure["code"], &failure["run"]), (&json!(4001), &json!("unknown")));
         let log = held.fleet.log("service-0").await?;
         assert!(log.get("issue-permit/plot-1").is_none(), "{log}");
-        held.fleet.fault("platform", &json!({})).await?;
+        held.fleet.set_faults("platform", &json!({})).await?;
         let words = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
-        let (code, output) = held.fleet.operate(&words).await?;
+        let (code, output) = held.fleet.run_nutmegctl(&words).await?;
         assert_eq!(code, 0, "{output}");
         Ok(())
     });
@@ -192,11 +192,11 @@
         let fleet = &held.fleet;
         let mut accepted = 1;
         for round in 0..3 {
-            fleet.fault("platform", &json!({ "lose": 1 })).await?;
+            fleet.set_faults("platform", &json!({ "lose": 1 })).await?;
             let place = if round % 2 == 0 { "out" } else { "in" };
             let change = |domain| async move {
                 let words = ["domain", place, domain, "--who", domain, "--why", "race"];
-                fleet.operate(&words).await
+                fleet.run_nutmegctl(&words).await
             };
             let both = tokio::join!(change(DOMAIN), change("gooi"));
             for (code, output) in [both.0?, both.1?] {
@@ -228,13 +228,13 @@
             sleep(PAUSE).await;
         }
         let go = |place| ["domain", place, DOMAIN, "--who", "anna", "--why", "switch work"];
-        assert_eq!(held.fleet.operate(&go("out")).await?.0, 0);
+        assert_eq!(held.fleet.run_nutmegctl(&go("out")).await?.0, 0);
         let before = ran(&held.fleet, "engine-0").await?;
         for n in 0..6 {
             assert!(caller.stream(n, "district-sort", "a len=5").await?.is_whole());
         }
         assert_eq!(ran(&held.fleet, "engine-0").await?, before);
-        assert_eq!(held.fleet.operate(&go("in")).await?.0, 0);
+        assert_eq!(held.fleet.run_nutmegctl(&go("in")).await?.0, 0);
         let start = Instant::now();
         while ran(&held.fleet, "engine-0").await? == before {
             assert!(caller.stream(0, "district-sort", "a len=5").await?.is_whole());
--- a/tests/suite/process/streams.rs
+++ b/tests/suite/process/streams.rs
@@ -4,7 +4,7 @@
 
 use http::Method;
 use nix::sys::signal::Signal;
-use nutmeggrade_fakes::fleet::{Fleet, Heard, MODEL, Plan};
+use nutmeggrade_fakes::fleet::{Fleet, MODEL, Plan, StreamOutput};
 use nutmeggrade_fakes::http::send;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -22,7 +22,7 @@
 
 async fn fault_engines(fleet: &Fleet, faults: &Value) -> anyhow::Result<()> {
     for name in ["engine-0", "engine-1"] {
-        fleet.fault(name, faults).await?;
+        fleet.set_faults(name, faults).await?;
     }
     Ok(())
 }
@@ -97,7 +97,7 @@
 fn engine_that_hangs_is_left() {
     run(async {
         let held = fleet(&plan()).await?;
-        held.fleet.fault("engine-0", &json!({ "hang": true })).await?;
+        held.fleet.set_faults("engine-0", &json!({ "hang": true })).await?;
         for n in 0..4 {
             let heard = held.fleet.caller("staatsbos").stream(n, TASK, "a len=5").await?;
             assert!(heard.is_whole(), "{heard:?}");
@@ -113,8 +113,8 @@
     run(async {
         let mut held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        let listen = caller.listen(caller.entry(0), TASK, "a len=4000", &mut heard, None);
+        let mut heard = StreamOutput::default();
+        let listen = caller.read_stream(caller.entry(0), TASK, "a len=4000", &mut heard, None);
         let (ended, killed) = futures::join!(listen, async {
             until_running(&held.fleet, 1).await?;
             sleep(Duration::from_millis(300)).await;
@@ -139,10 +139,10 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        caller.listen(caller.entry(0), TASK, "a len=9", &mut heard, Some(9)).await?;
+        let mut heard = StreamOutput::default();
+        caller.read_stream(caller.entry(0), TASK, "a len=9", &mut heard, Some(9)).await?;
         assert!(!heard.done);
-        caller.listen(caller.entry(1), TASK, "a len=9", &mut heard, None).await?;
+        caller.read_stream(caller.entry(1), TASK, "a len=9", &mut heard, None).await?;
         assert!(heard.is_whole() && heard.failure.is_none(), "{heard:?}");
         assert_eq!(heard.tokens.len(), 9);
         Ok(())
@@ -156,8 +156,8 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        caller.listen(caller.entry(0), TASK, "a len=8000", &mut heard, Some(5)).await?;
+        let mut heard = StreamOutput::default();
+        caller.read_stream(caller.entry(0), TASK, "a len=8000", &mut heard, Some(5)).await?;
         assert_eq!(running(&held.fleet).await?, 1);
         until_running(&held.fleet, 0).await
     });
@@ -187,10 +187,10 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let mut heard = StreamOutput::default();
         let prompt = "a len=1100";
-        caller.listen(caller.entry(0), TASK, prompt, &mut heard, Some(5)).await?;
-        caller.listen(caller.entry(1), TASK, prompt, &mut heard, None).await?;
+        caller.read_stream(caller.entry(0), TASK, prompt, &mut heard, Some(5)).await?;
+        caller.read_stream(caller.entry(1), TASK, prompt, &mut heard, None).await?;
         assert!(heard.is_whole(), "{:?} {:?}", heard.tokens.len(), heard.failure);
         assert_eq!(heard.tokens.len(), 1100);
         Ok(())
@@ -222,11 +222,11 @@
     run(async {
         let held = fleet(&plan()).await?;
         let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        caller.listen(caller.entry(0), TASK, "a len=300", &mut heard, Some(5)).await?;
-        let mut rival = Heard { last: heard.last, ..Heard::default() };
+        let mut heard = StreamOutput::default();
+        caller.read_stream(caller.entry(0), TASK, "a len=300", &mut heard, Some(5)).await?;
+        let mut rival = StreamOutput { last: heard.last, ..StreamOutput::default() };
         let caller = held.fleet.caller("rival");
-        caller.listen(caller.entry(1), TASK, "a len=300", &mut rival, None).await?;
+        caller.read_stream(caller.entry(1), TASK, "a len=300", &mut rival, None).await?;
         assert_eq!(rival.failure.unwrap_or_default()["code"], 1010);
         assert!(rival.tokens.is_empty());
         Ok(())
