--- a/crates/nutmeggrade-fakes/src/soak.rs
+++ b/crates/nutmeggrade-fakes/src/soak.rs
@@ -1,19 +1,20 @@
-//! A randomised soak: real instances before stand-ins, with faults from outside.
+//! A randomised soak test: real instance processes, simulated endpoints and injected faults.
 //!
-//! A seed decides which instances are killed, paused, stopped and restarted, which links and
-//! endpoints fail, what the store does and what operators change, in series that overlap. Clients go
-//! on all the while. Afterwards what clients and endpoints saw is held against the promises.
+//! The seed decides which instances are killed, paused, stopped and restarted, which links and
+//! endpoints fail, how the store fails and what operators change; faults may overlap. Clients send
+//! requests throughout. Afterwards the observations of clients and endpoints are checked against the
+//! system's guarantees.
 
-mod act;
+mod action;
+mod checker;
 mod clients;
-mod director;
+mod endpoints;
 mod instances;
-mod judge;
-mod ledger;
-mod lives;
 mod operator;
 mod plan;
+mod records;
+mod runner;
 
-pub use director::{run, show};
-pub use judge::Verdict;
+pub use checker::Verdict;
 pub use plan::Plan;
+pub use runner::{run, show};
--- /dev/null
+++ b/crates/nutmeggrade-fakes/src/soak/action.rs
@@ -0,0 +1,123 @@
+//! The faults and operator actions of a soak, and their schedule.
+
+use std::time::Duration;
+
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+
+use super::plan::Plan;
+use crate::relay::Link;
+use crate::site::{Behaviour, Fault};
+
+/// Shortest time from an endpoint's leave notice to its exit.
+const MIN_LEAVE_DELAY: Duration = Duration::from_secs(2);
+
+/// One injected fault or operator action.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Action {
+    /// Kills an instance and starts it again after the given time.
+    Kill(usize, Duration),
+    /// Suspends an instance with SIGSTOP for the given time.
+    Pause(usize, Duration),
+    /// Stops an instance gracefully and starts it again.
+    Stop(usize),
+    /// Changes an instance's settings file; `true` sends SIGHUP as well.
+    Reload(usize, bool),
+    /// Applies a store fault to one instance, or to all.
+    FailStore(Option<usize>, Fault, Duration),
+    /// Drops the store's change history.
+    DropHistory,
+    /// Applies a link fault to the connections of an endpoint.
+    FailLink(usize, Link, Duration),
+    /// Sets how an endpoint handles requests.
+    Misbehave(usize, Behaviour, Duration),
+    /// Announces an endpoint's leave, ends it after the given time and replaces it.
+    Drain(usize, Duration),
+    /// Removes an endpoint's entry without a leave notice and ends the endpoint after the given time.
+    Deregister(usize, Duration),
+    /// Crashes an endpoint; `true` restarts it under its old id, `false` under a new one.
+    Crash(usize, bool),
+    /// Writes a new configuration.
+    ChangeConfig,
+    /// Evacuates a failure domain for the given time.
+    Evacuate(usize, Duration),
+}
+
+/// Draws the actions of a soak, each with its time since the start.
+pub fn draw_schedule(plan: &Plan, rng: &mut ChaCha8Rng) -> Vec<(Duration, Action)> {
+    let mut at = Duration::from_millis(500);
+    let mut actions = Vec::new();
+    while at < plan.length {
+        actions.push((at, draw_action(plan, rng)));
+        at += Duration::from_millis(rng.random_range(0..2 * plan.gap_ms));
+    }
+    actions
+}
+
+fn draw_action(plan: &Plan, rng: &mut ChaCha8Rng) -> Action {
+    let instance = rng.random_range(0..plan.instances);
+    let endpoint = rng.random_range(0..plan.engines + plan.services);
+    let time = Duration::from_millis(rng.random_range(100..4_000));
+    // Some endpoints stay much longer than the limit after which they get no new requests.
+    let leave_delay = MIN_LEAVE_DELAY + time;
+    match rng.random_range(0..100) {
+        0..8 => Action::Kill(instance, time.min(Duration::from_secs(1))),
+        8..16 => Action::Pause(instance, time),
+        16..25 => Action::Stop(instance),
+        25..30 => Action::Reload(instance, rng.random_bool(0.7)),
+        30..42 => {
+            Action::FailStore(rng.random_bool(0.6).then_some(instance), draw_store_fault(rng), time)
+        }
+        42..46 => Action::DropHistory,
+        46..56 => Action::FailLink(endpoint, draw_link_fault(rng), time),
+        56..68 => Action::Misbehave(endpoint, draw_behaviour(rng), time),
+        68..77 => Action::Drain(endpoint, leave_delay),
+        77..81 => Action::Deregister(endpoint, leave_delay),
+        81..88 => Action::Crash(endpoint, rng.random_bool(0.3)),
+        88..96 => Action::ChangeConfig,
+        _ => Action::Evacuate(rng.random_range(0..super::endpoints::DOMAINS.len()), time),
+    }
+}
+
+fn draw_store_fault(rng: &mut ChaCha8Rng) -> Fault {
+    match rng.random_range(0..4) {
+        0 => Fault::Refuse,
+        1 => Fault::Silent,
+        2 => Fault::Slow(Duration::from_millis(rng.random_range(50..1_500))),
+        _ => Fault::Lost,
+    }
+}
+
+fn draw_link_fault(rng: &mut ChaCha8Rng) -> Link {
+    match rng.random_range(0..7) {
+        0 => Link::Stalled,
+        1 => Link::OneWay,
+        2 => Link::Delayed(Duration::from_millis(rng.random_range(5..400))),
+        3 => Link::Reset,
+        4 => Link::Closed,
+        5 => Link::CutRequest(rng.random_range(1..300)),
+        _ => Link::CutAnswer(rng.random_range(1..900)),
+    }
+}
+
+fn draw_behaviour(rng: &mut ChaCha8Rng) -> Behaviour {
+    const ALL: [Behaviour; 12] = [
+        Behaviour::Shed,
+        Behaviour::Fail,
+        Behaviour::Close,
+        Behaviour::Truncate,
+        Behaviour::Unframed,
+        Behaviour::UnframedReset,
+        Behaviour::Extra,
+        Behaviour::Crossed,
+        Behaviour::Unsigned,
+        Behaviour::Early,
+        Behaviour::Misdirect,
+        Behaviour::Hang,
+    ];
+    match rng.random_range(0..ALL.len() + 2) {
+        n if n < ALL.len() => ALL[n],
+        n if n == ALL.len() => Behaviour::Slow(Duration::from_millis(rng.random_range(50..900))),
+        _ => Behaviour::StreamCut { events: rng.random_range(1..80) },
+    }
+}
--- a/crates/nutmeggrade-fakes/src/soak/clients.rs
+++ b/crates/nutmeggrade-fakes/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a soak.
+//! The clients of a soak.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,68 +12,74 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::instances::Instances;
-use super::ledger::{Asked, Ledger, Outcome};
+use super::records::{Outcome, Records, RequestRecord};
 use crate::site::{Answer, RawClient, request};
 
-/// How long clients wait for an answer, as they say in each request.
-const PATIENCE: Duration = Duration::from_secs(6);
-/// Time beyond it after which a client sees that no end came.
-const SLACK: Duration = Duration::from_secs(1);
-/// Time that a client gives a connection or the directory.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Longest pause between two requests of a client.
-const THINK_MS: u64 = 120;
-const PROMPT: &str = "X-Nutmeggrade-Model-Name: m\r\nX-Nutmeggrade-Token-Count: 400,480\r\n";
-/// Headers that only the system may set.
-const FORGED: &str = "X-Nutmeggrade-Pin-Ms: 9\r\nKv-From: 127.0.0.1:1/x\r\n\
+/// Deadline that clients send with each request.
+const DEADLINE: Duration = Duration::from_secs(6);
+/// Time past the deadline after which a client counts the request as timed out.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
+/// Limit on connecting, and on a directory lookup.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest pause before a client opens its next connection.
+const MAX_THINK_TIME_MS: u64 = 120;
+const PROMPT_HEADERS: &str =
+    "X-Nutmeggrade-Model-Name: m\r\nX-Nutmeggrade-Token-Count: 400,480\r\n";
+/// Headers that only the system may set; it must remove them from client requests.
+const FORGED_HEADERS: &str = "X-Nutmeggrade-Pin-Ms: 9\r\nKv-From: 127.0.0.1:1/x\r\n\
      X-Nutmeggrade-Tenant-Name: other\r\nX-Nutmeggrade-Kv-Replica: 127.0.0.1:1\r\n";
 
-/// One client, which goes on until it is told to stop.
+/// A client that sends requests until it is stopped.
 pub struct Client {
-    name: usize,
-    asked: usize,
+    number: usize,
+    request_count: usize,
     instances: Arc<Instances>,
-    ledger: Arc<Ledger>,
+    records: Arc<Records>,
     rng: ChaCha8Rng,
-    entries: Vec<SocketAddr>,
-    entries_until: Instant,
+    addresses: Vec<SocketAddr>,
+    addresses_expire: Instant,
 }
 
 impl Client {
-    /// Makes a client.
-    pub fn new(name: usize, seed: u64, instances: &Arc<Instances>, ledger: &Arc<Ledger>) -> Self {
+    /// Creates a client; its random choices depend on the seed and its number.
+    pub fn new(
+        number: usize,
+        seed: u64,
+        instances: &Arc<Instances>,
+        records: &Arc<Records>,
+    ) -> Self {
         Self {
-            name,
-            asked: 0,
+            number,
+            request_count: 0,
             instances: Arc::clone(instances),
-            ledger: Arc::clone(ledger),
-            rng: ChaCha8Rng::seed_from_u64(seed ^ ((name as u64 + 1) << 32)),
-            entries: Vec::new(),
-            entries_until: Instant::now(),
+            records: Arc::clone(records),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ ((number as u64 + 1) << 32)),
+            addresses: Vec::new(),
+            addresses_expire: Instant::now(),
         }
     }
 
-    /// Connects and asks, again and again.
+    /// Opens connections and sends up to seven requests on each, until `stop` is set.
     pub async fn run(mut self, stop: watch::Receiver<bool>) {
         while !*stop.borrow() {
-            let think = self.rng.random_range(1..THINK_MS);
-            sleep(Duration::from_millis(think)).await;
+            let think_time = self.rng.random_range(1..MAX_THINK_TIME_MS);
+            sleep(Duration::from_millis(think_time)).await;
             let Some((instance, mut connection)) = self.connect().await else { continue };
-            let most = self.rng.random_range(1..8);
-            for _ in 0..most {
-                if *stop.borrow() || !self.ask_on(instance, &mut connection).await {
+            let count = self.rng.random_range(1..8);
+            for _ in 0..count {
+                if *stop.borrow() || !self.send_random(instance, &mut connection).await {
                     break;
                 }
             }
         }
     }
 
-    /// Asks on a route until it is served, as clients do that are told to come back.
-    pub async fn until_served(&mut self, route: &'static str, most: Duration) -> bool {
-        let begun = Instant::now();
-        while begun.elapsed() < most {
+    /// Retries requests on a route until one is served; returns whether that happened in `limit`.
+    pub async fn until_served(&mut self, route: &'static str, limit: Duration) -> bool {
+        let start = Instant::now();
+        while start.elapsed() < limit {
             if let Some((instance, mut connection)) = self.connect().await {
-                let outcome = self.ask(route, "key-1", instance, &mut connection, None).await;
+                let outcome = self.exchange(route, "key-1", instance, &mut connection, None).await;
                 if outcome.is_served() {
                     return true;
                 }
@@ -83,8 +89,8 @@
         false
     }
 
-    /// Asks once on an open connection; says whether it can be used again.
-    async fn ask_on(&mut self, instance: usize, connection: &mut RawClient) -> bool {
+    /// Sends one random request on an open connection; returns whether the connection can be reused.
+    async fn send_random(&mut self, instance: usize, connection: &mut RawClient) -> bool {
         let route = match self.rng.random_range(0..100) {
             0..32 => "once",
             32..54 => "read",
@@ -93,47 +99,48 @@
             _ => "late",
         };
         let key = if self.rng.random_bool(0.06) { "key-2" } else { "key-1" };
-        let leaves = self.rng.random_bool(0.07);
-        let leaves = leaves.then(|| Duration::from_millis(self.rng.random_range(5..900)));
-        let outcome = self.ask(route, key, instance, connection, leaves).await;
+        let cancels = self.rng.random_bool(0.07);
+        let cancel_after = cancels.then(|| Duration::from_millis(self.rng.random_range(5..900)));
+        let outcome = self.exchange(route, key, instance, connection, cancel_after).await;
         match outcome {
-            Outcome::Answer(answer) => {
-                answer.is_whole && answer.message.header("connection") != Some("close")
+            Outcome::Response(response) => {
+                response.is_whole && response.message.header("connection") != Some("close")
             }
             _ => false,
         }
     }
 
-    async fn ask(
+    /// Sends a request, waits for its response and records the outcome.
+    async fn exchange(
         &mut self,
         route: &'static str,
         key: &str,
         instance: usize,
         connection: &mut RawClient,
-        leaves: Option<Duration>,
+        cancel_after: Option<Duration>,
     ) -> Outcome {
-        self.asked += 1;
-        let id = format!("c{}-{}", self.name, self.asked);
-        let mut more = format!("X-Nutmeggrade-Deadline-Ms: {}\r\n", PATIENCE.as_millis());
+        self.request_count += 1;
+        let id = format!("c{}-{}", self.number, self.request_count);
+        let mut headers = format!("X-Nutmeggrade-Deadline-Ms: {}\r\n", DEADLINE.as_millis());
         if matches!(route, "draft" | "sort") {
-            more.push_str(PROMPT);
+            headers.push_str(PROMPT_HEADERS);
         }
         if self.rng.random_bool(0.1) {
-            more.push_str(FORGED);
+            headers.push_str(FORGED_HEADERS);
         }
         let sent = Instant::now();
-        let patience = leaves.unwrap_or(PATIENCE + SLACK);
+        let limit = cancel_after.unwrap_or(DEADLINE + TIMEOUT_MARGIN);
         let exchange = async {
-            connection.send(&request(route, &id, key, &more)).await?;
+            connection.send(&request(route, &id, key, &headers)).await?;
             connection.answer().await
         };
-        let outcome = match timeout(patience, exchange).await {
-            Ok(Ok(answer)) => Outcome::Answer(answer),
-            Ok(Err(_)) => Outcome::Cut,
-            Err(_) if leaves.is_some() => Outcome::Left,
-            Err(_) => Outcome::GaveUp,
+        let outcome = match timeout(limit, exchange).await {
+            Ok(Ok(response)) => Outcome::Response(response),
+            Ok(Err(_)) => Outcome::ConnectionClosed,
+            Err(_) if cancel_after.is_some() => Outcome::Cancelled,
+            Err(_) => Outcome::TimedOut,
         };
-        self.ledger.ask(Asked {
+        self.records.add_request(RequestRecord {
             id,
             route,
             key: key.to_owned(),
@@ -145,41 +152,42 @@
         outcome
     }
 
-    /// Connects to one of the instances that the directory names.
+    /// Connects to a random instance among the addresses that the directory returned.
     async fn connect(&mut self) -> Option<(usize, RawClient)> {
-        if self.entries.is_empty() || Instant::now() >= self.entries_until {
-            let fresh = self.look_up().await;
-            // Some clients keep an answer for longer than they are told to.
-            let keep = if self.rng.random_bool(0.2) { 6 } else { 2 };
-            if let Ok(entries) = fresh {
-                self.entries = entries;
-                self.entries_until = Instant::now() + Duration::from_secs(keep);
+        if self.addresses.is_empty() || Instant::now() >= self.addresses_expire {
+            let lookup = self.look_up().await;
+            // Some clients cache addresses for longer than the directory allows.
+            let cache_seconds = if self.rng.random_bool(0.2) { 6 } else { 2 };
+            if let Ok(addresses) = lookup {
+                self.addresses = addresses;
+                self.addresses_expire = Instant::now() + Duration::from_secs(cache_seconds);
             }
         }
-        if self.entries.is_empty() {
+        if self.addresses.is_empty() {
             return None;
         }
-        let address = self.entries[self.rng.random_range(0..self.entries.len())];
+        let address = self.addresses[self.rng.random_range(0..self.addresses.len())];
         let instance = self.instances.find(address)?;
-        if let Ok(Ok(connection)) = timeout(CONNECT, RawClient::connect(address)).await {
+        if let Ok(Ok(connection)) = timeout(CONNECT_TIMEOUT, RawClient::connect(address)).await {
             return Some((instance, connection));
         }
-        self.entries.retain(|e| *e != address);
+        self.addresses.retain(|a| *a != address);
         None
     }
 
     async fn look_up(&mut self) -> anyhow::Result<Vec<SocketAddr>> {
-        let asked = self.instances.directory(self.rng.random_range(0..self.instances.count()));
+        let directory = self.instances.directory(self.rng.random_range(0..self.instances.count()));
         let exchange = async {
-            let mut client = RawClient::connect(asked).await?;
+            let mut client = RawClient::connect(directory).await?;
             let query = "name=desk.example&region=x&zone=veluwe";
             client
                 .send(&format!("GET /nutmeggrade/resolution?{query} HTTP/1.1\r\nHost: x\r\n\r\n"))
                 .await?;
             client.answer().await
         };
-        let Answer { message, .. } = timeout(CONNECT, exchange).await.context("no directory")??;
-        let body: Value = serde_json::from_slice(&message.body).context("directory's answer")?;
+        let Answer { message, .. } =
+            timeout(CONNECT_TIMEOUT, exchange).await.context("directory lookup timed out")??;
+        let body: Value = serde_json::from_slice(&message.body).context("directory response")?;
         serde_json::from_value(body["addresses"].clone()).context("addresses")
     }
 }
--- /dev/null
+++ b/crates/nutmeggrade-fakes/src/soak/endpoints.rs
@@ -0,0 +1,244 @@
+//! The simulated endpoints of a soak and their successive incarnations.
+
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use tokio::time::{Instant, sleep};
+
+use crate::relay::{Link, Relay};
+use crate::site::{Behaviour, Endpoint, Entry, Generations, Store};
+
+/// Names of the failure domains.
+pub const DOMAINS: [&str; 3] = ["veluwe", "utrechtse-heuvelrug", "gooi"];
+/// Number of events in each stream.
+pub const EVENTS_PER_STREAM: u64 = 120;
+/// Pause before each event: a stream takes nearly two seconds, as long as the shortest leave notice.
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
+/// Time after which the entry of a crashed endpoint expires.
+const ENTRY_EXPIRY: Duration = Duration::from_millis(1_200);
+/// Delay before a replacement endpoint starts.
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(500);
+/// Time for which a new engine is cold.
+const COLD_START: Duration = Duration::from_secs(1);
+
+/// One incarnation of an endpoint, from its start to its exit.
+#[derive(Debug, Clone)]
+pub struct Incarnation {
+    /// The simulated endpoint.
+    pub endpoint: Endpoint,
+    /// Name of its failure domain.
+    pub domain: &'static str,
+    /// When the store recorded that it leaves.
+    pub left_at: Option<Instant>,
+    /// When its cold start ends, if it has one.
+    pub cold_until: Option<Instant>,
+    /// Periods in which it or its link was faulty.
+    pub faults: Vec<(Instant, Instant)>,
+}
+
+impl Incarnation {
+    /// Returns whether the endpoint and its link had no fault in a period.
+    pub fn is_healthy(&self, start: Instant, end: Instant) -> bool {
+        !self.faults.iter().any(|(from, until)| *from <= end && *until >= start)
+    }
+}
+
+struct Slot {
+    service: &'static str,
+    domain: &'static str,
+    incarnation: usize,
+    relay: Arc<Relay>,
+    is_replacing: bool,
+}
+
+/// The endpoints of a soak, by slot; each slot holds one running incarnation at a time.
+pub struct SoakEndpoints {
+    store: Store,
+    generations: Generations,
+    slots: Mutex<Vec<Slot>>,
+    incarnations: Mutex<Vec<Incarnation>>,
+}
+
+impl SoakEndpoints {
+    /// Starts one endpoint in each slot, the engines first.
+    pub async fn start(store: &Store, engines: usize, services: usize) -> anyhow::Result<Self> {
+        let endpoints = Self {
+            store: store.clone(),
+            generations: Generations::default(),
+            slots: Mutex::default(),
+            incarnations: Mutex::default(),
+        };
+        for n in 0..engines + services {
+            let service = if n < engines { "writers" } else { "desk" };
+            let domain = DOMAINS[n % DOMAINS.len()];
+            let (incarnation, relay) =
+                endpoints.start_incarnation(n, service, domain, None, Duration::ZERO).await?;
+            let relay = Arc::new(relay);
+            lock(&endpoints.slots).push(Slot {
+                service,
+                domain,
+                incarnation,
+                relay,
+                is_replacing: false,
+            });
+        }
+        Ok(endpoints)
+    }
+
+    /// Returns all incarnations, including those that have ended.
+    pub fn incarnations(&self) -> Vec<Incarnation> {
+        lock(&self.incarnations).clone()
+    }
+
+    /// Applies a link fault to an endpoint for the given time.
+    pub async fn fail_link(&self, slot: usize, link: Link, time: Duration) {
+        let (incarnation, relay) = {
+            let slots = lock(&self.slots);
+            (slots[slot].incarnation, Arc::clone(&slots[slot].relay))
+        };
+        self.add_fault(incarnation, time);
+        relay.set(link);
+        sleep(time).await;
+        relay.set(Link::Open);
+    }
+
+    /// Sets an endpoint's behaviour for the given time.
+    pub async fn misbehave(&self, slot: usize, behaviour: Behaviour, time: Duration) {
+        let (incarnation, service) = {
+            let slots = lock(&self.slots);
+            (slots[slot].incarnation, slots[slot].service)
+        };
+        self.add_fault(incarnation, time);
+        let endpoint = lock(&self.incarnations)[incarnation].endpoint.clone();
+        endpoint.set(behaviour);
+        sleep(time).await;
+        endpoint.set(normal_behaviour(service));
+    }
+
+    /// Removes an endpoint, with or without a leave notice, ends it after a delay and replaces it.
+    pub async fn leave(
+        &self,
+        slot: usize,
+        is_announced: bool,
+        leave_delay: Duration,
+    ) -> anyhow::Result<()> {
+        let Some(incarnation) = self.claim_slot(slot) else { return Ok(()) };
+        let (id, entry) = self.entry(slot);
+        let endpoint = lock(&self.incarnations)[incarnation].endpoint.clone();
+        if is_announced {
+            endpoint.leave_in(leave_delay);
+            self.store.put("servers", &id, entry.with_leaving(true).content());
+        } else {
+            self.store.remove("servers", &id);
+        }
+        lock(&self.incarnations)[incarnation].left_at = Some(Instant::now());
+        sleep(leave_delay).await;
+        self.terminate(incarnation, &endpoint);
+        self.store.remove("servers", &id);
+        sleep(REPLACEMENT_DELAY).await;
+        self.replace(slot, None).await
+    }
+
+    /// Crashes an endpoint and replaces it under its old id or a new one.
+    pub async fn crash(&self, slot: usize, keeps_id: bool) -> anyhow::Result<()> {
+        let Some(incarnation) = self.claim_slot(slot) else { return Ok(()) };
+        let (id, _) = self.entry(slot);
+        let endpoint = lock(&self.incarnations)[incarnation].endpoint.clone();
+        self.terminate(incarnation, &endpoint);
+        sleep(ENTRY_EXPIRY).await;
+        if !keeps_id {
+            self.store.remove("servers", &id);
+            lock(&self.incarnations)[incarnation].left_at = Some(Instant::now());
+        }
+        sleep(REPLACEMENT_DELAY).await;
+        self.replace(slot, keeps_id.then_some(id)).await
+    }
+
+    /// Ends an incarnation and records it as faulty from that moment on.
+    fn terminate(&self, incarnation: usize, endpoint: &Endpoint) {
+        self.add_fault(incarnation, Duration::from_hours(1));
+        endpoint.kill();
+    }
+
+    /// Claims a slot's endpoint for replacement, unless it is already being replaced.
+    fn claim_slot(&self, slot: usize) -> Option<usize> {
+        let mut slots = lock(&self.slots);
+        let is_free = !slots[slot].is_replacing;
+        slots[slot].is_replacing = true;
+        is_free.then_some(slots[slot].incarnation)
+    }
+
+    fn entry(&self, slot: usize) -> (String, Entry) {
+        let slots = lock(&self.slots);
+        let slot = &slots[slot];
+        let id = lock(&self.incarnations)[slot.incarnation].endpoint.id().to_owned();
+        let mut entry = Entry::new(slot.service, slot.relay.address);
+        slot.domain.clone_into(&mut entry.domain);
+        entry.born = slot.incarnation as u64 + 1;
+        (id, entry)
+    }
+
+    async fn replace(&self, slot: usize, id: Option<String>) -> anyhow::Result<()> {
+        let (service, domain) = {
+            let slots = lock(&self.slots);
+            (slots[slot].service, slots[slot].domain)
+        };
+        let cold = if service == "writers" { COLD_START } else { Duration::ZERO };
+        let (incarnation, relay) = self.start_incarnation(slot, service, domain, id, cold).await?;
+        let mut slots = lock(&self.slots);
+        slots[slot].incarnation = incarnation;
+        slots[slot].relay = Arc::new(relay);
+        slots[slot].is_replacing = false;
+        Ok(())
+    }
+
+    async fn start_incarnation(
+        &self,
+        slot: usize,
+        service: &'static str,
+        domain: &'static str,
+        id: Option<String>,
+        cold: Duration,
+    ) -> anyhow::Result<(usize, Relay)> {
+        let number = lock(&self.incarnations).len();
+        let id = id.unwrap_or_else(|| format!("e-{slot}-{number}"));
+        let endpoint = Endpoint::start(&id, normal_behaviour(service), &self.generations).await?;
+        let relay = Relay::start(endpoint.address).await?;
+        endpoint.show_as(relay.address);
+        let cold_until = (!cold.is_zero()).then(|| Instant::now() + cold);
+        let incarnation = {
+            let mut incarnations = lock(&self.incarnations);
+            incarnations.push(Incarnation {
+                endpoint,
+                domain,
+                left_at: None,
+                cold_until,
+                faults: Vec::new(),
+            });
+            incarnations.len() - 1
+        };
+        let mut entry = Entry::new(service, relay.address);
+        domain.clone_into(&mut entry.domain);
+        entry.cold_ms = u64::try_from(cold.as_millis())?;
+        entry.born = incarnation as u64 + 1;
+        self.store.put("servers", &id, entry.content());
+        Ok((incarnation, relay))
+    }
+
+    fn add_fault(&self, incarnation: usize, time: Duration) {
+        let now = Instant::now();
+        lock(&self.incarnations)[incarnation].faults.push((now, now + time));
+    }
+}
+
+/// Returns the behaviour of a healthy endpoint.
+const fn normal_behaviour(service: &str) -> Behaviour {
+    match service.as_bytes() {
+        b"writers" => Behaviour::Stream { events: EVENTS_PER_STREAM, pause: EVENT_INTERVAL },
+        _ => Behaviour::Answer,
+    }
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- a/crates/nutmeggrade-fakes/src/soak/instances.rs
+++ b/crates/nutmeggrade-fakes/src/soak/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of a soak: real processes, and their signals.
+//! The instances of a soak: real processes, started, signalled and killed.
 
 use std::fmt::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
@@ -13,69 +13,75 @@
 use tokio::sync::Mutex;
 use tokio::time::{Instant, sleep};
 
-use super::ledger::{Cause, Ledger};
-use super::lives::DOMAINS;
+use super::endpoints::DOMAINS;
+use super::records::{DisturbanceKind, Records};
 use crate::fleet::{Process, logs, programs};
 use crate::http::send;
 use crate::site::{Door, Fault, Store};
 
-/// Time from SIGTERM until the process is killed.
-const GRACE: Duration = Duration::from_secs(4);
-/// Time beyond it that a busy machine takes to see the process end.
-const SLACK: Duration = Duration::from_secs(1);
-/// Time after a SIGTERM after which it is sent again, with a SIGHUP before it.
-const REPEAT: Duration = Duration::from_millis(700);
-/// Pause before a process is started again.
-const RESTART: Duration = Duration::from_millis(300);
-const POLL: Duration = Duration::from_millis(20);
-const START: Duration = Duration::from_secs(30);
-/// Addresses that one soak may use; soaks of the same process have each their own.
-const ADDRESSES: u8 = 16;
-/// What an instance listens for, as its settings call it.
+/// Grace period in the instances' settings: the time from SIGTERM to the process's exit.
+const GRACE_PERIOD: Duration = Duration::from_secs(4);
+/// Time beyond the grace period that a busy machine takes to report the exit.
+const EXIT_MARGIN: Duration = Duration::from_secs(1);
+/// Time after SIGTERM at which SIGHUP and a second SIGTERM are sent.
+const SIGNAL_REPEAT_DELAY: Duration = Duration::from_millis(700);
+/// Delay before a process is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of addresses reserved for one soak, so that concurrent soaks of one process don't overlap.
+const ADDRESSES_PER_SOAK: u8 = 16;
+/// Listeners of an instance, by the names in its settings.
 const LISTENERS: [&str; 6] = ["CLIENT", "READY", "DIRECTORY", "CONTROL", "BEACON", "METRICS"];
-const READY: usize = 1;
-const DIRECTORY: usize = 2;
-const CONTROL: usize = 3;
-const METRICS: usize = 5;
+const READY_LISTENER: usize = 1;
+const DIRECTORY_LISTENER: usize = 2;
+const CONTROL_LISTENER: usize = 3;
+const METRICS_LISTENER: usize = 5;
 
-static SOAKS: AtomicU8 = AtomicU8::new(0);
+static SOAK_COUNT: AtomicU8 = AtomicU8::new(0);
 
-/// The ports of all instances; they are the same on each, as on the users' machines.
+/// The ports of the listeners, the same on every instance, as in the users' deployment.
 #[derive(Debug, Clone, Copy)]
 struct Ports([u16; LISTENERS.len()]);
 
-/// One instance.
+/// The address, settings and process of one instance.
 #[derive(Debug)]
-struct Host {
+struct InstanceHost {
     name: String,
     ip: Ipv4Addr,
-    door: Door,
-    settings: PathBuf,
+    store_access: Door,
+    settings_file: PathBuf,
     process: Mutex<Option<Process>>,
 }
 
 /// The instances of a soak.
 #[derive(Debug)]
 pub struct Instances {
-    hosts: Vec<Host>,
+    hosts: Vec<InstanceHost>,
     ports: Ports,
     log: PathBuf,
 }
 
 impl Instances {
-    /// Starts so many instances and waits until each is ready.
+    /// Starts `count` instances and waits until each is ready.
     pub async fn start(store: &Store, count: usize, seed: u64) -> anyhow::Result<Self> {
-        let base = base();
+        let base = address_base();
         let ports = Ports::choose(base)?;
-        let folder = logs()?;
-        let log = folder.join(format!("soak-{seed}.log"));
+        let directory = logs()?;
+        let log = directory.join(format!("soak-{seed}.log"));
         let mut hosts = Vec::new();
         for n in 0..count {
             let name = format!("i-{n}");
-            let settings = folder.join(format!("soak-{seed}-{name}.env"));
-            let ip = host(base, n)?;
-            let door = store.door().await?;
-            hosts.push(Host { name, ip, door, settings, process: Mutex::default() });
+            let settings_file = directory.join(format!("soak-{seed}-{name}.env"));
+            let ip = instance_ip(base, n)?;
+            let store_access = store.door().await?;
+            hosts.push(InstanceHost {
+                name,
+                ip,
+                store_access,
+                settings_file,
+                process: Mutex::default(),
+            });
         }
         let instances = Self { hosts, ports, log };
         for n in 0..count {
@@ -88,32 +94,32 @@
         Ok(instances)
     }
 
-    /// Counts them.
+    /// Returns the number of instances.
     pub fn count(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Returns where the log of all of them is.
+    /// Returns the path of the log file that all instances write to.
     pub const fn log(&self) -> &PathBuf {
         &self.log
     }
 
-    /// Returns where clients ask for instances.
+    /// Returns the address of an instance's directory listener.
     pub fn directory(&self, n: usize) -> SocketAddr {
-        self.address(n, DIRECTORY)
+        self.address(n, DIRECTORY_LISTENER)
     }
 
-    /// Returns which instance has an address.
+    /// Returns the index of the instance with an address.
     pub fn find(&self, address: SocketAddr) -> Option<usize> {
         self.hosts.iter().position(|h| IpAddr::V4(h.ip) == address.ip())
     }
 
-    /// Kills an instance and starts it again after a while.
-    pub async fn kill(&self, n: usize, down: Duration, ledger: &Ledger) -> anyhow::Result<()> {
+    /// Kills an instance and starts it again after `down`.
+    pub async fn kill(&self, n: usize, down: Duration, records: &Records) -> anyhow::Result<()> {
         let mut process = self.hosts[n].process.lock().await;
-        ledger.trouble(n, Cause::Process, down + RESTART);
+        records.add_disturbance(n, DisturbanceKind::Process, down + RESTART_DELAY);
         if let Some(mut running) = process.take() {
-            check_lives(&mut running, ledger)?;
+            check_running(&mut running, records)?;
             running.kill()?;
         }
         sleep(down).await;
@@ -121,117 +127,129 @@
         Ok(())
     }
 
-    /// Has an instance stand still for a while.
-    pub async fn pause(&self, n: usize, time: Duration, ledger: &Ledger) -> anyhow::Result<()> {
+    /// Suspends an instance for the given time.
+    pub async fn pause(&self, n: usize, time: Duration, records: &Records) -> anyhow::Result<()> {
         let process = self.hosts[n].process.lock().await;
         let Some(running) = process.as_ref() else { return Ok(()) };
-        ledger.trouble(n, Cause::Process, time);
+        records.add_disturbance(n, DisturbanceKind::Process, time);
         running.signal(Signal::SIGSTOP)?;
         sleep(time).await;
         running.signal(Signal::SIGCONT)
     }
 
-    /// Stops an instance as planned and starts it again.
-    pub async fn stop(&self, n: usize, ledger: &Ledger) -> anyhow::Result<()> {
+    /// Stops an instance gracefully and starts it again.
+    pub async fn stop(&self, n: usize, records: &Records) -> anyhow::Result<()> {
         let mut process = self.hosts[n].process.lock().await;
-        ledger.trouble(n, Cause::Stop, GRACE + RESTART);
+        records.add_disturbance(n, DisturbanceKind::Stop, GRACE_PERIOD + RESTART_DELAY);
         if let Some(mut running) = process.take() {
-            check_lives(&mut running, ledger)?;
-            end(running, ledger).await?;
+            check_running(&mut running, records)?;
+            terminate(running, records).await?;
         }
-        sleep(RESTART).await;
+        sleep(RESTART_DELAY).await;
         *process = Some(self.spawn(n).await?);
         Ok(())
     }
 
-    /// Stops all instances as planned, for good.
-    pub async fn stop_all(&self, ledger: &Ledger) -> anyhow::Result<()> {
-        let stop = async |host: &Host| match host.process.lock().await.take() {
-            Some(running) => end(running, ledger).await,
+    /// Stops all instances gracefully.
+    pub async fn stop_all(&self, records: &Records) -> anyhow::Result<()> {
+        let stop = async |host: &InstanceHost| match host.process.lock().await.take() {
+            Some(running) => terminate(running, records).await,
             None => Ok(()),
         };
         futures::future::try_join_all(self.hosts.iter().map(stop)).await.map(drop)
     }
 
-    /// Changes an instance's settings, with a signal or without.
-    pub async fn reload(&self, n: usize, is_told: bool, ledger: &Ledger) -> anyhow::Result<()> {
+    /// Changes an instance's settings file and, if `is_signalled`, sends SIGHUP.
+    pub async fn reload(
+        &self,
+        n: usize,
+        is_signalled: bool,
+        records: &Records,
+    ) -> anyhow::Result<()> {
         let process = self.hosts[n].process.lock().await;
         let Some(running) = process.as_ref() else { return Ok(()) };
-        ledger.trouble(n, Cause::Reload, Duration::from_millis(500));
+        records.add_disturbance(n, DisturbanceKind::Reload, Duration::from_millis(500));
         self.write_settings(n, 1)?;
-        if is_told {
+        if is_signalled {
             running.signal(Signal::SIGHUP)?;
         }
         Ok(())
     }
 
-    /// Has the store treat one instance, or all, badly for a while.
+    /// Applies a store fault to one instance, or to all, for the given time.
     pub async fn fail_store(
         &self,
         only: Option<usize>,
         fault: Fault,
         time: Duration,
-        ledger: &Ledger,
+        records: &Records,
     ) {
-        let hit: Vec<usize> =
+        let affected: Vec<usize> =
             (0..self.hosts.len()).filter(|n| only.is_none_or(|o| o == *n)).collect();
-        for n in &hit {
-            ledger.trouble(*n, Cause::Store, time);
-            self.hosts[*n].door.set(fault);
+        for n in &affected {
+            records.add_disturbance(*n, DisturbanceKind::Store, time);
+            self.hosts[*n].store_access.set(fault);
         }
         sleep(time).await;
-        for n in &hit {
-            self.hosts[*n].door.set(Fault::None);
+        for n in &affected {
+            self.hosts[*n].store_access.set(Fault::None);
         }
     }
 
     /// Reads the metrics of an instance.
     pub async fn metrics(&self, n: usize) -> anyhow::Result<String> {
         let (_, text) =
-            send(self.address(n, METRICS), Method::GET, "/metrics", &[], Vec::new()).await?;
+            send(self.address(n, METRICS_LISTENER), Method::GET, "/metrics", &[], Vec::new())
+                .await?;
         Ok(String::from_utf8_lossy(&text).into_owned())
     }
 
     /// Waits until an instance is ready.
     pub async fn ready(&self, n: usize) -> anyhow::Result<()> {
-        let begun = Instant::now();
-        while begun.elapsed() < START {
+        let start = Instant::now();
+        while start.elapsed() < START_TIMEOUT {
             let path = "/nutmeggrade/readiness";
-            let got = send(self.address(n, READY), Method::GET, path, &[], Vec::new()).await;
-            if got.is_ok_and(|(status, _)| status.is_success()) {
+            let response =
+                send(self.address(n, READY_LISTENER), Method::GET, path, &[], Vec::new()).await;
+            if response.is_ok_and(|(status, _)| status.is_success()) {
                 return Ok(());
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
-        anyhow::bail!("{} never became ready", self.hosts[n].name)
+        anyhow::bail!("{} did not become ready", self.hosts[n].name)
     }
 
-    fn address(&self, n: usize, port: usize) -> SocketAddr {
-        SocketAddr::new(IpAddr::V4(self.hosts[n].ip), self.ports.0[port])
+    fn address(&self, n: usize, listener: usize) -> SocketAddr {
+        SocketAddr::new(IpAddr::V4(self.hosts[n].ip), self.ports.0[listener])
     }
 
-    /// Starts an instance and waits until it listens: before that it is being loaded, and a signal
-    /// ends it whatever its code does.
+    /// Starts an instance and waits until it listens: until it has installed its signal handlers, any
+    /// signal ends the process.
     async fn spawn(&self, n: usize) -> anyhow::Result<Process> {
         self.write_settings(n, 0)?;
         let host = &self.hosts[n];
-        let path = host.settings.to_str().context("path of the settings")?;
+        let path = host.settings_file.to_str().context("path of the settings file")?;
         let program = programs()?.join("nutmeggrade");
         let variables = [("NUTMEGGRADE_BOOT", path)];
         let args = ["relay".to_owned()];
         let process = Process::start_logged(&host.name, &program, &args, &variables, &self.log)?;
-        let begun = Instant::now();
-        while TcpStream::connect(self.address(n, READY)).await.is_err() {
-            anyhow::ensure!(begun.elapsed() < START, "{} does not listen", host.name);
-            sleep(POLL).await;
+        let start = Instant::now();
+        while TcpStream::connect(self.address(n, READY_LISTENER)).await.is_err() {
+            anyhow::ensure!(
+                start.elapsed() < START_TIMEOUT,
+                "{} does not accept connections",
+                host.name
+            );
+            sleep(POLL_INTERVAL).await;
         }
         Ok(process)
     }
 
-    fn write_settings(&self, n: usize, change: u32) -> anyhow::Result<()> {
+    fn write_settings(&self, n: usize, resend_increment: u32) -> anyhow::Result<()> {
         let host = &self.hosts[n];
-        let seeds: Vec<String> =
-            (0..self.hosts.len().min(3)).map(|s| self.address(s, CONTROL).to_string()).collect();
+        let seeds: Vec<String> = (0..self.hosts.len().min(3))
+            .map(|s| self.address(s, CONTROL_LISTENER).to_string())
+            .collect();
         let mut text = format!(
             "NUTMEGGRADE_INSTANCE={}\nNUTMEGGRADE_DOMAIN={}\nNUTMEGGRADE_PLATFORM={}\n\
              NUTMEGGRADE_SEEDS={}\nNUTMEGGRADE_GRACE={}\nNUTMEGGRADE_RESEND_RATIO=0.2\n\
@@ -239,86 +257,91 @@
              NUTMEGGRADE_COLD_TOLERANCE=5\n",
             host.name,
             DOMAINS[n % DOMAINS.len()],
-            host.door.address,
+            host.store_access.address,
             seeds.join(","),
-            GRACE.as_secs(),
-            54 + change,
+            GRACE_PERIOD.as_secs(),
+            54 + resend_increment,
         );
-        for (port, name) in LISTENERS.iter().enumerate() {
-            writeln!(text, "NUTMEGGRADE_{name}_ADDRESS={}", self.address(n, port))?;
+        for (listener, name) in LISTENERS.iter().enumerate() {
+            writeln!(text, "NUTMEGGRADE_{name}_ADDRESS={}", self.address(n, listener))?;
         }
-        // Readers must never find half of it.
-        let fresh = host.settings.with_extension("new");
-        std::fs::write(&fresh, text).context("write settings")?;
-        std::fs::rename(&fresh, &host.settings).context("put settings in place")
+        // Replaced atomically: readers never see a partly written file.
+        let new_file = host.settings_file.with_extension("new");
+        std::fs::write(&new_file, text).context("write settings file")?;
+        std::fs::rename(&new_file, &host.settings_file).context("replace settings file")
     }
 }
 
-/// Notes it if a process ended without being told to.
-fn check_lives(process: &mut Process, ledger: &Ledger) -> anyhow::Result<()> {
+/// Records a violation if a process has ended without a signal.
+fn check_running(process: &mut Process, records: &Records) -> anyhow::Result<()> {
     if let Some(status) = process.ended()? {
-        ledger.broken(format!("{} ended by itself: {status}", process.name));
+        records.add_violation(format!("{} ended without a signal: {status}", process.name));
     }
     Ok(())
 }
 
-async fn end(mut process: Process, ledger: &Ledger) -> anyhow::Result<()> {
+/// Stops a process gracefully, with repeated signals, and records a violation if it fails to exit.
+async fn terminate(mut process: Process, records: &Records) -> anyhow::Result<()> {
     process.signal(Signal::SIGTERM)?;
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut is_repeated = false;
-    while begun.elapsed() < GRACE + SLACK {
-        if begun.elapsed() > REPEAT && !is_repeated {
+    while start.elapsed() < GRACE_PERIOD + EXIT_MARGIN {
+        if start.elapsed() > SIGNAL_REPEAT_DELAY && !is_repeated {
             is_repeated = true;
-            // It may end in this moment.
+            // The process may have ended just before; a failed signal is no error.
             drop(process.signal(Signal::SIGHUP));
             drop(process.signal(Signal::SIGTERM));
         }
         if let Some(status) = process.ended()? {
             if !status.success() {
-                ledger.broken(format!("{} ended with {status} when stopped", process.name));
+                records
+                    .add_violation(format!("{} exited with {status} after SIGTERM", process.name));
             }
             return Ok(());
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
-    ledger.broken(format!("{} still ran {SLACK:?} after its grace", process.name));
+    records.add_violation(format!(
+        "{} still ran {EXIT_MARGIN:?} after its grace period",
+        process.name
+    ));
     process.kill()
 }
 
-/// Returns the first bytes of the addresses of this soak: all of 127.0.0.0/8 is this machine.
-fn base() -> [u8; 3] {
+/// Returns the last three bytes of this soak's base address in 127.0.0.0/8, which is all loopback.
+fn address_base() -> [u8; 3] {
     let pid = std::process::id().to_be_bytes();
-    let soak = SOAKS.fetch_add(1, Ordering::Relaxed) % (u8::MAX / ADDRESSES);
-    [pid[2].max(1), pid[3], soak * ADDRESSES]
+    let number = SOAK_COUNT.fetch_add(1, Ordering::Relaxed) % (u8::MAX / ADDRESSES_PER_SOAK);
+    [pid[2].max(1), pid[3], number * ADDRESSES_PER_SOAK]
 }
 
-fn host(base: [u8; 3], n: usize) -> anyhow::Result<Ipv4Addr> {
-    let last = u8::try_from(n + 1).context("too many instances")?;
-    anyhow::ensure!(last < ADDRESSES, "too many instances");
-    Ok(Ipv4Addr::new(127, base[0], base[1], base[2] + last))
+fn instance_ip(base: [u8; 3], n: usize) -> anyhow::Result<Ipv4Addr> {
+    let offset = u8::try_from(n + 1).context("too many instances")?;
+    anyhow::ensure!(offset < ADDRESSES_PER_SOAK, "too many instances");
+    Ok(Ipv4Addr::new(127, base[0], base[1], base[2] + offset))
 }
 
 impl Ports {
-    /// Takes ports that the system has free at the first address.
+    /// Chooses ports that are free at the first address.
     fn choose(base: [u8; 3]) -> anyhow::Result<Self> {
-        let ip = IpAddr::V4(host(base, 0)?);
-        // Held until all are chosen, so that each is another one.
+        let ip = IpAddr::V4(instance_ip(base, 0)?);
+        // The sockets stay bound until all ports are chosen, so that the ports differ.
         let mut sockets = Vec::new();
         let mut listeners = Vec::new();
         let mut ports = [0; LISTENERS.len()];
         for (port, name) in ports.iter_mut().zip(LISTENERS) {
-            let taken = if name == "BEACON" {
-                let socket = UdpSocket::bind((ip, 0)).context("find a port")?;
+            let free_port = if name == "BEACON" {
+                let socket = UdpSocket::bind((ip, 0)).context("find a free port")?;
                 let port = socket.local_addr()?.port();
                 sockets.push(socket);
                 port
             } else {
-                let listener = TcpListener::bind((ip, 0)).context("find a port")?;
+                let listener = TcpListener::bind((ip, 0)).context("find a free port")?;
                 let port = listener.local_addr()?.port();
                 listeners.push(listener);
                 port
             };
-            *port = taken;
+            *port = free_port;
         }
         Ok(Self(ports))
     }
--- a/crates/nutmeggrade-fakes/src/soak/operator.rs
+++ b/crates/nutmeggrade-fakes/src/soak/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do in a soak.
+//! Configuration changes and evacuations during a soak.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -7,68 +7,68 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
-use super::ledger::{Absence, Ledger, Version};
-use super::lives::DOMAINS;
+use super::endpoints::DOMAINS;
+use super::records::{ConfigVersion, Evacuation, Records};
 use crate::site::{RoutingPlan, Store};
 
-/// Versions go up in steps of up to so many.
-const STEP: u64 = 3;
+/// Largest step between two consecutive configuration versions.
+const MAX_VERSION_STEP: u64 = 3;
 
-/// Writes configurations and takes failure domains out.
+/// Writes configurations and evacuates failure domains.
 #[derive(Debug)]
 pub struct Operator {
     store: Store,
     plan: Mutex<RoutingPlan>,
-    is_out: AtomicBool,
+    is_evacuating: AtomicBool,
 }
 
 impl Operator {
     /// Writes the first configuration.
-    pub fn start(store: &Store, ledger: &Ledger) -> Self {
+    pub fn start(store: &Store, records: &Records) -> Self {
         let plan = RoutingPlan { timeout_ms: 8_000, has_late: true, ..RoutingPlan::default() };
         let operator = Self {
             store: store.clone(),
             plan: Mutex::new(plan.clone()),
-            is_out: AtomicBool::new(false),
+            is_evacuating: AtomicBool::new(false),
         };
-        operator.write(&plan, ledger);
+        operator.write(&plan, records);
         operator
     }
 
-    /// Writes a configuration in which the route `/late/` and the second key came or went.
-    pub fn change(&self, ledger: &Ledger) {
+    /// Writes a configuration that toggles the route `/late/` and the second key.
+    pub fn change(&self, records: &Records) {
         let plan = {
             let mut plan = self.plan.lock().unwrap_or_else(PoisonError::into_inner);
-            plan.version += 1 + plan.version % STEP;
+            plan.version += 1 + plan.version % MAX_VERSION_STEP;
             plan.has_late = !plan.has_late;
-            let with_second = plan.version.is_multiple_of(2);
+            let has_second_key = plan.version.is_multiple_of(2);
             plan.keys.truncate(1);
-            if with_second {
+            if has_second_key {
                 plan.keys.push("key-2".to_owned());
             }
             plan.clone()
         };
-        self.write(&plan, ledger);
+        self.write(&plan, records);
     }
 
-    /// Takes a failure domain out for a while, unless one is out already.
-    pub async fn take_out(&self, domain: usize, time: Duration, ledger: &Ledger) {
+    /// Evacuates a failure domain for a limited time; does nothing while an evacuation is active.
+    pub async fn evacuate(&self, domain: usize, time: Duration, records: &Records) {
         let domain = DOMAINS[domain];
-        if self.is_out.swap(true, Ordering::Relaxed) {
+        if self.is_evacuating.swap(true, Ordering::Relaxed) {
             return;
         }
         self.store.put("evacuations", domain, json!({}));
-        let from = Instant::now();
-        // Longer than it takes to be in force, or there would be nothing to check.
+        let start = Instant::now();
+        // Longer than an evacuation takes to apply; otherwise nothing would be checked.
         sleep(time + Duration::from_secs(3)).await;
-        ledger.absence(Absence { domain, from, until: Instant::now() });
+        records.add_evacuation(Evacuation { domain, start, end: Instant::now() });
         self.store.remove("evacuations", domain);
-        self.is_out.store(false, Ordering::Relaxed);
+        self.is_evacuating.store(false, Ordering::Relaxed);
     }
 
-    fn write(&self, plan: &RoutingPlan, ledger: &Ledger) {
+    fn write(&self, plan: &RoutingPlan, records: &Records) {
         self.store.put("config", "main", plan.content());
         let (number, has_late, keys) = (plan.version, plan.has_late, plan.keys.clone());
-        ledger.version(Version { at: Instant::now(), number, has_late, keys });
+        records.add_config_version(ConfigVersion { at: Instant::now(), number, has_late, keys });
     }
 }
--- a/crates/nutmeggrade-fakes/src/soak/plan.rs
+++ b/crates/nutmeggrade-fakes/src/soak/plan.rs
@@ -1,32 +1,33 @@
-//! How long and with how many of what a soak runs.
+//! The size, duration and seed of a soak.
 
 use std::time::Duration;
 
-/// How long and with how many of what a soak runs.
+/// The size, duration and seed of a soak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Plan {
-    /// Decides all that is drawn.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Time in which faults begin.
+    /// Period in which faults are started.
     pub length: Duration,
-    /// Instances of nutmeggrade; fifteen at most.
+    /// Number of nutmeggrade instances; at most 15.
     pub instances: usize,
-    /// Model engines.
+    /// Number of inference engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of plain service endpoints.
     pub services: usize,
-    /// Clients.
+    /// Number of clients.
     pub clients: usize,
-    /// Mean time between two faults, in milliseconds. They last up to four seconds: by default several
-    /// overlap, and with long gaps instances are calm for long enough to be held to times.
+    /// Mean time between the starts of two faults, in milliseconds. Faults last up to four seconds: by
+    /// default several overlap; with long gaps, instances are free of faults for long enough that the
+    /// time limits apply to them.
     pub gap_ms: u64,
-    /// Whether promises that name a time are checked. They say nothing on a machine that is too
-    /// busy to run everybody in time.
+    /// Whether guarantees with a time limit are checked. On an overloaded machine, processes are
+    /// scheduled too late for these checks to be meaningful.
     pub is_timed: bool,
 }
 
 impl Plan {
-    /// Makes the plan of a seed: four instances, four engines, two services, twelve seconds.
+    /// Creates the default plan for a seed: four instances, four engines, two services, twelve seconds.
     pub const fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -40,14 +41,14 @@
         }
     }
 
-    /// Sets the time in which faults begin.
+    /// Sets the period in which faults are started.
     #[must_use]
     pub const fn with_length(mut self, length: Duration) -> Self {
         self.length = length;
         self
     }
 
-    /// Sets the number of instances; clients grow with them.
+    /// Sets the number of instances and four times as many clients.
     #[must_use]
     pub const fn with_instances(mut self, instances: usize) -> Self {
         self.instances = instances;
@@ -55,14 +56,14 @@
         self
     }
 
-    /// Sets the mean time between two faults, in milliseconds.
+    /// Sets the mean time between the starts of two faults, in milliseconds.
     #[must_use]
     pub const fn with_gap(mut self, gap_ms: u64) -> Self {
         self.gap_ms = gap_ms;
         self
     }
 
-    /// Leaves out promises that name a time.
+    /// Disables the checks of guarantees with a time limit.
     #[must_use]
     pub const fn untimed(mut self) -> Self {
         self.is_timed = false;
--- /dev/null
+++ b/crates/nutmeggrade-fakes/src/soak/records.rs
@@ -0,0 +1,175 @@
+//! Records of the requests, faults and operator actions of a soak.
+
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+use tokio::time::{Duration, Instant};
+
+use crate::site::Answer;
+
+/// The outcome of a request as its client saw it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Outcome {
+    /// A response, complete or not.
+    Response(Answer),
+    /// The connection ended before a response head arrived.
+    ConnectionClosed,
+    /// The response was not complete within the client's timeout.
+    TimedOut,
+    /// The client closed the connection on purpose.
+    Cancelled,
+}
+
+impl Outcome {
+    /// Returns whether the client got a complete successful response.
+    pub fn is_served(&self) -> bool {
+        matches!(self, Self::Response(a) if a.status == 200 && a.is_whole)
+    }
+}
+
+/// A client's request and its outcome.
+#[derive(Debug, Clone)]
+pub struct RequestRecord {
+    /// Id of the attempt.
+    pub id: String,
+    /// Route name: the first segment of the path.
+    pub route: &'static str,
+    /// API key that the request carried.
+    pub key: String,
+    /// Index of the instance that received it.
+    pub instance: usize,
+    /// When the client sent it.
+    pub sent: Instant,
+    /// When the client stopped waiting or had the whole response.
+    pub ended: Instant,
+    /// Its outcome.
+    pub outcome: Outcome,
+}
+
+/// Why time limits don't apply to an instance.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DisturbanceKind {
+    /// The instance is stopped gracefully.
+    Stop,
+    /// Its settings are changed.
+    Reload,
+    /// Its store connection is faulty, or the store dropped its change history.
+    Store,
+    /// Its process is killed or suspended.
+    Process,
+}
+
+/// A period in which time limits don't apply to an instance.
+#[derive(Debug, Clone, Copy)]
+pub struct Disturbance {
+    /// Index of the instance.
+    pub instance: usize,
+    /// Reason for the disturbance.
+    pub kind: DisturbanceKind,
+    /// First moment of the period.
+    pub start: Instant,
+    /// Last moment of the period.
+    pub end: Instant,
+}
+
+/// A configuration version that was written to the store.
+#[derive(Debug, Clone)]
+pub struct ConfigVersion {
+    /// When it was written.
+    pub at: Instant,
+    /// Version number.
+    pub number: u64,
+    /// Whether it contains the route `/late/`.
+    pub has_late: bool,
+    /// API keys that it accepts.
+    pub keys: Vec<String>,
+}
+
+/// A completed evacuation of a failure domain.
+#[derive(Debug, Clone)]
+pub struct Evacuation {
+    /// Name of the failure domain.
+    pub domain: &'static str,
+    /// When the evacuation was ordered.
+    pub start: Instant,
+    /// When the order was withdrawn.
+    pub end: Instant,
+}
+
+/// Everything recorded during a soak.
+#[derive(Debug, Default)]
+pub struct Records {
+    requests: Mutex<Vec<RequestRecord>>,
+    disturbances: Mutex<Vec<Disturbance>>,
+    config_versions: Mutex<Vec<ConfigVersion>>,
+    evacuations: Mutex<Vec<Evacuation>>,
+    violations: Mutex<Vec<String>>,
+}
+
+impl Records {
+    /// Creates an empty set of records.
+    pub fn new() -> Self {
+        Self::default()
+    }
+
+    /// Records a finished request.
+    pub fn add_request(&self, request: RequestRecord) {
+        lock(&self.requests).push(request);
+    }
+
+    /// Records that time limits don't apply to an instance for `duration` from the call.
+    pub fn add_disturbance(&self, instance: usize, kind: DisturbanceKind, duration: Duration) {
+        let start = Instant::now();
+        lock(&self.disturbances).push(Disturbance { instance, kind, start, end: start + duration });
+    }
+
+    /// Records a configuration version.
+    pub fn add_config_version(&self, version: ConfigVersion) {
+        lock(&self.config_versions).push(version);
+    }
+
+    /// Records a completed evacuation.
+    pub fn add_evacuation(&self, evacuation: Evacuation) {
+        lock(&self.evacuations).push(evacuation);
+    }
+
+    /// Records a violated guarantee that was detected while the soak ran.
+    pub fn add_violation(&self, description: String) {
+        lock(&self.violations).push(description);
+    }
+
+    /// Returns all requests.
+    pub fn requests(&self) -> Vec<RequestRecord> {
+        lock(&self.requests).clone()
+    }
+
+    /// Returns all configuration versions, oldest first.
+    pub fn config_versions(&self) -> Vec<ConfigVersion> {
+        lock(&self.config_versions).clone()
+    }
+
+    /// Returns all completed evacuations.
+    pub fn evacuations(&self) -> Vec<Evacuation> {
+        lock(&self.evacuations).clone()
+    }
+
+    /// Returns the violations detected while the soak ran.
+    pub fn violations(&self) -> Vec<String> {
+        lock(&self.violations).clone()
+    }
+
+    /// Returns whether an instance had a disturbance of a kind accepted by `is_relevant` in a period.
+    pub fn was_disturbed(
+        &self,
+        instance: usize,
+        (start, end): (Instant, Instant),
+        is_relevant: impl Fn(DisturbanceKind) -> bool,
+    ) -> bool {
+        let overlaps = |d: &Disturbance| d.start <= end && d.end >= start;
+        let disturbances = lock(&self.disturbances);
+        disturbances.iter().any(|d| d.instance == instance && is_relevant(d.kind) && overlaps(d))
+    }
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
