--- a/crates/nutmeggrade-fakes/src/site.rs
+++ b/crates/nutmeggrade-fakes/src/site.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of a deployment's platform: its store, its endpoints and its clients.
+//! Stand-ins for a deployment's platform: its store, its endpoints and its clients.
 //!
-//! They speak the platform's own messages, so that an instance that serves routes can be tested as
-//! it runs. Endpoints have switches for what real ones do wrong.
+//! They use the platform's own protocols, so that a complete instance can be tested over the network.
+//! Endpoints and store listeners can be set to fail in the ways that real ones do.
 
 mod behaviour;
 mod door;
--- a/crates/nutmeggrade-fakes/src/site/behaviour.rs
+++ b/crates/nutmeggrade-fakes/src/site/behaviour.rs
@@ -1,52 +1,52 @@
-//! What an endpoint does with a request.
+//! How a simulated endpoint handles requests.
 
 use std::time::Duration;
 
-/// What an endpoint does with a request.
+/// How a simulated endpoint handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Runs it and answers.
+    /// Executes the request and responds.
     Answer,
-    /// Runs it and answers after a while.
+    /// Executes the request and responds after a delay.
     Slow(Duration),
-    /// Says that it did not run it.
+    /// Responds with 503 and the header that confirms that the request was not executed.
     Shed,
-    /// Runs it and answers with its own failure.
+    /// Executes the request and responds with a signed 500.
     Fail,
-    /// Runs it and closes the connection without an answer.
+    /// Executes the request and closes the connection without a response.
     Close,
-    /// Closes every connection without an answer, to checks too, and runs nothing.
+    /// Closes every connection without a response, also for health checks, and executes nothing.
     Deaf,
-    /// Runs it and breaks its answer off in the middle.
+    /// Executes the request and truncates the response.
     Truncate,
-    /// Runs it and sends an answer without a length, ended by the connection.
+    /// Executes the request and sends a response without a length, delimited by the connection's end.
     Unframed,
-    /// Sends an answer without a length and resets the connection in the middle.
+    /// Sends part of a response without a length and resets the connection.
     UnframedReset,
-    /// Runs it and sends a second answer behind the first.
+    /// Executes the request and sends the response twice.
     Extra,
-    /// Answers with the id of another request.
+    /// Responds with the attempt id of another request.
     Crossed,
-    /// Answers with a success that carries no signature.
+    /// Responds with a success that has no signature.
     Unsigned,
-    /// Answers before it has read the body.
+    /// Responds with 400 before it has read the request body.
     Early,
-    /// Says that another endpoint has the address.
+    /// Responds with 421, as if the address belonged to another endpoint.
     Misdirect,
-    /// Dies as it begins to run it: closes the connection and accepts no other.
+    /// Crashes when it starts the request: closes the connection and accepts no other.
     Crash,
-    /// Runs it and never answers.
+    /// Executes the request and never responds.
     Hang,
-    /// Sends events with a pause between them.
+    /// Streams events with a pause before each.
     Stream {
-        /// Events of a whole answer.
+        /// Number of events in the complete stream.
         events: u64,
         /// Pause before each event.
         pause: Duration,
     },
-    /// Sends events and resets the connection in the middle of the one after them.
+    /// Streams events and resets the connection within the next one.
     StreamCut {
-        /// Whole events that are sent.
+        /// Number of complete events that are sent.
         events: u64,
     },
 }
--- a/crates/nutmeggrade-fakes/src/site/door.rs
+++ b/crates/nutmeggrade-fakes/src/site/door.rs
@@ -1,46 +1,46 @@
-//! One way into the store.
+//! A listener of the store with its own fault setting.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What a door does with calls.
+/// How a store listener handles calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Lets them in.
+    /// Handles calls normally.
     #[default]
     None,
-    /// Turns them away.
+    /// Responds with 503.
     Refuse,
-    /// Never answers, and lets waiting watches wait for ever.
+    /// Never responds, also not to watches that are already waiting.
     Silent,
-    /// Answers after this time.
+    /// Responds after this delay.
     Slow(Duration),
-    /// Does what is asked and closes the connection without an answer.
+    /// Closes the connection without a response.
     Lost,
 }
 
-/// One way into the store: an address of its own with a fault of its own, so that the store can turn
-/// away some instances and serve the others.
+/// A listener of the store with its own address and fault, so that the store can fail for some
+/// instances and serve the others.
 #[derive(Debug, Clone)]
 pub struct Door {
-    /// Where it is.
+    /// Address on which it listens.
     pub address: SocketAddr,
     fault: Arc<Mutex<Fault>>,
 }
 
 impl Door {
-    /// Makes a door without a fault.
+    /// Creates the handle of a listener, without a fault.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, fault: Arc::default() }
     }
 
-    /// Sets the fault.
+    /// Sets the fault for later calls.
     pub fn set(&self, fault: Fault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    /// Returns the fault.
+    /// Returns the current fault.
     pub fn fault(&self) -> Fault {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/nutmeggrade-fakes/src/site/endpoint.rs
+++ b/crates/nutmeggrade-fakes/src/site/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint: a model engine or a plain service.
+//! A simulated endpoint: an inference engine or a plain service.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,32 +16,32 @@
 use super::message::Message;
 use super::seen::Seen;
 
-/// Time that a first copy takes.
-const COPY_TIME: Duration = Duration::from_millis(40);
-const SIGNATURE: &str = "X-Nutmeggrade-Server-Signature";
+/// Duration of the first copy of a generation's cache.
+const FIRST_COPY_TIME: Duration = Duration::from_millis(40);
+const SIGNATURE_HEADER: &str = "X-Nutmeggrade-Server-Signature";
 
 #[derive(Debug)]
 struct State {
     behaviour: Behaviour,
-    seen: Vec<Seen>,
+    received: Vec<Seen>,
     leaves_ms: Option<u64>,
-    open: usize,
-    shown: SocketAddr,
+    open_connections: usize,
+    advertised_address: SocketAddr,
 }
 
-/// An endpoint that does what a test wants.
+/// An endpoint with configurable behaviour.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     id: String,
     state: Arc<Mutex<State>>,
     generations: Generations,
-    dead: watch::Sender<bool>,
+    crashed: watch::Sender<bool>,
 }
 
 impl Endpoint {
-    /// Starts an endpoint.
+    /// Starts an endpoint on a free local port.
     pub async fn start(
         id: &str,
         behaviour: Behaviour,
@@ -49,82 +49,88 @@
     ) -> anyhow::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.context("bind an endpoint")?;
         let address = listener.local_addr()?;
-        let state = State { behaviour, seen: Vec::new(), leaves_ms: None, open: 0, shown: address };
+        let state = State {
+            behaviour,
+            received: Vec::new(),
+            leaves_ms: None,
+            open_connections: 0,
+            advertised_address: address,
+        };
         let endpoint = Self {
             address,
             id: id.to_owned(),
             state: Arc::new(Mutex::new(state)),
             generations: generations.clone(),
-            dead: watch::Sender::new(false),
+            crashed: watch::Sender::new(false),
         };
-        let serving = endpoint.clone();
+        let server = endpoint.clone();
         tokio::spawn(async move {
-            let mut dead = serving.dead.subscribe();
+            let mut crashed = server.crashed.subscribe();
             loop {
                 let stream = tokio::select! {
                     accepted = listener.accept() => accepted,
-                    _ = dead.wait_for(|d| *d) => return,
+                    _ = crashed.wait_for(|c| *c) => return,
                 };
                 let Ok((stream, _)) = stream else { return };
-                let endpoint = serving.clone();
+                let endpoint = server.clone();
                 tokio::spawn(async move {
-                    endpoint.state().open += 1;
-                    // A connection that breaks is the instance's doing.
+                    endpoint.state().open_connections += 1;
+                    // Connection errors are expected: the instance may close a connection at any time.
                     drop(endpoint.serve(stream).await);
-                    endpoint.state().open -= 1;
+                    endpoint.state().open_connections -= 1;
                 });
             }
         });
         Ok(endpoint)
     }
 
-    /// Returns its id.
+    /// Returns the endpoint's id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Sets what it does from now on.
+    /// Sets the behaviour for later requests.
     pub fn set(&self, behaviour: Behaviour) {
         self.state().behaviour = behaviour;
     }
 
-    /// Sets the address by which others know it, where that is not the one at which it listens.
-    pub fn show_as(&self, address: SocketAddr) {
-        self.state().shown = address;
+    /// Sets the address under which it is registered, if that differs from the one it listens on.
+    pub fn set_advertised_address(&self, address: SocketAddr) {
+        self.state().advertised_address = address;
     }
 
-    /// Has its report say how long it stays.
+    /// Sets the remaining time before it leaves, which its report contains.
     pub fn leave_in(&self, time: Duration) {
         self.state().leaves_ms = u64::try_from(time.as_millis()).ok();
     }
 
-    /// Returns what it got.
+    /// Returns the requests received so far, except for reports, health checks and copies.
     pub fn seen(&self) -> Vec<Seen> {
-        self.state().seen.clone()
+        self.state().received.clone()
     }
 
-    /// Has it die: it resets its streams and accepts no connection any more.
+    /// Simulates a crash: resets the endpoint's streams and stops accepting connections.
     pub fn kill(&self) {
-        self.dead.send_replace(true);
+        self.crashed.send_replace(true);
     }
 
-    /// Says whether it has crashed.
+    /// Returns whether it has crashed.
     pub fn is_dead(&self) -> bool {
-        *self.dead.borrow()
+        *self.crashed.borrow()
     }
 
-    /// Returns how many connections it has.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
-        self.state().open
+        self.state().open_connections
     }
 
-    /// Returns how often it began to run the request of an attempt.
+    /// Returns how often it started to execute the request of an attempt.
     pub fn runs(&self, id: &str) -> usize {
-        self.state().seen.iter().filter(|s| s.ran && s.id() == id).count()
+        self.state().received.iter().filter(|s| s.ran && s.id() == id).count()
     }
 
-    fn shown(&self) -> SocketAddr {
-        self.state().shown
+    fn advertised_address(&self) -> SocketAddr {
+        self.state().advertised_address
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -138,23 +144,25 @@
                 return Ok(());
             }
             if behaviour == Behaviour::Early {
-                return self.refuse(&mut stream, 400, "X-Nutmeggrade-Not-Executed: 1\r\n").await;
+                return self
+                    .send_empty(&mut stream, 400, "X-Nutmeggrade-Not-Executed: 1\r\n")
+                    .await;
             }
             if !request.read_body(&mut stream).await {
                 return Ok(());
             }
             let (_, target) = request.request();
             match target {
-                "/nutmeggrade/report" => self.report(&mut stream).await?,
-                "/health" => self.health(&mut stream).await?,
-                "/nutmeggrade/kv-move" => self.copy(&mut stream, &request).await?,
-                _ => self.request(&mut stream, request, behaviour).await?,
+                "/nutmeggrade/report" => self.handle_report(&mut stream).await?,
+                "/health" => self.handle_health(&mut stream).await?,
+                "/nutmeggrade/kv-move" => self.handle_copy(&mut stream, &request).await?,
+                _ => self.handle_request(&mut stream, request, behaviour).await?,
             }
         }
         Ok(())
     }
 
-    async fn report(&self, stream: &mut TcpStream) -> anyhow::Result<()> {
+    async fn handle_report(&self, stream: &mut TcpStream) -> anyhow::Result<()> {
         let leaves = self.state().leaves_ms;
         let mut report = json!({ "phase": "combined", "busy": false, "sequence": 1, "queued": 0,
             "active": 0, "kv_cache_used": 0, "kv_cache_capacity": 30_000, "cache_handles": 0 });
@@ -164,57 +172,57 @@
         send_json(stream, 200, &report).await
     }
 
-    async fn health(&self, stream: &mut TcpStream) -> anyhow::Result<()> {
+    async fn handle_health(&self, stream: &mut TcpStream) -> anyhow::Result<()> {
         let head = format!("X-Nutmeggrade-Instance-Id: {}\r\nContent-Length: 0\r\n", self.id);
         send(stream, &format!("HTTP/1.1 200 -\r\n{head}\r\n")).await
     }
 
-    async fn copy(&self, stream: &mut TcpStream, request: &Message) -> anyhow::Result<()> {
-        let order: Value = serde_json::from_slice(&request.body).context("order")?;
+    async fn handle_copy(&self, stream: &mut TcpStream, request: &Message) -> anyhow::Result<()> {
+        let order: Value = serde_json::from_slice(&request.body).context("copy order")?;
         let id = order["id"].as_str().unwrap_or_default();
-        let last = order["final"].as_bool().unwrap_or_default();
-        if !last {
-            self.generations.take_time(COPY_TIME).await;
+        let is_final = order["final"].as_bool().unwrap_or_default();
+        if !is_final {
+            self.generations.simulate_first_copy(FIRST_COPY_TIME).await;
         }
-        match self.generations.copy(self.shown(), id, last) {
-            Some(made) => {
-                send_json(stream, 200, &json!({ "cache_handle": id, "created": made })).await
+        match self.generations.create_copy(self.advertised_address(), id, is_final) {
+            Some(events) => {
+                send_json(stream, 200, &json!({ "cache_handle": id, "created": events })).await
             }
             None => send_json(stream, 404, &Value::Null).await,
         }
     }
 
-    async fn request(
+    async fn handle_request(
         &self,
         stream: &mut TcpStream,
         request: Message,
         behaviour: Behaviour,
     ) -> anyhow::Result<()> {
-        let expected = request.header("x-nutmeggrade-expected-instance");
-        let is_other = expected.is_some_and(|e| e != self.id);
-        let resumed = request.header("kv-from").map(str::to_owned);
-        let copied = resumed.as_deref().map(|from| self.take_up(from));
-        let ran = !is_other
-            && copied != Some(None)
+        let expected_id = request.header("x-nutmeggrade-expected-instance");
+        let is_misdirected = expected_id.is_some_and(|e| e != self.id);
+        let copy_source = request.header("kv-from").map(str::to_owned);
+        let copied_events = copy_source.as_deref().map(|source| self.claim_copy(source));
+        let ran = !is_misdirected
+            && copied_events != Some(None)
             && !matches!(behaviour, Behaviour::Shed | Behaviour::Misdirect);
         let id = request.header("x-nutmeggrade-attempt-id").unwrap_or_default().to_owned();
         let position = request.header("last-event-id").and_then(|p| p.parse().ok()).unwrap_or(0);
-        self.state().seen.push(Seen { message: request, ran, at: Instant::now() });
-        if is_other {
-            return self.refuse(stream, 421, "").await;
+        self.state().received.push(Seen { message: request, ran, at: Instant::now() });
+        if is_misdirected {
+            return self.send_empty(stream, 421, "").await;
         }
-        if copied == Some(None) {
-            return self.refuse(stream, 503, "X-Nutmeggrade-Not-Executed: 1\r\n").await;
+        if copied_events == Some(None) {
+            return self.send_empty(stream, 503, "X-Nutmeggrade-Not-Executed: 1\r\n").await;
         }
-        self.behave(stream, &id, position, behaviour).await
+        self.respond(stream, &id, position, behaviour).await
     }
 
-    fn take_up(&self, from: &str) -> Option<u64> {
-        let (source, handle) = from.split_once('/')?;
-        self.generations.take_up(source.parse().ok()?, handle)
+    fn claim_copy(&self, source: &str) -> Option<u64> {
+        let (source, handle) = source.split_once('/')?;
+        self.generations.claim_copy(source.parse().ok()?, handle)
     }
 
-    async fn behave(
+    async fn respond(
         &self,
         stream: &mut TcpStream,
         id: &str,
@@ -222,56 +230,59 @@
         behaviour: Behaviour,
     ) -> anyhow::Result<()> {
         let body = format!("done {id} by {}", self.id);
-        let whole = self.answer(200, id, &format!("Content-Length: {}\r\n", body.len()), &body);
+        let response =
+            self.response(200, id, &format!("Content-Length: {}\r\n", body.len()), &body);
         match behaviour {
-            Behaviour::Answer => send(stream, &whole).await,
+            Behaviour::Answer => send(stream, &response).await,
             Behaviour::Slow(time) => {
                 sleep(time).await;
-                send(stream, &whole).await
+                send(stream, &response).await
+            }
+            Behaviour::Shed => {
+                self.send_empty(stream, 503, "X-Nutmeggrade-Not-Executed: 1\r\n").await
             }
-            Behaviour::Shed => self.refuse(stream, 503, "X-Nutmeggrade-Not-Executed: 1\r\n").await,
-            Behaviour::Misdirect => self.refuse(stream, 421, "").await,
+            Behaviour::Misdirect => self.send_empty(stream, 421, "").await,
             Behaviour::Fail => {
-                send(stream, &self.answer(500, id, "Content-Length: 4\r\n", "oops")).await
+                send(stream, &self.response(500, id, "Content-Length: 4\r\n", "oops")).await
             }
             Behaviour::Close | Behaviour::Deaf => anyhow::bail!("closed"),
             Behaviour::Crash => {
-                self.dead.send_replace(true);
+                self.crashed.send_replace(true);
                 anyhow::bail!("crashed")
             }
             Behaviour::Truncate => {
-                send(stream, &whole[..whole.len() - 3]).await?;
+                send(stream, &response[..response.len() - 3]).await?;
                 anyhow::bail!("truncated")
             }
             Behaviour::Unframed => {
-                send(stream, &self.answer(200, id, "Connection: close\r\n", &body)).await?;
-                anyhow::bail!("ended")
+                send(stream, &self.response(200, id, "Connection: close\r\n", &body)).await?;
+                anyhow::bail!("closed to end the response")
             }
             Behaviour::UnframedReset => {
-                send(stream, &self.answer(200, id, "Connection: close\r\n", &body[..4])).await?;
+                send(stream, &self.response(200, id, "Connection: close\r\n", &body[..4])).await?;
                 reset(stream)
             }
-            Behaviour::Extra => send(stream, &(whole.clone() + &whole)).await,
+            Behaviour::Extra => send(stream, &(response.clone() + &response)).await,
             Behaviour::Crossed => {
-                let other = self.answer(200, "another", "Content-Length: 5\r\n", "wrong");
+                let other = self.response(200, "another", "Content-Length: 5\r\n", "wrong");
                 send(stream, &other).await
             }
             Behaviour::Unsigned => {
                 let head = format!("X-Nutmeggrade-Attempt-Id: {id}\r\nContent-Length: 4\r\n");
                 send(stream, &format!("HTTP/1.1 200 OK\r\n{head}\r\nfake")).await
             }
-            Behaviour::Early => anyhow::bail!("answered before"),
+            Behaviour::Early => anyhow::bail!("already responded"),
             Behaviour::Hang => {
-                // Nothing comes any more but the end.
-                let mut rest = [0];
-                drop(stream.read(&mut rest).await);
-                anyhow::bail!("given up")
+                // Waits until the instance closes the connection.
+                let mut byte = [0];
+                drop(stream.read(&mut byte).await);
+                anyhow::bail!("closed by the instance")
             }
             Behaviour::Stream { events, pause } => {
-                self.stream(stream, id, position, events, pause).await
+                self.send_stream(stream, id, position, events, pause).await
             }
             Behaviour::StreamCut { events } => {
-                self.open_stream(stream, id).await?;
+                self.send_stream_head(stream, id).await?;
                 for event in position + 1..=events {
                     send_event(stream, id, event).await?;
                 }
@@ -282,7 +293,7 @@
         }
     }
 
-    async fn stream(
+    async fn send_stream(
         &self,
         stream: &mut TcpStream,
         id: &str,
@@ -290,39 +301,40 @@
         events: u64,
         pause: Duration,
     ) -> anyhow::Result<()> {
-        self.open_stream(stream, id).await?;
-        let mut stopped = self.generations.begin(self.shown(), id);
-        let mut dead = self.dead.subscribe();
+        self.send_stream_head(stream, id).await?;
+        let mut stopped = self.generations.start(self.advertised_address(), id);
+        let mut crashed = self.crashed.subscribe();
         for event in position + 1..=events {
             tokio::select! {
                 () = sleep(pause) => {}
-                _ = dead.wait_for(|d| *d) => return reset(stream),
+                _ = crashed.wait_for(|c| *c) => return reset(stream),
                 _ = stopped.wait_for(|s| *s) => {
-                    self.generations.end(self.shown(), id);
+                    self.generations.remove(self.advertised_address(), id);
                     anyhow::bail!("stopped");
                 }
             }
             send_event(stream, id, event).await?;
-            self.generations.made(self.shown(), id, event);
+            self.generations.set_events(self.advertised_address(), id, event);
         }
-        self.generations.end(self.shown(), id);
+        self.generations.remove(self.advertised_address(), id);
         send(stream, "0\r\n\r\n").await
     }
 
-    async fn open_stream(&self, stream: &mut TcpStream, id: &str) -> anyhow::Result<()> {
+    async fn send_stream_head(&self, stream: &mut TcpStream, id: &str) -> anyhow::Result<()> {
         let headers = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n";
-        send(stream, &self.answer(200, id, headers, "")).await
+        send(stream, &self.response(200, id, headers, "")).await
     }
 
-    fn answer(&self, status: u16, id: &str, headers: &str, body: &str) -> String {
+    fn response(&self, status: u16, id: &str, headers: &str, body: &str) -> String {
         format!(
-            "HTTP/1.1 {status} -\r\nX-Nutmeggrade-Attempt-Id: {id}\r\n{SIGNATURE}: by.{}\r\n\
+            "HTTP/1.1 {status} -\r\nX-Nutmeggrade-Attempt-Id: {id}\r\n{SIGNATURE_HEADER}: by.{}\r\n\
              {headers}\r\n{body}",
             self.id
         )
     }
 
-    async fn refuse(
+    /// Sends a response without a body or an attempt id.
+    async fn send_empty(
         &self,
         stream: &mut TcpStream,
         status: u16,
@@ -347,7 +359,7 @@
     send(stream, &(head + &body)).await
 }
 
-/// Ends a connection so that the other side sees that it broke.
+/// Resets a connection, so that the peer sees an error rather than an orderly close.
 fn reset(stream: &TcpStream) -> anyhow::Result<()> {
     socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO))?;
     anyhow::bail!("reset")
--- a/crates/nutmeggrade-fakes/src/site/generation.rs
+++ b/crates/nutmeggrade-fakes/src/site/generation.rs
@@ -1,4 +1,4 @@
-//! Generations that engines run, and copies of them.
+//! Generations that run at simulated engines, and copies of their caches.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,90 +7,90 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, sleep};
 
-/// A generation that runs at an engine.
+/// A generation that is running at an engine.
 #[derive(Debug, Clone)]
-pub struct Running {
-    /// Events made.
-    pub made: u64,
-    /// Tells the stream to end without its end.
+pub struct RunningGeneration {
+    /// Number of events generated.
+    pub events: u64,
+    /// Signals the stream to stop without sending its end.
     pub stop: watch::Sender<bool>,
 }
 
-/// What engines of one test know of each other's generations.
+/// The running generations and copies of one test, shared by its engines.
 #[derive(Debug, Clone, Default)]
 pub struct Generations {
-    running: Arc<Mutex<BTreeMap<(SocketAddr, String), Running>>>,
+    running: Arc<Mutex<BTreeMap<(SocketAddr, String), RunningGeneration>>>,
     copies: Arc<Mutex<BTreeMap<(SocketAddr, String), u64>>>,
-    copying: Arc<Mutex<Copying>>,
+    first_copies: Arc<Mutex<CopyCounts>>,
 }
 
-/// First copies that are under way at a time.
+/// Number of first copies in progress.
 #[derive(Debug, Clone, Copy, Default)]
-struct Copying {
-    now: usize,
-    most: usize,
+struct CopyCounts {
+    current: usize,
+    max: usize,
 }
 
 impl Generations {
-    /// Notes that an engine begins to run a generation.
-    pub fn begin(&self, engine: SocketAddr, id: &str) -> watch::Receiver<bool> {
+    /// Adds a running generation; the receiver signals when it must stop.
+    pub fn start(&self, engine: SocketAddr, id: &str) -> watch::Receiver<bool> {
         let (stop, stopped) = watch::channel(false);
-        let running = Running { made: 0, stop };
-        guard(&self.running).insert((engine, id.to_owned()), running);
+        let running = RunningGeneration { events: 0, stop };
+        lock(&self.running).insert((engine, id.to_owned()), running);
         stopped
     }
 
-    /// Notes an event.
-    pub fn made(&self, engine: SocketAddr, id: &str, events: u64) {
-        if let Some(running) = guard(&self.running).get_mut(&(engine, id.to_owned())) {
-            running.made = events;
+    /// Sets the number of events that a generation has produced.
+    pub fn set_events(&self, engine: SocketAddr, id: &str, events: u64) {
+        if let Some(running) = lock(&self.running).get_mut(&(engine, id.to_owned())) {
+            running.events = events;
         }
     }
 
-    /// Returns the most events that a running generation has made.
+    /// Returns the largest number of events produced by any running generation.
     pub fn most_made(&self) -> u64 {
-        guard(&self.running).values().map(|r| r.made).max().unwrap_or(0)
+        lock(&self.running).values().map(|r| r.events).max().unwrap_or(0)
     }
 
-    /// Notes that an engine runs a generation no more.
-    pub fn end(&self, engine: SocketAddr, id: &str) {
-        guard(&self.running).remove(&(engine, id.to_owned()));
+    /// Removes a generation that has ended.
+    pub fn remove(&self, engine: SocketAddr, id: &str) {
+        lock(&self.running).remove(&(engine, id.to_owned()));
     }
 
-    /// Copies a generation; stops it first if this is the last copy. Returns the events made.
-    pub fn copy(&self, engine: SocketAddr, id: &str, last: bool) -> Option<u64> {
-        let running = guard(&self.running).get(&(engine, id.to_owned())).cloned()?;
-        if last {
+    /// Copies a generation and stops it if the copy is final; returns the number of events copied.
+    pub fn create_copy(&self, engine: SocketAddr, id: &str, is_final: bool) -> Option<u64> {
+        let running = lock(&self.running).get(&(engine, id.to_owned())).cloned()?;
+        if is_final {
             running.stop.send_replace(true);
         }
-        guard(&self.copies).insert((engine, id.to_owned()), running.made);
-        Some(running.made)
+        lock(&self.copies).insert((engine, id.to_owned()), running.events);
+        Some(running.events)
     }
 
-    /// Takes the time of a first copy.
-    pub async fn take_time(&self, time: Duration) {
-        self.begin_copy();
+    /// Waits for the duration of a first copy and counts it as in progress meanwhile.
+    pub async fn simulate_first_copy(&self, time: Duration) {
+        self.count_first_copy();
         sleep(time).await;
-        guard(&self.copying).now -= 1;
+        lock(&self.first_copies).current -= 1;
     }
 
-    fn begin_copy(&self) {
-        let mut copying = guard(&self.copying);
-        copying.now += 1;
-        copying.most = copying.most.max(copying.now);
+    fn count_first_copy(&self) {
+        let mut counts = lock(&self.first_copies);
+        counts.current += 1;
+        counts.max = counts.max.max(counts.current);
     }
 
-    /// Returns how many first copies were under way at the same time.
+    /// Returns the largest number of first copies that were in progress at the same time.
     pub fn most_copying(&self) -> usize {
-        guard(&self.copying).most
+        lock(&self.first_copies).max
     }
 
-    /// Takes up a copy; each can be taken up once.
-    pub fn take_up(&self, source: SocketAddr, handle: &str) -> Option<u64> {
-        guard(&self.copies).remove(&(source, handle.to_owned()))
+    /// Removes a copy and returns its number of events; each copy can be claimed once.
+    pub fn claim_copy(&self, source: SocketAddr, handle: &str) -> Option<u64> {
+        lock(&self.copies).remove(&(source, handle.to_owned()))
     }
 }
 
-fn guard<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/nutmeggrade-fakes/src/site/message.rs
+++ b/crates/nutmeggrade-fakes/src/site/message.rs
@@ -1,40 +1,40 @@
-//! One HTTP message as bytes.
+//! HTTP messages, read byte by byte.
 
 use std::collections::BTreeMap;
 
 use anyhow::Context;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-const MAX_HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// A message's first line, headers and body.
+/// An HTTP message: start line, headers and body.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Message {
-    /// The first line.
+    /// Start line: request line or status line.
     pub line: String,
     /// Headers by lower-case name.
     pub headers: BTreeMap<String, String>,
-    /// The body, decoded.
+    /// Body, after decoding of chunks.
     pub body: Vec<u8>,
 }
 
-/// An answer, and whether it was whole.
+/// An HTTP response and whether it was complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// The message.
+    /// Head and body, as far as received.
     pub message: Message,
-    /// Whether its end came.
+    /// Whether the whole body was received.
     pub is_whole: bool,
 }
 
 impl Message {
-    /// Reads a head; `None` if the connection ends before it.
+    /// Reads a message head; `None` if the connection ends before a complete head.
     pub async fn read_head<R: AsyncRead + Unpin>(stream: &mut R) -> anyhow::Result<Option<Self>> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            anyhow::ensure!(head.len() < MAX_HEAD, "head too large");
+            anyhow::ensure!(head.len() < MAX_HEAD_BYTES, "head too large");
             let mut byte = [0];
             if stream.read(&mut byte).await.unwrap_or(0) == 0 {
                 return Ok(None);
@@ -52,18 +52,18 @@
         Ok(Some(Self { line, headers, body: Vec::new() }))
     }
 
-    /// Returns a header.
+    /// Returns the value of a header, by lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
-    /// Returns the method and the target of a request.
+    /// Returns the first two words of the start line: method and target, or protocol and status.
     pub fn request(&self) -> (&str, &str) {
         let mut words = self.line.split(' ');
         (words.next().unwrap_or_default(), words.next().unwrap_or_default())
     }
 
-    /// Reads the body that the head announces; says whether its end came.
+    /// Reads the body that the head announces; returns whether it was complete.
     pub async fn read_body<R: AsyncRead + Unpin>(&mut self, stream: &mut R) -> bool {
         if let Some(length) = self.header("content-length").and_then(|l| l.parse().ok()) {
             self.body = vec![0; length];
--- a/crates/nutmeggrade-fakes/src/site/raw_client.rs
+++ b/crates/nutmeggrade-fakes/src/site/raw_client.rs
@@ -1,4 +1,4 @@
-//! A client that controls each byte.
+//! A client that controls every byte that it sends.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 
 use super::message::{Answer, Message};
 
-/// Far longer than anything takes on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of every read, far longer than any response takes on a busy machine.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A client's connection.
 #[derive(Debug)]
@@ -20,67 +20,68 @@
 }
 
 impl RawClient {
-    /// Connects.
+    /// Opens a connection.
     pub async fn connect(address: SocketAddr) -> anyhow::Result<Self> {
         Ok(Self { stream: TcpStream::connect(address).await.context("connect")? })
     }
 
-    /// Sends a proper request to `/ROUTE/x` with the key `key-1`, and returns the answer.
+    /// Sends a valid request to `/ROUTE/x` with the key `key-1` on a new connection and returns the
+    /// response. `headers` holds further header lines, each with its line end.
     pub async fn ask(
         address: SocketAddr,
         route: &str,
         id: &str,
-        more: &str,
+        headers: &str,
     ) -> anyhow::Result<Answer> {
         let mut client = Self::connect(address).await?;
-        client.send(&request(route, id, "key-1", more)).await?;
+        client.send(&request(route, id, "key-1", headers)).await?;
         client.answer().await
     }
 
-    /// Sends bytes.
+    /// Sends text without any change.
     pub async fn send(&mut self, text: &str) -> anyhow::Result<()> {
         self.stream.write_all(text.as_bytes()).await.context("send")
     }
 
-    /// Reads an answer.
+    /// Reads a response.
     pub async fn answer(&mut self) -> anyhow::Result<Answer> {
         let read = async {
             let head = Message::read_head(&mut self.stream).await?;
-            let mut message = head.context("closed without an answer")?;
+            let mut message = head.context("connection closed without a response")?;
             let (_, status) = message.request();
             let status = status.parse().context("status")?;
             let is_whole = message.read_body(&mut self.stream).await;
             Ok(Answer { status, message, is_whole })
         };
-        timeout(PATIENCE, read).await.context("no answer")?
+        timeout(READ_TIMEOUT, read).await.context("timed out waiting for a response")?
     }
 
-    /// Reads until so many bytes have come, and returns them.
-    pub async fn read_some(&mut self, least: usize) -> anyhow::Result<Vec<u8>> {
+    /// Reads until at least `min_bytes` have arrived, and returns them.
+    pub async fn read_some(&mut self, min_bytes: usize) -> anyhow::Result<Vec<u8>> {
         let mut bytes = Vec::new();
         let read = async {
-            while bytes.len() < least {
+            while bytes.len() < min_bytes {
                 let count = self.stream.read_buf(&mut bytes).await?;
-                anyhow::ensure!(count > 0, "closed");
+                anyhow::ensure!(count > 0, "connection closed");
             }
             Ok(())
         };
-        timeout(PATIENCE, read).await.context("nothing came")??;
+        timeout(READ_TIMEOUT, read).await.context("timed out waiting for data")??;
         Ok(bytes)
     }
 
-    /// Says whether the other side closes the connection.
+    /// Waits for the peer to send or close; returns whether it closed the connection.
     pub async fn is_closed(&mut self) -> bool {
         let mut byte = [0];
-        let read = timeout(PATIENCE, self.stream.read(&mut byte)).await;
+        let read = timeout(READ_TIMEOUT, self.stream.read(&mut byte)).await;
         matches!(read, Ok(Ok(0) | Err(_)))
     }
 }
 
-/// Writes a request to `/ROUTE/x`. `more` holds further headers, each with its line end.
-pub fn request(route: &str, id: &str, key: &str, more: &str) -> String {
+/// Formats a request to `/ROUTE/x`. `headers` holds further header lines, each with its line end.
+pub fn request(route: &str, id: &str, key: &str, headers: &str) -> String {
     format!(
         "POST /{route}/x HTTP/1.1\r\nHost: desk.example\r\nX-Nutmeggrade-Attempt-Id: {id}\r\n\
-         X-Api-Key: {key}\r\n{more}Content-Length: 4\r\n\r\nbody"
+         X-Api-Key: {key}\r\n{headers}Content-Length: 4\r\n\r\nbody"
     )
 }
--- a/crates/nutmeggrade-fakes/src/site/routing.rs
+++ b/crates/nutmeggrade-fakes/src/site/routing.rs
@@ -1,4 +1,4 @@
-//! What operators and endpoints write into the store.
+//! Objects that operators and endpoints write to the store.
 
 use std::net::SocketAddr;
 
@@ -7,19 +7,19 @@
 /// A routing configuration with one route of each kind.
 #[derive(Debug, Clone)]
 pub struct RoutingPlan {
-    /// Its version.
+    /// Version number of the configuration.
     pub version: u64,
-    /// Keys of the workspace `acme`.
+    /// API keys of the workspace `acme`.
     pub keys: Vec<String>,
-    /// Longest that a request is kept waiting, in milliseconds.
+    /// Request timeout of every route, in milliseconds.
     pub timeout_ms: u64,
-    /// Most endpoints that a repeatable request is sent to.
+    /// Maximum number of endpoints that a repeatable request is sent to.
     pub attempts: u32,
-    /// Key/value memory of an engine, in tokens.
+    /// Capacity of an engine's KV cache, in tokens.
     pub memory: u64,
-    /// Whether there is a route `/late/`, which only later versions have.
+    /// Whether the configuration contains the optional route `/late/`.
     pub has_late: bool,
-    /// Largest body, in bytes.
+    /// Maximum body size, in bytes.
     pub body_bytes: u64,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl RoutingPlan {
-    /// Writes it as operators do.
+    /// Returns the configuration object as operators write it.
     pub fn content(&self) -> Value {
         let mut routes = vec![
             self.route("once", "non_idempotent", 1, "desk", false),
@@ -82,48 +82,48 @@
     }
 }
 
-/// An endpoint's own entry.
+/// An endpoint's registry entry.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Name of its failure domain.
     pub domain: String,
-    /// Whether it said that it will end.
+    /// Whether it has announced that it leaves.
     pub leaving: bool,
-    /// How much longer it is cold, in milliseconds.
+    /// Remaining time of its cold start, in milliseconds.
     pub cold_ms: u64,
-    /// Version of its software.
+    /// Software version.
     pub version: String,
-    /// When it started.
+    /// Start time; a larger value supersedes an entry with the same id.
     pub born: u64,
 }
 
 impl Entry {
-    /// Makes the entry of a warm endpoint that stays.
+    /// Creates the entry of a warm endpoint that is not leaving.
     pub fn new(service: &str, address: SocketAddr) -> Self {
         let (service, domain) = (service.to_owned(), "veluwe".to_owned());
         let version = "v1".to_owned();
         Self { service, address, domain, leaving: false, cold_ms: 0, version, born: 1 }
     }
 
-    /// Sets the version of its software.
+    /// Sets the software version.
     #[must_use]
     pub fn with_version(mut self, version: &str) -> Self {
         version.clone_into(&mut self.version);
         self
     }
 
-    /// Sets whether it said that it will end.
+    /// Sets whether it has announced that it leaves.
     #[must_use]
     pub fn with_leaving(mut self, leaving: bool) -> Self {
         self.leaving = leaving;
         self
     }
 
-    /// Writes it as endpoints do.
+    /// Returns the entry as endpoints write it.
     pub fn content(&self) -> Value {
         let state = if self.leaving { "draining" } else { "ready" };
         json!({ "service": self.service, "address": self.address, "zone": self.domain,
--- a/crates/nutmeggrade-fakes/src/site/seen.rs
+++ b/crates/nutmeggrade-fakes/src/site/seen.rs
@@ -1,27 +1,27 @@
-//! What an endpoint got.
+//! Requests received by simulated endpoints.
 
 use tokio::time::Instant;
 
 use super::message::Message;
 
-/// A request as an endpoint got it.
+/// A request that an endpoint received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seen {
-    /// The message.
+    /// Request head and body.
     pub message: Message,
-    /// Whether the endpoint began to run it.
+    /// Whether the endpoint started to execute it.
     pub ran: bool,
-    /// When it came.
+    /// When it was received.
     pub at: Instant,
 }
 
 impl Seen {
-    /// Says whether it goes on with a generation that began elsewhere.
+    /// Returns whether the request continues a generation from another endpoint's copy.
     pub fn is_continued(&self) -> bool {
         self.message.header("kv-from").is_some()
     }
 
-    /// Returns the id of the client's attempt.
+    /// Returns the client's attempt id.
     pub fn id(&self) -> &str {
         self.message.header("x-nutmeggrade-attempt-id").unwrap_or_default()
     }
--- a/crates/nutmeggrade-fakes/src/site/store.rs
+++ b/crates/nutmeggrade-fakes/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store.
+//! The platform's object store.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,8 +14,8 @@
 use super::door::{Door, Fault};
 use super::message::Message;
 
-/// Objects on one page.
-const PAGE: usize = 3;
+/// Maximum number of objects on one page of a listing.
+const PAGE_SIZE: usize = 3;
 
 #[derive(Debug, Clone)]
 struct Object {
@@ -26,7 +26,7 @@
 }
 
 impl Object {
-    fn written(&self, name: &str) -> Value {
+    fn to_json(&self, name: &str) -> Value {
         let metadata = json!({ "name": name, "revision": self.revision, "created": self.created,
             "finalizers": [], "deletion_time": false });
         json!({ "metadata": metadata, "specification": self.content, "status": self.status })
@@ -36,41 +36,43 @@
 type Objects = BTreeMap<(String, String), Object>;
 
 #[derive(Debug, Clone)]
-struct ChangedObject {
+struct ObjectChange {
     kind: String,
     name: String,
     object: Object,
-    is_gone: bool,
+    is_deleted: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
     revision: u64,
     objects: Objects,
-    changes: Vec<ChangedObject>,
-    forgotten: u64,
-    calls: u64,
-    lagging: Option<Listed>,
+    changes: Vec<ObjectChange>,
+    /// Revision up to which the change history was dropped.
+    dropped_revision: u64,
+    call_count: u64,
+    /// Fixed response to listings that may be stale.
+    stale_snapshot: Option<Snapshot>,
 }
 
-/// Objects at a revision.
+/// All objects at a revision.
 #[derive(Debug, Clone, Default)]
-struct Listed {
+struct Snapshot {
     revision: u64,
     objects: Objects,
 }
 
 impl State {
-    fn listed(&self) -> Listed {
-        Listed { revision: self.revision, objects: self.objects.clone() }
+    fn snapshot(&self) -> Snapshot {
+        Snapshot { revision: self.revision, objects: self.objects.clone() }
     }
 }
 
-/// The platform's store. Nothing in it expires by itself.
+/// The platform's object store. Objects don't expire.
 #[derive(Debug, Clone)]
 pub struct Store {
     state: Arc<Mutex<State>>,
-    news: watch::Sender<u64>,
+    changed: watch::Sender<u64>,
 }
 
 impl Default for Store {
@@ -80,21 +82,21 @@
 }
 
 impl Store {
-    /// Makes an empty store.
+    /// Creates an empty store.
     pub fn new() -> Self {
         let state = State { revision: 1, ..State::default() };
-        Self { state: Arc::new(Mutex::new(state)), news: watch::Sender::new(1) }
+        Self { state: Arc::new(Mutex::new(state)), changed: watch::Sender::new(1) }
     }
 
-    /// Answers listings that may lag as of now, whatever changes later.
+    /// Serves the current objects to listings that may be stale, regardless of later changes.
     pub fn lag(&self) {
         let mut state = self.state();
-        state.lagging = Some(state.listed());
+        state.stale_snapshot = Some(state.snapshot());
     }
 
-    /// Opens a way into the store.
+    /// Opens a listener on a free local port.
     pub async fn door(&self) -> anyhow::Result<Door> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.context("bind a door")?;
+        let listener = TcpListener::bind("127.0.0.1:0").await.context("bind a store listener")?;
         let door = Door::new(listener.local_addr()?);
         let (store, opened) = (self.clone(), door.clone());
         tokio::spawn(async move {
@@ -106,7 +108,7 @@
         Ok(door)
     }
 
-    /// Writes an object.
+    /// Creates or replaces an object.
     pub fn put(&self, kind: &str, name: &str, content: Value) {
         self.change(kind, name, Some(content));
     }
@@ -116,21 +118,21 @@
         self.change(kind, name, None);
     }
 
-    /// Drops the history, so that older watches are told so.
+    /// Drops the change history: a watch from an older revision gets 410.
     pub fn forget(&self) {
         let mut state = self.state();
-        state.forgotten = state.revision;
+        state.dropped_revision = state.revision;
         state.changes.clear();
         drop(state);
-        self.news.send_modify(|n| *n += 1);
+        self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Returns how many calls came.
+    /// Returns the number of calls received.
     pub fn calls(&self) -> u64 {
-        self.state().calls
+        self.state().call_count
     }
 
-    /// Returns the status of an object; null if it has none.
+    /// Returns the status of an object, or null.
     pub fn status(&self, kind: &str, name: &str) -> Value {
         let key = (kind.to_owned(), name.to_owned());
         self.state().objects.get(&key).map_or(Value::Null, |o| o.status.clone())
@@ -141,44 +143,44 @@
         state.revision += 1;
         let revision = state.revision;
         let key = (kind.to_owned(), name.to_owned());
-        let is_gone = content.is_none();
-        let old = state.objects.remove(&key);
+        let is_deleted = content.is_none();
+        let previous = state.objects.remove(&key);
         let object = Object {
             revision,
-            created: old.as_ref().map_or(revision, |o| o.created),
+            created: previous.as_ref().map_or(revision, |o| o.created),
             content: content.unwrap_or(Value::Null),
-            status: old.map_or(Value::Null, |o| o.status),
+            status: previous.map_or(Value::Null, |o| o.status),
         };
-        if !is_gone {
+        if !is_deleted {
             state.objects.insert(key, object.clone());
         }
         let (kind, name) = (kind.to_owned(), name.to_owned());
-        state.changes.push(ChangedObject { kind, name, object, is_gone });
+        state.changes.push(ObjectChange { kind, name, object, is_deleted });
         drop(state);
-        self.news.send_replace(revision);
+        self.changed.send_replace(revision);
     }
 
-    /// Replaces an object's status if it still has the revision.
+    /// Replaces an object's status if the request names its current revision or none.
     fn put_status(&self, kind: &str, name: &str, body: &[u8]) -> (u16, Value) {
         let body: Value = serde_json::from_slice(body).unwrap_or_default();
         let mut state = self.state();
         let key = (kind.to_owned(), name.to_owned());
-        let newest = state.revision + 1;
+        let new_revision = state.revision + 1;
         let Some(object) = state.objects.get_mut(&key) else { return (404, Value::Null) };
-        let condition = body["metadata"]["revision"].as_u64();
-        if condition.is_some_and(|revision| revision != object.revision) {
-            return (409, object.written(name));
+        let expected = body["metadata"]["revision"].as_u64();
+        if expected.is_some_and(|revision| revision != object.revision) {
+            return (409, object.to_json(name));
         }
         object.status = body["status"].clone();
-        object.revision = newest;
+        object.revision = new_revision;
         let object = object.clone();
-        let written = object.written(name);
-        state.revision = newest;
+        let response = object.to_json(name);
+        state.revision = new_revision;
         let (kind, name) = (kind.to_owned(), name.to_owned());
-        state.changes.push(ChangedObject { kind, name, object, is_gone: false });
+        state.changes.push(ObjectChange { kind, name, object, is_deleted: false });
         drop(state);
-        self.news.send_replace(newest);
-        (200, written)
+        self.changed.send_replace(new_revision);
+        (200, response)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -190,14 +192,14 @@
         if !request.read_body(&mut stream).await {
             return;
         }
-        self.state().calls += 1;
+        self.state().call_count += 1;
         let (status, body) = match door.fault() {
-            Fault::None => self.answer(&request, door).await,
+            Fault::None => self.handle(&request, door).await,
             Fault::Refuse => (503, Value::Null),
             Fault::Silent => std::future::pending().await,
             Fault::Slow(time) => {
                 sleep(time).await;
-                self.answer(&request, door).await
+                self.handle(&request, door).await
             }
             Fault::Lost => return,
         };
@@ -206,11 +208,11 @@
             "HTTP/1.1 {status} -\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        // The instance may have given the call up.
+        // The instance may have cancelled the call.
         drop(stream.write_all((head + &body).as_bytes()).await);
     }
 
-    async fn answer(&self, request: &Message, door: &Door) -> (u16, Value) {
+    async fn handle(&self, request: &Message, door: &Door) -> (u16, Value) {
         let (method, target) = request.request();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let kind = path.strip_prefix("/nutmeggrade/objects/").unwrap_or_default();
@@ -229,47 +231,47 @@
         self.list(kind, after, query.contains_key("allow_stale"))
     }
 
-    fn list(&self, kind: &str, after: &str, may_lag: bool) -> (u16, Value) {
+    fn list(&self, kind: &str, after: &str, allow_stale: bool) -> (u16, Value) {
         let state = self.state();
-        let lagging = state.lagging.clone().filter(|_| may_lag);
-        let listed = lagging.unwrap_or_else(|| state.listed());
-        let of_kind = listed.objects.iter().filter(|((k, n), _)| k == kind && n.as_str() > after);
+        let stale_snapshot = state.stale_snapshot.clone().filter(|_| allow_stale);
+        let snapshot = stale_snapshot.unwrap_or_else(|| state.snapshot());
+        let of_kind = snapshot.objects.iter().filter(|((k, n), _)| k == kind && n.as_str() > after);
         let mut entries: Vec<Value> =
-            of_kind.map(|((_, name), object)| object.written(name)).collect();
-        let has_more = entries.len() > PAGE;
-        entries.truncate(PAGE);
-        (200, json!({ "entries": entries, "has_more": has_more, "at": listed.revision }))
+            of_kind.map(|((_, name), object)| object.to_json(name)).collect();
+        let has_more = entries.len() > PAGE_SIZE;
+        entries.truncate(PAGE_SIZE);
+        (200, json!({ "entries": entries, "has_more": has_more, "at": snapshot.revision }))
     }
 
     async fn watch(&self, kind: &str, since: u64, wait: Duration, door: &Door) -> (u16, Value) {
-        let mut news = self.news.subscribe();
-        let found = async {
+        let mut changed = self.changed.subscribe();
+        let next_changes = async {
             loop {
-                if let Some(answer) = self.changes(kind, since) {
-                    return answer;
+                if let Some(response) = self.changes(kind, since) {
+                    return response;
                 }
-                if news.changed().await.is_err() {
+                if changed.changed().await.is_err() {
                     std::future::pending::<()>().await;
                 }
             }
         };
-        let answer = timeout(wait, found).await;
+        let response = timeout(wait, next_changes).await;
         if door.fault() == Fault::Silent {
             std::future::pending::<()>().await;
         }
         let at = self.state().revision;
-        answer.unwrap_or_else(|_| (200, json!({ "events": [], "at": at })))
+        response.unwrap_or_else(|_| (200, json!({ "events": [], "at": at })))
     }
 
     fn changes(&self, kind: &str, since: u64) -> Option<(u16, Value)> {
         let state = self.state();
-        if since < state.forgotten {
+        if since < state.dropped_revision {
             return Some((410, Value::Null));
         }
         let later = state.changes.iter().filter(|c| c.object.revision > since && c.kind == kind);
-        let event = |c: &ChangedObject| {
-            json!({ "deleted": c.is_gone,
-            "resource_object": c.object.written(&c.name) })
+        let event = |c: &ObjectChange| {
+            json!({ "deleted": c.is_deleted,
+            "resource_object": c.object.to_json(&c.name) })
         };
         let events: Vec<Value> = later.map(event).collect();
         (!events.is_empty()).then(|| (200, json!({ "events": events, "at": state.revision })))
--- a/crates/nutmeggrade-fakes/src/soak/records.rs
+++ b/crates/nutmeggrade-fakes/src/soak/records.rs
@@ -39,7 +39,7 @@
     pub instance: usize,
     /// When the client sent it.
     pub sent: Instant,
-    /// When the client stopped waiting or had the whole response.
+    /// When the exchange ended.
     pub ended: Instant,
     /// Its outcome.
     pub outcome: Outcome,
