--- a/crates/nutmeggrade-fakes/src/rollout.rs
+++ b/crates/nutmeggrade-fakes/src/rollout.rs
@@ -1,13 +1,14 @@
-//! Plays roll-outs in virtual time: instances with the product's own tables and judges, endpoints of two
-//! versions of which one may be bad, links that delay, lose and are cut, and a store that is away at times.
+//! Simulates roll-outs in virtual time: instances with the product's own tables and judges, endpoints of
+//! two versions of which the new one may be defective, links with delay, loss and partitions, and a
+//! store that may be unavailable.
 
 mod endpoints;
+mod evaluation;
 mod instance;
 mod plan;
-mod referee;
+mod simulation;
 mod store;
-mod world;
 
+pub use evaluation::{End, Report};
 pub use plan::{Fault, Flaw, Plan};
-pub use referee::{End, Report};
-pub use world::play;
+pub use simulation::play;
--- a/crates/nutmeggrade-fakes/src/rollout/endpoints.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of both versions.
+//! The simulated endpoints of both versions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,46 +12,47 @@
 
 use super::plan::{Flaw, Plan};
 
-/// Part of the answers that fail whatever the version.
-const BASE_FAILURES: f64 = 0.03;
-/// Routes, and the part of the requests that the second one brings.
+/// Share of the responses that fail at either version.
+const BASE_FAILURE_RATE: f64 = 0.03;
+/// Names of the routes.
 pub const ROUTES: [&str; 2] = ["first", "second"];
-pub const SECOND: f64 = 0.4;
-/// Most events of a stream.
-const MOST_EVENTS: u32 = 440;
-/// Time after the order after which the new endpoints come.
-const COMES: Duration = Duration::from_millis(800);
+/// Share of the requests on the second route.
+pub const SECOND_ROUTE_SHARE: f64 = 0.4;
+/// Maximum number of events in a stream.
+const MAX_EVENTS: u32 = 440;
+/// Time from the order to the registration of the new endpoints.
+const REGISTRATION_DELAY: Duration = Duration::from_millis(800);
 
-/// How one request goes on.
+/// The drawn timing and outcome of one request.
 #[derive(Debug, Clone, Copy)]
-pub struct Course {
-    /// Time to the answer or to the first event.
-    pub first: Duration,
+pub struct RequestProfile {
+    /// Time to the response or to the first event.
+    pub first_response: Duration,
     /// Time between two events of a stream.
-    pub pace: Duration,
-    /// Events of a stream; 0 of other answers.
+    pub event_interval: Duration,
+    /// Number of events of a stream; 0 for other responses.
     pub events: u32,
-    /// Whether it fails at the end of `first`.
+    /// Whether it fails after `first_response`.
     pub fails: bool,
-    /// Whether the version's flaw shows in it.
+    /// Whether the version's defect affects it.
     pub is_flawed: bool,
 }
 
-/// The endpoints of both versions.
+/// The simulated endpoints of both versions.
 #[derive(Debug)]
 pub struct Endpoints {
-    /// Those of the old version, then those of the new one.
+    /// Endpoints of the old version, followed by those of the new one.
     pub all: Vec<EndpointInfo>,
-    /// Requests that each works on.
+    /// Number of running requests by endpoint.
     pub running: Vec<u32>,
     plan: Plan,
-    first: LogNormal<f64>,
-    pace: LogNormal<f64>,
+    response_ms: LogNormal<f64>,
+    interval_ms: LogNormal<f64>,
     events: LogNormal<f64>,
 }
 
 impl Endpoints {
-    /// Makes the endpoints of a plan.
+    /// Creates the endpoints of a plan.
     pub fn new(plan: &Plan, domains: &[DomainId], service: &ServiceId) -> anyhow::Result<Self> {
         let info = |number: usize| {
             let is_new = number >= plan.endpoints;
@@ -75,57 +76,66 @@
             running: vec![0; all.len()],
             all,
             plan: plan.clone(),
-            first: LogNormal::new(median.ln(), 0.5)?,
-            pace: LogNormal::new(33_f64.ln(), 0.2)?,
+            response_ms: LogNormal::new(median.ln(), 0.5)?,
+            interval_ms: LogNormal::new(33_f64.ln(), 0.2)?,
             events: LogNormal::new(150_f64.ln(), 0.8)?,
         })
     }
 
-    /// Says whether an endpoint runs the new version.
+    /// Returns whether an endpoint runs the new version.
     pub fn is_new(&self, number: usize) -> bool {
         number >= self.plan.endpoints
     }
 
-    /// Returns the number of an endpoint.
+    /// Returns the index of an endpoint.
     pub fn number(id: &EndpointId) -> Option<usize> {
         id.as_str().strip_prefix("e-")?.parse().ok()
     }
 
-    /// Lists the endpoints that are registered at a time after the order.
+    /// Returns the endpoints that are registered at `age`, the time since the order.
     pub fn registered(&self, age: Duration) -> &[EndpointInfo] {
-        if age >= COMES { &self.all } else { &self.all[..self.plan.endpoints] }
+        if age >= REGISTRATION_DELAY { &self.all } else { &self.all[..self.plan.endpoints] }
     }
 
-    /// Draws how a request goes on at an endpoint.
-    pub fn draw(&self, number: usize, route: &str, age: Duration, rng: &mut ChaCha8Rng) -> Course {
+    /// Draws the profile of a request at an endpoint.
+    pub fn draw_profile(
+        &self,
+        number: usize,
+        route: &str,
+        age: Duration,
+        rng: &mut ChaCha8Rng,
+    ) -> RequestProfile {
         let load = f64::from(self.running[number]) / f64::from(self.plan.slots);
-        let is_second = route == ROUTES[1];
-        let (fails, slower) = match self.plan.flaw {
+        let is_second_route = route == ROUTES[1];
+        let (failure_rate, slowdown) = match self.plan.flaw {
             _ if !self.is_new(number) => (0.0, None),
             Flaw::None => (0.0, None),
-            Flaw::Fails(part) => (part, None),
-            Flaw::Slow(part, times) => (0.0, rng.random_bool(part).then_some(times)),
-            Flaw::FailsLater(part, after) => {
+            Flaw::Fails(share) => (share, None),
+            Flaw::Slow(share, factor) => (0.0, rng.random_bool(share).then_some(factor)),
+            Flaw::FailsLater(share, after) => {
                 let is_late = age >= self.plan.duration.mul_f64(after);
-                (if is_late { part } else { 0.0 }, None)
+                (if is_late { share } else { 0.0 }, None)
             }
-            Flaw::FailsUnderLoad(part, at) => {
+            Flaw::FailsUnderLoad(share, at) => {
                 let is_loaded = load >= self.plan.usual_load() * at;
-                (if is_loaded { part } else { 0.0 }, None)
+                (if is_loaded { share } else { 0.0 }, None)
             }
-            Flaw::FailsOnRoute(part) => (if is_second { part } else { 0.0 }, None),
+            Flaw::FailsOnRoute(share) => (if is_second_route { share } else { 0.0 }, None),
         };
-        let is_flawed = slower.is_some() || rng.random_bool(fails);
-        let times = slower.unwrap_or(1.0) * (1.0 + load);
-        let first = Duration::from_secs_f64(self.first.sample(rng) * times / 1_000.0);
+        let is_flawed = slowdown.is_some() || rng.random_bool(failure_rate);
+        let factor = slowdown.unwrap_or(1.0) * (1.0 + load);
+        let first_response =
+            Duration::from_secs_f64(self.response_ms.sample(rng) * factor / 1_000.0);
         let length = self.events.sample(rng);
-        let events = (1..MOST_EVENTS).find(|n| f64::from(*n) >= length).unwrap_or(MOST_EVENTS);
-        let is_long = self.plan.is_stream && !is_second;
-        Course {
-            first,
-            pace: Duration::from_secs_f64(self.pace.sample(rng) * times / 1_000.0),
-            events: if is_long { events } else { 0 },
-            fails: (is_flawed && slower.is_none()) || rng.random_bool(BASE_FAILURES),
+        let events = (1..MAX_EVENTS).find(|n| f64::from(*n) >= length).unwrap_or(MAX_EVENTS);
+        let is_streamed = self.plan.is_stream && !is_second_route;
+        RequestProfile {
+            first_response,
+            event_interval: Duration::from_secs_f64(
+                self.interval_ms.sample(rng) * factor / 1_000.0,
+            ),
+            events: if is_streamed { events } else { 0 },
+            fails: (is_flawed && slowdown.is_none()) || rng.random_bool(BASE_FAILURE_RATE),
             is_flawed,
         }
     }
--- a/crates/nutmeggrade-fakes/src/rollout/instance.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/instance.rs
@@ -1,4 +1,4 @@
-//! One instance that serves, as far as a roll-out needs it.
+//! A simulated instance: the product's roll-out table, registry and judge.
 
 use std::time::Duration;
 
@@ -12,39 +12,40 @@
 use super::endpoints::Endpoints;
 use super::plan::Plan;
 
-/// Silence after which the next instance judges.
-const JUDGE_SILENCE: Duration = Duration::from_millis(800);
-/// Silence after which a peer is not heard any more, and after which it is no member any more.
-const SILENCE: Duration = Duration::from_millis(2_500);
-const FORGOTTEN: Duration = Duration::from_secs(30);
+/// Time without heartbeats after which the next instance becomes the judge.
+const JUDGE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time without heartbeats after which a peer no longer counts towards the quorum.
+const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time without heartbeats after which a peer is no longer a member.
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One instance that serves.
+/// A simulated instance.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its name.
+    /// Instance id.
     pub name: InstanceId,
-    /// Number of its failure domain.
+    /// Index of its failure domain.
     pub domain: usize,
-    /// Whether it runs.
+    /// Whether the process is running.
     pub is_up: bool,
-    /// Its life.
+    /// Number of starts so far.
     pub incarnation: u64,
-    /// What it knows of the roll-out.
+    /// Roll-out table.
     pub table: RolloutTable,
-    /// What it knows of the endpoints.
+    /// Endpoint registry.
     pub registry: Registry,
-    /// Requests that it has at the old version.
+    /// Number of its running requests at the old version.
     pub running: u32,
-    /// When it heard each peer last, in this life.
-    pub heard: Vec<Option<Moment>>,
+    /// Time of the last heartbeat from each peer since the last start.
+    pub last_heard: Vec<Option<Moment>>,
     service: ServiceId,
     judge: Option<Judge>,
-    reported: Option<LastReport>,
+    last_report: Option<LastReport>,
 }
 
 impl Instance {
-    /// Starts an instance that knows nothing.
-    pub fn new(number: usize, of: usize, service: &ServiceId) -> anyhow::Result<Self> {
+    /// Creates a running instance with empty tables.
+    pub fn new(number: usize, instances: usize, service: &ServiceId) -> anyhow::Result<Self> {
         Ok(Self {
             name: InstanceId::new(&format!("i-{number:03}"))?,
             domain: number % 3,
@@ -53,26 +54,26 @@
             table: RolloutTable::new(),
             registry: Registry::new(),
             running: 0,
-            heard: vec![None; of],
+            last_heard: vec![None; instances],
             service: service.clone(),
             judge: None,
-            reported: None,
+            last_report: None,
         })
     }
 
-    /// Starts it anew after it was killed.
+    /// Restarts the instance with empty tables.
     pub fn restart(&mut self) {
         self.is_up = true;
         self.incarnation += 1;
         self.table = RolloutTable::new();
         self.registry = Registry::new();
         self.running = 0;
-        self.heard.fill(None);
+        self.last_heard.fill(None);
         self.judge = None;
-        self.reported = None;
+        self.last_report = None;
     }
 
-    /// Puts the phase in force that it knows.
+    /// Updates the registry to the registered endpoints and the table's version rules.
     pub fn refresh(&mut self, endpoints: &Endpoints, age: Duration, now: Moment) {
         let registered = endpoints.registered(age);
         if self.registry.all().count() != registered.len() {
@@ -81,7 +82,8 @@
         self.registry.set_versions(self.table.rules(now));
     }
 
-    /// Lists the endpoints that a request may go to; `draw` is between 0 and 1.
+    /// Returns the candidate endpoints of a request. `draw` is a random number between 0 and 1 that
+    /// decides whether the request goes to a canary.
     pub fn candidates(&self, draw: f64, now: Moment) -> Vec<usize> {
         let share = self.table.share(&self.service, now);
         let standing = |e: &Registered| self.registry.standing(&e.info);
@@ -97,13 +99,13 @@
         serving.filter_map(number).collect()
     }
 
-    /// Says whether it is the first of those that it hears.
-    pub fn is_first(&self, own: usize, now: Moment) -> bool {
-        let is_heard = |at: &Option<Moment>| at.is_some_and(|at| now.since(at) <= JUDGE_SILENCE);
-        !self.heard[..own].iter().any(is_heard)
+    /// Returns whether it is the judge: no instance with a lower number sends heartbeats.
+    pub fn is_judge(&self, own_number: usize, now: Moment) -> bool {
+        let is_alive = |at: &Option<Moment>| at.is_some_and(|at| now.since(at) <= JUDGE_TIMEOUT);
+        !self.last_heard[..own_number].iter().any(is_alive)
     }
 
-    /// Decides how far the roll-out goes; returns what peers are told at once.
+    /// Evaluates the roll-out as its judge; returns the notice to broadcast, if the state changed.
     pub fn decide(
         &mut self,
         peers: &[InstanceId],
@@ -112,48 +114,49 @@
         now: Moment,
     ) -> Option<RolloutNotice> {
         let view = self.table.view(&self.service, now).filter(|v| !v.phase.is_over())?;
-        let within = |silence| {
-            let is_so = move |at: &Option<Moment>| at.is_some_and(|at| now.since(at) <= silence);
-            self.heard.iter().enumerate().filter(move |(_, at)| is_so(at)).map(|(i, _)| i)
+        let heard_within = |timeout| {
+            let is_alive = move |at: &Option<Moment>| at.is_some_and(|at| now.since(at) <= timeout);
+            self.last_heard.iter().enumerate().filter(move |(_, at)| is_alive(at)).map(|(i, _)| i)
         };
-        let members: Vec<&InstanceId> = within(FORGOTTEN).map(|i| &peers[i]).collect();
+        let members: Vec<&InstanceId> = heard_within(MEMBER_TIMEOUT).map(|i| &peers[i]).collect();
         let load = |info: &EndpointInfo| EndpointLoad {
             slots: info.slots,
             running: Endpoints::number(&info.id).map_or(0, |number| endpoints.running[number]),
             own: 0,
             is_movable: plan.is_stream,
         };
-        let seen = ServiceLoad::new(&self.registry, (&self.service, &view.id.version), load, now);
-        let facts = RolloutInputs {
+        let service_load =
+            ServiceLoad::new(&self.registry, (&self.service, &view.id.version), load, now);
+        let inputs = RolloutInputs {
             age: view.age,
             duration: view.duration,
             phase: view.phase,
             tally: view.tally,
-            capacity: seen.capacity,
-            movable: seen.movable,
-            has_quorum: (1 + within(SILENCE).count()) * 2 > 1 + members.len(),
+            capacity: service_load.capacity,
+            movable: service_load.movable,
+            has_quorum: (1 + heard_within(PEER_TIMEOUT).count()) * 2 > 1 + members.len(),
             is_clear: self.table.is_clear(&self.service, self.running, members.into_iter()),
         };
         let judge = self.judge.get_or_insert_with(|| Judge::new(plan.bound));
-        let ruling = judge.rule(&facts);
+        let ruling = judge.rule(&inputs);
         self.table.rule(&self.service, &ruling, now)
     }
 
-    /// Leaves the judging to another instance.
+    /// Drops the judge state, because another instance is the judge.
     pub fn stop_judging(&mut self) {
         self.judge = None;
         self.table.stop_granting();
     }
 
-    /// Returns a report if one is due.
+    /// Returns the next report to the judge, if one is due.
     pub fn report(&mut self, now: Moment) -> Option<RolloutReport> {
         let own = (&self.name, self.incarnation);
         let report = self.table.report(&self.service, own, self.running)?;
-        let fresh = LastReport::new(&report, now);
-        if self.reported.is_some_and(|last| !last.is_outdated_by(&fresh)) {
+        let next = LastReport::new(&report, now);
+        if self.last_report.is_some_and(|last| !last.is_outdated_by(&next)) {
             return None;
         }
-        self.reported = Some(fresh);
+        self.last_report = Some(next);
         Some(report)
     }
 }
--- a/crates/nutmeggrade-fakes/src/rollout/plan.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/plan.rs
@@ -1,4 +1,4 @@
-//! What a roll-out is played with.
+//! The parameters of a simulated roll-out.
 
 use std::time::Duration;
 
@@ -6,98 +6,98 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What is wrong with the new version.
+/// The defect of the new version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Flaw {
-    /// Nothing.
+    /// No defect.
     None,
-    /// This part of the answers fails.
+    /// This share of the responses fails.
     Fails(f64),
-    /// This part of the answers takes so many times as long.
+    /// This share of the responses takes this many times as long.
     Slow(f64, f64),
-    /// This part of the answers fails after this part of the time.
+    /// This share of the responses fails after this share of the order's duration.
     FailsLater(f64, f64),
-    /// This part of the answers fails while the endpoint has this part of its usual load.
+    /// This share of the responses fails while the endpoint has at least this multiple of its usual load.
     FailsUnderLoad(f64, f64),
-    /// This part of the answers of one route fails.
+    /// This share of the responses on one route fails.
     FailsOnRoute(f64),
 }
 
-/// What happens meanwhile.
+/// The fault injected during a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// The instance that judges is killed and comes back.
+    /// The instance that judges the roll-out is killed and restarted.
     JudgeKilled,
-    /// A failure domain is cut off from the others.
+    /// A failure domain is partitioned from the others.
     DomainCut,
-    /// The store answers nobody for six seconds.
+    /// The store is unavailable for six seconds.
     StoreAway,
-    /// All instances are killed and come back.
+    /// All instances are killed and restarted.
     AllKilled,
 }
 
 impl Fault {
-    /// Every fault.
+    /// Every variant, in the order of declaration.
     pub const ALL: [Self; 5] =
         [Self::None, Self::JudgeKilled, Self::DomainCut, Self::StoreAway, Self::AllKilled];
 }
 
-/// What a roll-out is played with.
+/// The parameters of a simulated roll-out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Decides everything that is drawn.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Endpoints of each version.
+    /// Number of endpoints of each version.
     pub endpoints: usize,
-    /// Requests that an endpoint works on at a time.
+    /// Concurrent requests per endpoint.
     pub slots: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Whether answers are long streams that can move.
+    /// Whether responses are long streams that can move to another endpoint.
     pub is_stream: bool,
-    /// Time in which the order has to be decided.
+    /// Time within which the roll-out must be decided.
     pub duration: Duration,
-    /// When the fault begins, after the order.
+    /// Time from the order to the fault.
     pub fault_at: Duration,
-    /// The fault.
+    /// The injected fault.
     pub fault: Fault,
-    /// What is wrong with the new version.
+    /// Defect of the new version.
     pub flaw: Flaw,
-    /// What a bad version may get.
+    /// Limit on the requests that a defective version may get.
     pub bound: ExposureBound,
 }
 
 impl Plan {
-    /// Draws a plan for a fleet of so many instances.
+    /// Draws a plan for a fleet of `instances` instances.
     pub fn draw(seed: u64, instances: usize, fault: Fault, is_bad: bool) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let is_stream = rng.random_bool(0.5);
-        // Requests a second and endpoints as on the deployments of that size.
-        let (streams, calls, engines, servers) = match instances {
+        // Request rates and endpoint counts of the deployments of that size.
+        let (stream_rate, call_rate, engines, services) = match instances {
             0..=10 => (11.0, 40.0, 12, 3),
             11..=30 => (14.0, 45.0, 12, 3),
             _ => (54.0, 111.0, 44, 5),
         };
         let duration = Duration::from_secs(rng.random_range(12..40));
-        let part = rng.random_range(0.25..0.8);
+        let share = rng.random_range(0.25..0.8);
         let flaws = [
-            Flaw::Fails(part),
-            Flaw::Slow(part, rng.random_range(3.0..8.0)),
-            Flaw::FailsLater(part, rng.random_range(0.2..0.6)),
-            Flaw::FailsUnderLoad(part, rng.random_range(0.3..1.0)),
-            Flaw::FailsOnRoute(part),
+            Flaw::Fails(share),
+            Flaw::Slow(share, rng.random_range(3.0..8.0)),
+            Flaw::FailsLater(share, rng.random_range(0.2..0.6)),
+            Flaw::FailsUnderLoad(share, rng.random_range(0.3..1.0)),
+            Flaw::FailsOnRoute(share),
         ];
         let flaw = flaws[rng.random_range(0..flaws.len())];
         Self {
             seed,
             instances,
-            endpoints: if is_stream { engines } else { servers },
+            endpoints: if is_stream { engines } else { services },
             slots: if is_stream { 24 } else { 6 },
-            rate: if is_stream { streams } else { calls },
+            rate: if is_stream { stream_rate } else { call_rate },
             is_stream,
             duration,
             fault_at: duration.mul_f64(rng.random_range(0.0..1.1)),
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Returns the part of an endpoint's slots that is usually taken.
+    /// Returns the share of an endpoint's slots that is usually in use.
     pub fn usual_load(&self) -> f64 {
-        let seconds = if self.is_stream { 3.5 } else { 0.07 };
-        self.rate * seconds / (self.endpoints as f64 * f64::from(self.slots))
+        let request_seconds = if self.is_stream { 3.5 } else { 0.07 };
+        self.rate * request_seconds / (self.endpoints as f64 * f64::from(self.slots))
     }
 }
--- a/crates/nutmeggrade-fakes/src/rollout/store.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/store.rs
@@ -1,25 +1,25 @@
-//! The platform's store, as far as a roll-out needs it.
+//! A simulated store that holds the object of one roll-out.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::{RolloutOrder, RolloutPhase, RolloutState, StoredRollout};
 use nutmeggrade_state::rollout::StateChange;
 
-/// The platform's store with one order.
+/// A simulated store that holds the object of one roll-out.
 #[derive(Debug)]
 pub struct Store {
-    /// The order as it lies there.
+    /// The stored object.
     pub object: StoredRollout,
-    /// States in the order in which they were written.
+    /// States with the times of their writes, oldest first.
     pub written: Vec<(RolloutState, Moment)>,
 }
 
 impl Store {
-    /// Makes a store that holds a fresh order.
+    /// Creates a store that holds a new order.
     pub fn new(order: &RolloutOrder) -> Self {
         Self { object: StoredRollout::new(order.clone(), 10, None), written: Vec::new() }
     }
 
-    /// Writes a state if the object still has the revision.
+    /// Writes a state if the change is based on the object's current revision.
     pub fn write(&mut self, change: &StateChange, now: Moment) {
         if change.revision != self.object.revision {
             return;
@@ -30,7 +30,7 @@
         self.written.push((change.state, now));
     }
 
-    /// Returns the phase that the store stands for.
+    /// Returns the phase of the stored object.
     pub fn phase(&self) -> RolloutPhase {
         self.object.phase
     }
