--- a/crates/nutmeggrade-fakes/src/site.rs
+++ b/crates/nutmeggrade-fakes/src/site.rs
@@ -9,8 +9,8 @@
 mod generation;
 mod message;
 mod raw_client;
+mod received_request;
 mod routing;
-mod seen;
 mod store;
 
 pub use behaviour::Behaviour;
@@ -19,6 +19,6 @@
 pub use generation::Generations;
 pub use message::{Answer, Message};
 pub use raw_client::{RawClient, request};
+pub use received_request::ReceivedRequest;
 pub use routing::{Entry, RoutingPlan};
-pub use seen::Seen;
 pub use store::Store;
--- a/crates/nutmeggrade-fakes/src/site/door.rs
+++ b/crates/nutmeggrade-fakes/src/site/door.rs
@@ -17,7 +17,7 @@
     /// Responds after this delay.
     Slow(Duration),
     /// Closes the connection without a response.
-    Lost,
+    DropResponse,
 }
 
 /// A listener of the store with its own address and fault, so that the store can fail for some
--- a/crates/nutmeggrade-fakes/src/site/endpoint.rs
+++ b/crates/nutmeggrade-fakes/src/site/endpoint.rs
@@ -14,7 +14,7 @@
 use super::behaviour::Behaviour;
 use super::generation::Generations;
 use super::message::Message;
-use super::seen::Seen;
+use super::received_request::ReceivedRequest;
 
 /// Duration of the first copy of a generation's cache.
 const FIRST_COPY_TIME: Duration = Duration::from_millis(40);
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 struct State {
     behaviour: Behaviour,
-    received: Vec<Seen>,
+    received: Vec<ReceivedRequest>,
     leaves_ms: Option<u64>,
     open_connections: usize,
     advertised_address: SocketAddr,
@@ -105,7 +105,7 @@
     }
 
     /// Returns the requests received so far, except for reports, health checks and copies.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<ReceivedRequest> {
         self.state().received.clone()
     }
 
@@ -207,7 +207,7 @@
             && !matches!(behaviour, Behaviour::Shed | Behaviour::Misdirect);
         let id = request.header("x-nutmeggrade-attempt-id").unwrap_or_default().to_owned();
         let position = request.header("last-event-id").and_then(|p| p.parse().ok()).unwrap_or(0);
-        self.state().received.push(Seen { message: request, ran, at: Instant::now() });
+        self.state().received.push(ReceivedRequest { message: request, ran, at: Instant::now() });
         if is_misdirected {
             return self.send_empty(stream, 421, "").await;
         }
--- a/crates/nutmeggrade-fakes/src/site/message.rs
+++ b/crates/nutmeggrade-fakes/src/site/message.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Message {
     /// Start line: request line or status line.
-    pub line: String,
+    pub start_line: String,
     /// Headers by lower-case name.
     pub headers: BTreeMap<String, String>,
     /// Body, after decoding of chunks.
@@ -43,13 +43,13 @@
         }
         let text = String::from_utf8(head).context("head")?;
         let mut lines = text.lines();
-        let line = lines.next().unwrap_or_default().to_owned();
+        let start_line = lines.next().unwrap_or_default().to_owned();
         let header = |l: &str| {
             let (name, value) = l.split_once(':')?;
             Some((name.to_ascii_lowercase(), value.trim().to_owned()))
         };
         let headers = lines.filter_map(header).collect();
-        Ok(Some(Self { line, headers, body: Vec::new() }))
+        Ok(Some(Self { start_line, headers, body: Vec::new() }))
     }
 
     /// Returns the value of a header, by lower-case name.
@@ -59,7 +59,7 @@
 
     /// Returns the first two words of the start line: method and target, or protocol and status.
     pub fn request(&self) -> (&str, &str) {
-        let mut words = self.line.split(' ');
+        let mut words = self.start_line.split(' ');
         (words.next().unwrap_or_default(), words.next().unwrap_or_default())
     }
 
--- a/crates/nutmeggrade-fakes/src/site/seen.rs
+++ b/crates/nutmeggrade-fakes/src/site/received_request.rs
@@ -6,7 +6,7 @@
 
 /// A request that an endpoint received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Request head and body.
     pub message: Message,
     /// Whether the endpoint started to execute it.
@@ -15,7 +15,7 @@
     pub at: Instant,
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// Returns whether the request continues a generation from another endpoint's copy.
     pub fn is_continued(&self) -> bool {
         self.message.header("kv-from").is_some()
--- a/crates/nutmeggrade-fakes/src/site/store.rs
+++ b/crates/nutmeggrade-fakes/src/site/store.rs
@@ -201,7 +201,7 @@
                 sleep(time).await;
                 self.handle(&request, door).await
             }
-            Fault::Lost => return,
+            Fault::DropResponse => return,
         };
         let body = body.to_string();
         let head = format!(
--- a/crates/nutmeggrade-fakes/src/soak/action.rs
+++ b/crates/nutmeggrade-fakes/src/soak/action.rs
@@ -84,7 +84,7 @@
         0 => Fault::Refuse,
         1 => Fault::Silent,
         2 => Fault::Slow(Duration::from_millis(rng.random_range(50..1_500))),
-        _ => Fault::Lost,
+        _ => Fault::DropResponse,
     }
 }
 
--- a/crates/nutmeggrade-fakes/src/soak/checker.rs
+++ b/crates/nutmeggrade-fakes/src/soak/checker.rs
@@ -9,7 +9,7 @@
 use super::endpoints::{EVENTS_PER_STREAM, Incarnation};
 use super::plan::Plan;
 use super::records::{ConfigVersion, DisturbanceKind, Outcome, Records, RequestRecord};
-use crate::site::{Answer, Seen};
+use crate::site::{Answer, ReceivedRequest};
 
 /// Time after a disturbance or fault during which time limits still don't apply.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
@@ -47,7 +47,7 @@
     records: &'a Records,
     incarnations: &'a [Incarnation],
     /// By attempt id: the requests that endpoints received, with the index of the incarnation.
-    received: BTreeMap<String, Vec<(usize, Seen)>>,
+    received: BTreeMap<String, Vec<(usize, ReceivedRequest)>>,
     requests: BTreeMap<String, RequestRecord>,
     violations: Vec<String>,
 }
@@ -60,7 +60,7 @@
     log: &Path,
     actions: Vec<String>,
 ) -> anyhow::Result<Verdict> {
-    let mut received: BTreeMap<String, Vec<(usize, Seen)>> = BTreeMap::new();
+    let mut received: BTreeMap<String, Vec<(usize, ReceivedRequest)>> = BTreeMap::new();
     for (n, incarnation) in incarnations.iter().enumerate() {
         for request in incarnation.endpoint.seen() {
             received.entry(request.id().to_owned()).or_default().push((n, request));
@@ -317,7 +317,7 @@
 }
 
 /// Describes how a request was altered on its way to an endpoint, if it was.
-fn find_change(request: &RequestRecord, seen: &Seen) -> Option<String> {
+fn find_change(request: &RequestRecord, seen: &ReceivedRequest) -> Option<String> {
     let (method, target) = seen.message.request();
     if method != "POST" || target != format!("/{}/x", request.route) || seen.message.body != b"body"
     {
