--- a/crates/nutmeggrade-fakes/examples/rollouts.rs
+++ b/crates/nutmeggrade-fakes/examples/rollouts.rs
@@ -22,8 +22,8 @@
 impl Row {
     fn add(&mut self, plan: &Plan, report: &Report) {
         self.plays += 1;
-        self.right += u32::from(report.is_right());
-        self.in_time += u32::from(report.is_right() && report.is_in_time());
+        self.right += u32::from(report.is_correct());
+        self.in_time += u32::from(report.is_correct() && report.is_in_time());
         if report.is_broken() {
             self.broken.push(plan.seed);
         }
@@ -62,7 +62,7 @@
         let fault = Fault::ALL[at / SIZES.len() % Fault::ALL.len()];
         let plan = Plan::draw(seed, SIZES[at % SIZES.len()], fault, at % 2 == 0);
         let report = play(&plan)?;
-        if matches.opt_present("each") && (report.is_broken() || !report.is_right()) {
+        if matches.opt_present("each") && (report.is_broken() || !report.is_correct()) {
             println!("{plan:?} {report:?}");
         }
         let flaw = if plan.flaw == Flaw::None { "good".to_owned() } else { flaw_name(plan.flaw) };
--- a/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns whether the decision is right: a good version completed, a defective one reverted.
-    pub fn is_right(&self) -> bool {
+    pub fn is_correct(&self) -> bool {
         let expected = if self.is_bad { RolloutState::Reverted } else { RolloutState::Completed };
         matches!(self.end, End::Decided(state, _) if state == expected)
     }
--- a/crates/nutmeggrade-fakes/src/rollout/plan.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/plan.rs
@@ -31,17 +31,22 @@
     /// The instance that judges the roll-out is killed and restarted.
     JudgeKilled,
     /// A failure domain is partitioned from the others.
-    DomainCut,
+    DomainPartitioned,
     /// The store is unavailable for six seconds.
-    StoreAway,
+    StoreUnavailable,
     /// All instances are killed and restarted.
     AllKilled,
 }
 
 impl Fault {
     /// Every variant, in the order of declaration.
-    pub const ALL: [Self; 5] =
-        [Self::None, Self::JudgeKilled, Self::DomainCut, Self::StoreAway, Self::AllKilled];
+    pub const ALL: [Self; 5] = [
+        Self::None,
+        Self::JudgeKilled,
+        Self::DomainPartitioned,
+        Self::StoreUnavailable,
+        Self::AllKilled,
+    ];
 }
 
 /// The parameters of a simulated roll-out.
--- a/crates/nutmeggrade-fakes/src/rollout/simulation.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/simulation.rs
@@ -157,7 +157,7 @@
 
     /// Updates an instance's table from the store, unless the store is unavailable.
     fn read_store(&mut self, number: usize, now: Moment) {
-        if now >= ORDERED_AT && !self.is_active(Fault::StoreAway, now, OUTAGE) {
+        if now >= ORDERED_AT && !self.is_active(Fault::StoreUnavailable, now, OUTAGE) {
             let notice = self.instances[number].table.put(&self.store.object, now);
             if let Some(notice) = notice {
                 self.broadcast(number, &notice, now);
@@ -186,7 +186,7 @@
                 self.send(number, judge, Message::Report(Box::new(report.clone())), now);
             }
         }
-        if is_judge && !self.is_active(Fault::StoreAway, now, OUTAGE) {
+        if is_judge && !self.is_active(Fault::StoreUnavailable, now, OUTAGE) {
             for change in self.instances[number].table.unwritten_states() {
                 self.store.write(&change, now);
                 self.read_store(number, now);
@@ -226,8 +226,9 @@
     fn send(&mut self, from: usize, to: usize, message: Message, now: Moment) {
         let is_same_domain = self.instances[from].domain == self.instances[to].domain;
         let crosses_partition = [from, to].into_iter().any(|i| self.instances[i].domain == 1);
-        let is_cut =
-            !is_same_domain && crosses_partition && self.is_active(Fault::DomainCut, now, OUTAGE);
+        let is_cut = !is_same_domain
+            && crosses_partition
+            && self.is_active(Fault::DomainPartitioned, now, OUTAGE);
         if is_cut || self.rng.random_bool(MESSAGE_LOSS) {
             return;
         }
--- a/crates/nutmeggrade-fakes/src/site.rs
+++ b/crates/nutmeggrade-fakes/src/site.rs
@@ -4,7 +4,6 @@
 //! Endpoints and store listeners can be set to fail in the ways that real ones do.
 
 mod behaviour;
-mod door;
 mod endpoint;
 mod generation;
 mod message;
@@ -12,9 +11,9 @@
 mod received_request;
 mod routing;
 mod store;
+mod store_listener;
 
 pub use behaviour::Behaviour;
-pub use door::{Door, Fault};
 pub use endpoint::Endpoint;
 pub use generation::Generations;
 pub use message::{Answer, Message};
@@ -22,3 +21,4 @@
 pub use received_request::ReceivedRequest;
 pub use routing::{Entry, RoutingPlan};
 pub use store::Store;
+pub use store_listener::{Fault, StoreListener};
--- a/crates/nutmeggrade-fakes/src/site/behaviour.rs
+++ b/crates/nutmeggrade-fakes/src/site/behaviour.rs
@@ -16,21 +16,21 @@
     /// Executes the request and closes the connection without a response.
     Close,
     /// Closes every connection without a response, also for health checks, and executes nothing.
-    Deaf,
+    CloseAll,
     /// Executes the request and truncates the response.
     Truncate,
     /// Executes the request and sends a response without a length, delimited by the connection's end.
-    Unframed,
+    CloseDelimited,
     /// Sends part of a response without a length and resets the connection.
-    UnframedReset,
+    CloseDelimitedReset,
     /// Executes the request and sends the response twice.
-    Extra,
+    ExtraResponse,
     /// Responds with the attempt id of another request.
-    Crossed,
+    WrongAttemptId,
     /// Responds with a success that has no signature.
     Unsigned,
     /// Responds with 400 before it has read the request body.
-    Early,
+    EarlyResponse,
     /// Responds with 421, as if the address belonged to another endpoint.
     Misdirect,
     /// Crashes when it starts the request: closes the connection and accepts no other.
--- a/crates/nutmeggrade-fakes/src/site/endpoint.rs
+++ b/crates/nutmeggrade-fakes/src/site/endpoint.rs
@@ -100,7 +100,7 @@
     }
 
     /// Sets the remaining time before it leaves, which its report contains.
-    pub fn leave_in(&self, time: Duration) {
+    pub fn announce_leave(&self, time: Duration) {
         self.state().leaves_ms = u64::try_from(time.as_millis()).ok();
     }
 
@@ -140,10 +140,10 @@
     async fn serve(&self, mut stream: TcpStream) -> anyhow::Result<()> {
         while let Some(mut request) = Message::read_head(&mut stream).await? {
             let behaviour = self.state().behaviour;
-            if behaviour == Behaviour::Deaf {
+            if behaviour == Behaviour::CloseAll {
                 return Ok(());
             }
-            if behaviour == Behaviour::Early {
+            if behaviour == Behaviour::EarlyResponse {
                 return self
                     .send_empty(&mut stream, 400, "X-Nutmeggrade-Not-Executed: 1\r\n")
                     .await;
@@ -245,7 +245,7 @@
             Behaviour::Fail => {
                 send(stream, &self.response(500, id, "Content-Length: 4\r\n", "oops")).await
             }
-            Behaviour::Close | Behaviour::Deaf => anyhow::bail!("closed"),
+            Behaviour::Close | Behaviour::CloseAll => anyhow::bail!("closed"),
             Behaviour::Crash => {
                 self.crashed.send_replace(true);
                 anyhow::bail!("crashed")
@@ -254,16 +254,16 @@
                 send(stream, &response[..response.len() - 3]).await?;
                 anyhow::bail!("truncated")
             }
-            Behaviour::Unframed => {
+            Behaviour::CloseDelimited => {
                 send(stream, &self.response(200, id, "Connection: close\r\n", &body)).await?;
                 anyhow::bail!("closed to end the response")
             }
-            Behaviour::UnframedReset => {
+            Behaviour::CloseDelimitedReset => {
                 send(stream, &self.response(200, id, "Connection: close\r\n", &body[..4])).await?;
                 reset(stream)
             }
-            Behaviour::Extra => send(stream, &(response.clone() + &response)).await,
-            Behaviour::Crossed => {
+            Behaviour::ExtraResponse => send(stream, &(response.clone() + &response)).await,
+            Behaviour::WrongAttemptId => {
                 let other = self.response(200, "another", "Content-Length: 5\r\n", "wrong");
                 send(stream, &other).await
             }
@@ -271,7 +271,7 @@
                 let head = format!("X-Nutmeggrade-Attempt-Id: {id}\r\nContent-Length: 4\r\n");
                 send(stream, &format!("HTTP/1.1 200 OK\r\n{head}\r\nfake")).await
             }
-            Behaviour::Early => anyhow::bail!("already responded"),
+            Behaviour::EarlyResponse => anyhow::bail!("already responded"),
             Behaviour::Hang => {
                 // Waits until the instance closes the connection.
                 let mut byte = [0];
--- a/crates/nutmeggrade-fakes/src/site/generation.rs
+++ b/crates/nutmeggrade-fakes/src/site/generation.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns the largest number of events produced by any running generation.
-    pub fn most_made(&self) -> u64 {
+    pub fn max_generated_events(&self) -> u64 {
         lock(&self.running).values().map(|r| r.events).max().unwrap_or(0)
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Returns the largest number of first copies that were in progress at the same time.
-    pub fn most_copying(&self) -> usize {
+    pub fn max_concurrent_copies(&self) -> usize {
         lock(&self.first_copies).max
     }
 
--- a/crates/nutmeggrade-fakes/src/site/raw_client.rs
+++ b/crates/nutmeggrade-fakes/src/site/raw_client.rs
@@ -57,7 +57,7 @@
     }
 
     /// Reads until at least `min_bytes` have arrived, and returns them.
-    pub async fn read_some(&mut self, min_bytes: usize) -> anyhow::Result<Vec<u8>> {
+    pub async fn read_at_least(&mut self, min_bytes: usize) -> anyhow::Result<Vec<u8>> {
         let mut bytes = Vec::new();
         let read = async {
             while bytes.len() < min_bytes {
--- a/crates/nutmeggrade-fakes/src/site/store.rs
+++ b/crates/nutmeggrade-fakes/src/site/store.rs
@@ -11,8 +11,8 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use super::door::{Door, Fault};
 use super::message::Message;
+use super::store_listener::{Fault, StoreListener};
 
 /// Maximum number of objects on one page of a listing.
 const PAGE_SIZE: usize = 3;
@@ -95,17 +95,17 @@
     }
 
     /// Opens a listener on a free local port.
-    pub async fn door(&self) -> anyhow::Result<Door> {
+    pub async fn store_listener(&self) -> anyhow::Result<StoreListener> {
         let listener = TcpListener::bind("127.0.0.1:0").await.context("bind a store listener")?;
-        let door = Door::new(listener.local_addr()?);
-        let (store, opened) = (self.clone(), door.clone());
+        let store_listener = StoreListener::new(listener.local_addr()?);
+        let (store, opened) = (self.clone(), store_listener.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (store, door) = (store.clone(), opened.clone());
-                tokio::spawn(async move { store.serve(stream, &door).await });
+                let (store, store_listener) = (store.clone(), opened.clone());
+                tokio::spawn(async move { store.serve(stream, &store_listener).await });
             }
         });
-        Ok(door)
+        Ok(store_listener)
     }
 
     /// Creates or replaces an object.
@@ -187,19 +187,19 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn serve(&self, mut stream: TcpStream, door: &Door) {
+    async fn serve(&self, mut stream: TcpStream, store_listener: &StoreListener) {
         let Ok(Some(mut request)) = Message::read_head(&mut stream).await else { return };
         if !request.read_body(&mut stream).await {
             return;
         }
         self.state().call_count += 1;
-        let (status, body) = match door.fault() {
-            Fault::None => self.handle(&request, door).await,
+        let (status, body) = match store_listener.fault() {
+            Fault::None => self.handle(&request, store_listener).await,
             Fault::Refuse => (503, Value::Null),
             Fault::Silent => std::future::pending().await,
             Fault::Slow(time) => {
                 sleep(time).await;
-                self.handle(&request, door).await
+                self.handle(&request, store_listener).await
             }
             Fault::DropResponse => return,
         };
@@ -212,7 +212,7 @@
         drop(stream.write_all((head + &body).as_bytes()).await);
     }
 
-    async fn handle(&self, request: &Message, door: &Door) -> (u16, Value) {
+    async fn handle(&self, request: &Message, store_listener: &StoreListener) -> (u16, Value) {
         let (method, target) = request.request();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let kind = path.strip_prefix("/nutmeggrade/objects/").unwrap_or_default();
@@ -225,7 +225,7 @@
             query.split('&').filter_map(|p| p.split_once('=')).collect();
         if let Some(since) = query.get("watcher").and_then(|w| w.parse().ok()) {
             let wait = query.get("wait_ms").and_then(|w| w.parse().ok()).unwrap_or(0);
-            return self.watch(kind, since, Duration::from_millis(wait), door).await;
+            return self.watch(kind, since, Duration::from_millis(wait), store_listener).await;
         }
         let after = query.get("after").copied().unwrap_or_default();
         self.list(kind, after, query.contains_key("allow_stale"))
@@ -243,7 +243,13 @@
         (200, json!({ "entries": entries, "has_more": has_more, "at": snapshot.revision }))
     }
 
-    async fn watch(&self, kind: &str, since: u64, wait: Duration, door: &Door) -> (u16, Value) {
+    async fn watch(
+        &self,
+        kind: &str,
+        since: u64,
+        wait: Duration,
+        store_listener: &StoreListener,
+    ) -> (u16, Value) {
         let mut changed = self.changed.subscribe();
         let next_changes = async {
             loop {
@@ -256,7 +262,7 @@
             }
         };
         let response = timeout(wait, next_changes).await;
-        if door.fault() == Fault::Silent {
+        if store_listener.fault() == Fault::Silent {
             std::future::pending::<()>().await;
         }
         let at = self.state().revision;
--- a/crates/nutmeggrade-fakes/src/site/door.rs
+++ b/crates/nutmeggrade-fakes/src/site/store_listener.rs
@@ -23,13 +23,13 @@
 /// A listener of the store with its own address and fault, so that the store can fail for some
 /// instances and serve the others.
 #[derive(Debug, Clone)]
-pub struct Door {
+pub struct StoreListener {
     /// Address on which it listens.
     pub address: SocketAddr,
     fault: Arc<Mutex<Fault>>,
 }
 
-impl Door {
+impl StoreListener {
     /// Creates the handle of a listener, without a fault.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, fault: Arc::default() }
--- a/crates/nutmeggrade-fakes/src/soak/endpoints.rs
+++ b/crates/nutmeggrade-fakes/src/soak/endpoints.rs
@@ -126,7 +126,7 @@
         let (id, entry) = self.entry(slot);
         let endpoint = lock(&self.incarnations)[incarnation].endpoint.clone();
         if is_announced {
-            endpoint.leave_in(leave_delay);
+            endpoint.announce_leave(leave_delay);
             self.store.put("servers", &id, entry.with_leaving(true).content());
         } else {
             self.store.remove("servers", &id);
--- a/crates/nutmeggrade-fakes/src/soak/instances.rs
+++ b/crates/nutmeggrade-fakes/src/soak/instances.rs
@@ -17,7 +17,7 @@
 use super::records::{DisturbanceKind, Records};
 use crate::fleet::{Process, logs, programs};
 use crate::http::send;
-use crate::site::{Door, Fault, Store};
+use crate::site::{Fault, Store, StoreListener};
 
 /// Grace period in the instances' settings: the time from SIGTERM to the process's exit.
 const GRACE_PERIOD: Duration = Duration::from_secs(4);
@@ -49,7 +49,7 @@
 struct InstanceHost {
     name: String,
     ip: Ipv4Addr,
-    store_access: Door,
+    store_access: StoreListener,
     settings_file: PathBuf,
     process: Mutex<Option<Process>>,
 }
@@ -74,7 +74,7 @@
             let name = format!("i-{n}");
             let settings_file = directory.join(format!("soak-{seed}-{name}.env"));
             let ip = instance_ip(base, n)?;
-            let store_access = store.door().await?;
+            let store_access = store.store_listener().await?;
             hosts.push(InstanceHost {
                 name,
                 ip,
--- a/crates/nutmeggrade-fakes/src/soak/plan.rs
+++ b/crates/nutmeggrade-fakes/src/soak/plan.rs
@@ -65,7 +65,7 @@
 
     /// Disables the checks of guarantees with a time limit.
     #[must_use]
-    pub const fn untimed(mut self) -> Self {
+    pub const fn without_time_limits(mut self) -> Self {
         self.is_timed = false;
         self
     }
--- a/tests/suite/process/early_signals.rs
+++ b/tests/suite/process/early_signals.rs
@@ -26,11 +26,11 @@
         let (pipe, log) = (folder.join(format!("{name}.pipe")), folder.join(format!("{name}.log")));
         drop(std::fs::remove_file(&pipe));
         mkfifo(&pipe, Mode::S_IRWXU)?;
-        let door = Store::new().door().await?;
+        let store_listener = Store::new().store_listener().await?;
         let mut settings = format!(
             "NUTMEGGRADE_INSTANCE=i-1\nNUTMEGGRADE_DOMAIN=veluwe\nNUTMEGGRADE_PLATFORM={}\n\
              NUTMEGGRADE_GRACE=1\n",
-            door.address
+            store_listener.address
         );
         for listener in ["CLIENT", "READY", "DIRECTORY", "CONTROL", "BEACON", "METRICS"] {
             writeln!(settings, "NUTMEGGRADE_{listener}_ADDRESS=127.0.0.1:0")?;
--- a/tests/suite/random/rollouts.rs
+++ b/tests/suite/random/rollouts.rs
@@ -18,8 +18,8 @@
 cases! {keeps_rules {
     small_calm: 1..5, SMALL[0], Fault::None;
     small_judge_killed: 5..9, SMALL[0], Fault::JudgeKilled;
-    small_domain_cut: 9..13, SMALL[1], Fault::DomainCut;
-    small_store_away: 13..17, SMALL[1], Fault::StoreAway;
+    small_domain_cut: 9..13, SMALL[1], Fault::DomainPartitioned;
+    small_store_away: 13..17, SMALL[1], Fault::StoreUnavailable;
     small_all_killed: 17..21, SMALL[0], Fault::AllKilled;
-    large_domain_cut: 21..23, LARGE, Fault::DomainCut;
+    large_domain_cut: 21..23, LARGE, Fault::DomainPartitioned;
 }}
--- a/tests/suite/relay/clients.rs
+++ b/tests/suite/relay/clients.rs
@@ -96,7 +96,7 @@
         let endpoint = site.endpoint("writers", "e-1", behaviour).await?;
         let mut client = RawClient::connect(site.client()).await?;
         client.send(&request("draft", "a1", "key-1", PROMPT)).await?;
-        client.read_some(400).await?;
+        client.read_at_least(400).await?;
         drop(client);
         until("its connection is closed", async || Ok(endpoint.open() == 0)).await
     });
--- a/tests/suite/relay/config.rs
+++ b/tests/suite/relay/config.rs
@@ -52,14 +52,14 @@
 fn forgotten_history_is_listed_anew() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        site.door.set(Fault::Refuse);
+        site.store_listener.set(Fault::Refuse);
         site.store.put(
             "config",
             "main",
             RoutingPlan { version: 2, ..Default::default() }.content(),
         );
         site.store.forget();
-        site.door.set(Fault::None);
+        site.store_listener.set(Fault::None);
         site.until_metric("config_version", 2).await
     });
 }
@@ -71,16 +71,16 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let door = store.door().await?;
-        door.set(Fault::Refuse);
-        let instance = instance("i-1", &door, "").await?;
+        let store_listener = store.store_listener().await?;
+        store_listener.set(Fault::Refuse);
+        let instance = instance("i-1", &store_listener, "").await?;
         let addresses = instance.addresses();
         let answer = RawClient::ask(addresses.client, "once", "a1", "").await?;
         assert_eq!(answer.status, 503);
         assert!(answer.message.header("retry-after").is_some());
         let ready = get_answer(addresses.ready, "/nutmeggrade/readiness").await?;
         assert_eq!(ready.0, 503);
-        door.set(Fault::None);
+        store_listener.set(Fault::None);
         until("ready", async || {
             Ok(get_answer(addresses.ready, "/nutmeggrade/readiness").await?.0 == 200)
         })
@@ -95,7 +95,7 @@
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         site.endpoint("desk", "e-1", Behaviour::Answer).await?;
-        site.door.set(Fault::Refuse);
+        site.store_listener.set(Fault::Refuse);
         // A call that waits at the store ends as something changes there.
         site.store.put("config", "other", serde_json::Value::Null);
         until(
--- a/tests/suite/relay/endpoints.rs
+++ b/tests/suite/relay/endpoints.rs
@@ -78,7 +78,7 @@
         let site = Site::start(&RoutingPlan::default()).await?;
         let stays = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
         site.endpoint("desk", "e-2", Behaviour::Answer).await?;
-        site.door.set(Fault::Refuse);
+        site.store_listener.set(Fault::Refuse);
         site.store.remove("servers", "e-1");
         site.store.remove("servers", "e-2");
         let away = "store_calls_total{end=\"failed\",kind=\"endpoints\"}";
@@ -86,7 +86,7 @@
             Ok(metric(site.instance.addresses().metrics, away).await? > 0)
         })
         .await?;
-        site.door.set(Fault::None);
+        site.store_listener.set(Fault::None);
         site.store.put("servers", "e-1", Entry::new("desk", stays.address).content());
         site.until_metric("endpoints", 1).await?;
         assert_eq!(ask(&site, "once", "a1").await?.status, 200);
@@ -156,7 +156,7 @@
             let address = format!("127.0.0.1:{}", 20_000 + n).parse()?;
             store.put("servers", &format!("e-{n:03}"), Entry::new("desk", address).content());
         }
-        let instance = instance("i-1", &store.door().await?, "").await?;
+        let instance = instance("i-1", &store.store_listener().await?, "").await?;
         let metrics = instance.addresses().metrics;
         let listed = async || Ok(metric(metrics, "endpoints").await? == 300);
         until("all endpoints are known", listed).await
@@ -183,7 +183,7 @@
         if is_history_gone {
             store.forget();
         }
-        let instance = instance("i-1", &store.door().await?, "").await?;
+        let instance = instance("i-1", &store.store_listener().await?, "").await?;
         let metrics = instance.addresses().metrics;
         until("listed", async || Ok(metric(metrics, "endpoints").await? > 0)).await?;
         assert_eq!(metric(metrics, "endpoints").await?, 9);
--- a/tests/suite/relay/fleet.rs
+++ b/tests/suite/relay/fleet.rs
@@ -4,7 +4,7 @@
 
 use futures::future::join_all;
 use nutmeggrade_fakes::site::{
-    Behaviour, Door, Endpoint, Entry, Fault, Generations, RawClient, RoutingPlan, Store,
+    Behaviour, Endpoint, Entry, Fault, Generations, RawClient, RoutingPlan, Store, StoreListener,
 };
 use nutmeggrade_relay::{Addresses, Instance, LogBuffer};
 use tokio::time::sleep;
@@ -26,10 +26,10 @@
 
 /// Starts an instance whose heartbeats come in at the same port as the first one's, at another
 /// address of the loopback network.
-async fn second(first: &Instance, door: &Door) -> anyhow::Result<Instance> {
+async fn second(first: &Instance, store_listener: &StoreListener) -> anyhow::Result<Instance> {
     let beacon = first.addresses().beacon;
     let own = format!("127.0.0.2:{}", beacon.port());
-    let settings = settings("i-2", door, &first.addresses().control.to_string(), &own)?;
+    let settings = settings("i-2", store_listener, &first.addresses().control.to_string(), &own)?;
     Instance::start(&settings, &LogBuffer::new(), 1).await
 }
 
@@ -37,20 +37,21 @@
 pub struct Pair {
     pub store: Store,
     pub first: Instance,
-    first_door: Door,
+    first_listener: StoreListener,
     pub other: Instance,
-    pub other_door: Door,
+    pub other_listener: StoreListener,
 }
 
 /// Starts two instances and waits until they hear each other.
 pub async fn pair() -> anyhow::Result<Pair> {
     let store = Store::new();
     store.put("config", "main", RoutingPlan::default().content());
-    let (first_door, other_door) = (store.door().await?, store.door().await?);
-    let first = instance("i-1", &first_door, "").await?;
-    let other = second(&first, &other_door).await?;
+    let (first_listener, other_listener) =
+        (store.store_listener().await?, store.store_listener().await?);
+    let first = instance("i-1", &first_listener, "").await?;
+    let other = second(&first, &other_listener).await?;
     until_entries(&other, 2).await?;
-    Ok(Pair { store, first, first_door, other, other_door })
+    Ok(Pair { store, first, first_listener, other, other_listener })
 }
 
 // Instances find each other by one address. One that is stopped is no longer named at once, and one
@@ -60,14 +61,14 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let door = store.door().await?;
-        let first = instance("i-1", &door, "").await?;
-        let other = second(&first, &door).await?;
+        let store_listener = store.store_listener().await?;
+        let first = instance("i-1", &store_listener, "").await?;
+        let other = second(&first, &store_listener).await?;
         until_entries(&first, 2).await?;
         until_entries(&other, 2).await?;
         drop(other);
         until_entries(&first, 1).await?;
-        let other = second(&first, &door).await?;
+        let other = second(&first, &store_listener).await?;
         until_entries(&first, 2).await?;
         let stopping = tokio::spawn(other.stop());
         until_entries(&first, 1).await?;
@@ -81,8 +82,8 @@
 #[test]
 fn instance_that_is_turned_away_learns_from_its_peer() {
     run(async {
-        let Pair { store, other, other_door, first: _first, .. } = pair().await?;
-        other_door.set(Fault::Refuse);
+        let Pair { store, other, other_listener, first: _first, .. } = pair().await?;
+        other_listener.set(Fault::Refuse);
         let endpoint = Endpoint::start("e-1", Behaviour::Answer, &Generations::default()).await?;
         let plan = RoutingPlan { version: 5, has_late: true, ..RoutingPlan::default() };
         store.put("config", "main", plan.content());
@@ -102,8 +103,8 @@
 #[test]
 fn silent_watch_is_noticed_by_a_peers_news() {
     run(async {
-        let Pair { store, other, other_door, first: _first, .. } = pair().await?;
-        other_door.set(Fault::Silent);
+        let Pair { store, other, other_listener, first: _first, .. } = pair().await?;
+        other_listener.set(Fault::Silent);
         store.put("config", "main", RoutingPlan { version: 3, ..Default::default() }.content());
         let metrics = other.addresses().metrics;
         until("the newer version", async || Ok(metric(metrics, "config_version").await? == 3)).await
@@ -115,12 +116,12 @@
 #[test]
 fn what_a_listing_finds_is_handed_on() {
     run(async {
-        let Pair { store, other, other_door, first: _first, .. } = pair().await?;
+        let Pair { store, other, other_listener, first: _first, .. } = pair().await?;
         let endpoint = Endpoint::start("e-1", Behaviour::Answer, &Generations::default()).await?;
         store.put("servers", "e-1", Entry::new("desk", endpoint.address).content());
         let metrics = other.addresses().metrics;
         until("known", async || Ok(metric(metrics, "endpoints").await? == 1)).await?;
-        other_door.set(Fault::Silent);
+        other_listener.set(Fault::Silent);
         store.remove("servers", "e-1");
         store.forget();
         until("gone", async || Ok(metric(metrics, "endpoints").await? == 0)).await
@@ -131,7 +132,7 @@
 #[test]
 fn hundreds_that_a_listing_finds_gone_are_handed_on() {
     run(async {
-        let Pair { store, other, other_door, first, .. } = pair().await?;
+        let Pair { store, other, other_listener, first, .. } = pair().await?;
         let name = |n: u16| format!("an-endpoint-with-a-long-name-{n:03}");
         for n in 0..400 {
             let address = format!("127.0.0.1:{}", 20_000 + n).parse()?;
@@ -141,7 +142,7 @@
             let metrics = instance.addresses().metrics;
             until("known", async || Ok(metric(metrics, "endpoints").await? == 400)).await?;
         }
-        other_door.set(Fault::Silent);
+        other_listener.set(Fault::Silent);
         (0..400).for_each(|n| store.remove("servers", &name(n)));
         store.forget();
         let metrics = other.addresses().metrics;
@@ -157,15 +158,15 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let first = instance("i-1", &store.door().await?, "").await?;
+        let first = instance("i-1", &store.store_listener().await?, "").await?;
         let all = join(&first, &store).await?;
-        for ((instance, door), version) in all.iter().zip(2..) {
+        for ((instance, store_listener), version) in all.iter().zip(2..) {
             let Addresses { metrics, client, .. } = instance.addresses();
-            door.set(Fault::Refuse);
+            store_listener.set(Fault::Refuse);
             store.put("config", "main", RoutingPlan { version, ..Default::default() }.content());
             let newest = async || Ok(metric(metrics, "config_version").await? == version);
             until("the newest version, from a peer", newest).await?;
-            door.set(Fault::None);
+            store_listener.set(Fault::None);
             let absent =
                 async || Ok(RawClient::ask(client, "nowhere", "a1", "").await?.status == 404);
             until("told that there is no such route", absent).await?;
@@ -176,14 +177,14 @@
 
 /// Starts eight more instances beside the first, each with its own way into the store, and waits until
 /// each hears all others.
-async fn join(first: &Instance, store: &Store) -> anyhow::Result<Vec<(Instance, Door)>> {
+async fn join(first: &Instance, store: &Store) -> anyhow::Result<Vec<(Instance, StoreListener)>> {
     let (beacon, control) = (first.addresses().beacon, first.addresses().control);
     let mut all = Vec::new();
     for n in 2..=9 {
         let own = format!("127.0.0.{n}:{}", beacon.port());
-        let door = store.door().await?;
-        let settings = settings(&format!("i-{n}"), &door, &control.to_string(), &own)?;
-        all.push((Instance::start(&settings, &LogBuffer::new(), 1).await?, door));
+        let store_listener = store.store_listener().await?;
+        let settings = settings(&format!("i-{n}"), &store_listener, &control.to_string(), &own)?;
+        all.push((Instance::start(&settings, &LogBuffer::new(), 1).await?, store_listener));
     }
     for (instance, _) in &all {
         let metrics = instance.addresses().metrics;
@@ -199,10 +200,10 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let door = store.door().await?;
-        let first = instance("i-1", &door, "").await?;
+        let store_listener = store.store_listener().await?;
+        let first = instance("i-1", &store_listener, "").await?;
         let mut all = join(&first, &store).await?;
-        all.push((first, door));
+        all.push((first, store_listener));
         let endpoint = Endpoint::start("e-1", Behaviour::Answer, &Generations::default()).await?;
         store.put("servers", "e-1", Entry::new("desk", endpoint.address).content());
         let all_have = async |name, value| {
@@ -292,7 +293,7 @@
 fn breaking_endpoint_is_told_to_peers(service: &str, route: &str) {
     run(async {
         let pair = pair().await?;
-        known(&pair, service, Behaviour::Deaf).await?;
+        known(&pair, service, Behaviour::CloseAll).await?;
         let client = pair.first.addresses().client;
         let lost = RawClient::ask(client, route, "a1", PROMPT).await?;
         assert_eq!(lost.status, 502);
@@ -348,8 +349,8 @@
         let engine = known(&pair, "writers", Behaviour::Answer).await?;
         engine.kill();
         until_gone(&engine).await?;
-        pair.first_door.set(Fault::Refuse);
-        pair.other_door.set(Fault::Refuse);
+        pair.first_listener.set(Fault::Refuse);
+        pair.other_listener.set(Fault::Refuse);
         let told = async |instance: &Instance| {
             metric(instance.addresses().metrics, "told_gone_total").await
         };
@@ -371,8 +372,8 @@
             let name = format!("store_calls_total{{end=\"{end}\",kind=\"endpoints\"}}");
             metric(instance.addresses().metrics, &name).await
         };
-        pair.first_door.set(Fault::Refuse);
-        pair.other_door.set(Fault::Refuse);
+        pair.first_listener.set(Fault::Refuse);
+        pair.other_listener.set(Fault::Refuse);
         let mut answered = Vec::new();
         for instance in both {
             until("the store is missed", async || Ok(calls(instance, "failed").await? > 0)).await?;
@@ -380,8 +381,8 @@
         }
         pair.store.remove("servers", "e-1");
         pair.store.forget();
-        pair.first_door.set(Fault::None);
-        pair.other_door.set(Fault::None);
+        pair.first_listener.set(Fault::None);
+        pair.other_listener.set(Fault::None);
         for (instance, before) in both.into_iter().zip(answered) {
             until("it lists", async || Ok(calls(instance, "ok").await? > before)).await?;
         }
--- a/tests/suite/relay/memory.rs
+++ b/tests/suite/relay/memory.rs
@@ -28,11 +28,11 @@
     let mut plan = RoutingPlan::default().content();
     plan["limits"]["header_timeout_ms"] = 60_000.into();
     store.put("config", "main", plan);
-    let door = store.door().await?;
+    let store_listener = store.store_listener().await?;
     let mut settings = format!(
         "NUTMEGGRADE_INSTANCE=i-1\nNUTMEGGRADE_DOMAIN=veluwe\nNUTMEGGRADE_PLATFORM={}\n\
          NUTMEGGRADE_MEMORY={MEMORY_MB}\nNUTMEGGRADE_DESCRIPTORS={DESCRIPTORS}\n",
-        door.address
+        store_listener.address
     );
     for listener in ["CLIENT", "READY", "DIRECTORY", "CONTROL", "BEACON", "METRICS"] {
         writeln!(settings, "NUTMEGGRADE_{listener}_ADDRESS=127.0.0.1:0")?;
--- a/tests/suite/relay/moves.rs
+++ b/tests/suite/relay/moves.rs
@@ -13,7 +13,7 @@
 /// Asks for a stream and waits until the engine runs it.
 async fn begin(site: &Site, route: &str, engine: &Endpoint) -> anyhow::Result<RawClient> {
     let client = generation(site.client(), route, "a1", engine).await?;
-    engine.leave_in(Duration::from_millis(600));
+    engine.announce_leave(Duration::from_millis(600));
     Ok(client)
 }
 
@@ -90,12 +90,12 @@
             clients.push(generation(site.client(), "draft", id, &first).await?);
         }
         site.endpoint("writers", "e-2", stream).await?;
-        first.leave_in(Duration::from_secs(2));
+        first.announce_leave(Duration::from_secs(2));
         drain(&site, &first);
         for client in &mut clients {
             comes_whole(client, 150).await?;
         }
-        assert_eq!(site.generations.most_copying(), 1);
+        assert_eq!(site.generations.max_concurrent_copies(), 1);
         Ok(())
     });
 }
@@ -114,7 +114,7 @@
             clients.push(generation(site.client(), "draft", id, &first).await?);
         }
         let second = site.endpoint("writers", "e-2", stream).await?;
-        first.leave_in(Duration::from_millis(100));
+        first.announce_leave(Duration::from_millis(100));
         drain(&site, &first);
         for client in &mut clients {
             comes_whole(client, 150).await?;
@@ -151,10 +151,10 @@
         let site = Site::start(&RoutingPlan::default()).await?;
         let (mut client, engines) = begin_of_three(&site).await?;
         let metrics = site.instance.addresses().metrics;
-        site.door.set(Fault::Refuse);
+        site.store_listener.set(Fault::Refuse);
         until("the store is missed", async || Ok(metric(metrics, FAILED).await? > 0)).await?;
         site.store.remove("servers", "e-1");
-        site.door.set(Fault::None);
+        site.store_listener.set(Fault::None);
         until_moved(&engines).await?;
         assert_eq!(metric(metrics, "endpoints").await?, 3);
         assert!(client.answer().await?.is_whole);
@@ -171,8 +171,8 @@
         let site = Site::start(&RoutingPlan::default()).await?;
         let (mut client, engines) = begin_of_three(&site).await?;
         let metrics = site.instance.addresses().metrics;
-        site.door.set(Fault::Silent);
-        engines[0].leave_in(Duration::from_secs(2));
+        site.store_listener.set(Fault::Silent);
+        engines[0].announce_leave(Duration::from_secs(2));
         until_moved(&engines).await?;
         assert_eq!(metric(metrics, FAILED).await?, 0);
         assert!(client.answer().await?.is_whole);
--- a/tests/suite/relay/outcomes.rs
+++ b/tests/suite/relay/outcomes.rs
@@ -32,15 +32,15 @@
 // comes back, and its request then runs a second time if the first did run.
 cases! {told {
     once_answered: "once", Behaviour::Answer, 200, 1;
-    once_unframed: "once", Behaviour::Unframed, 200, 1;
-    once_with_extra_bytes: "once", Behaviour::Extra, 200, 1;
+    once_unframed: "once", Behaviour::CloseDelimited, 200, 1;
+    once_with_extra_bytes: "once", Behaviour::ExtraResponse, 200, 1;
     once_shed: "once", Behaviour::Shed, 503, 0;
-    once_early: "once", Behaviour::Early, 503, 0;
+    once_early: "once", Behaviour::EarlyResponse, 503, 0;
     once_failed: "once", Behaviour::Fail, 500, 1;
     once_closed: "once", Behaviour::Close, 502, 1;
     once_truncated: "once", Behaviour::Truncate, 502, 1;
-    once_reset_without_length: "once", Behaviour::UnframedReset, 502, 1;
-    once_crossed: "once", Behaviour::Crossed, 502, 1;
+    once_reset_without_length: "once", Behaviour::CloseDelimitedReset, 502, 1;
+    once_crossed: "once", Behaviour::WrongAttemptId, 502, 1;
     once_unsigned: "once", Behaviour::Unsigned, 502, 1;
     once_misdirected: "once", Behaviour::Misdirect, 503, 0;
     read_failed: "read", Behaviour::Fail, 500, 2;
--- a/tests/suite/relay/rollouts.rs
+++ b/tests/suite/relay/rollouts.rs
@@ -138,7 +138,7 @@
         let (site, _, new) = versions().await?;
         let load = Load::start(&site, "once");
         until("a part goes to the new version", async || Ok(new.seen().len() > 2)).await?;
-        site.door.set(Fault::Refuse);
+        site.store_listener.set(Fault::Refuse);
         new.set(Behaviour::Fail);
         let mut before = usize::MAX;
         until("it gets no more", async || {
@@ -148,7 +148,7 @@
         })
         .await?;
         assert_eq!(state(&site, "desk"), "in_progress v2");
-        site.door.set(Fault::None);
+        site.store_listener.set(Fault::None);
         until_state(&site, "desk", "reverted v2").await?;
         load.stop().await?;
         Ok(())
@@ -166,7 +166,7 @@
         load.stop().await?;
         new.set(Behaviour::Fail);
         let exposed = new.seen().len();
-        site.instance = rolling("i-1", &site.door, 2).await?;
+        site.instance = rolling("i-1", &site.store_listener, 2).await?;
         site.until_metric("config_version", 1).await?;
         site.until_metric("endpoints", 1).await?;
         for number in 0..10 {
@@ -198,7 +198,7 @@
         until("the generation moves", async || {
             let mut seen = new.seen().into_iter();
             // What goes on there is as long as it was.
-            new.set(if site.generations.most_copying() > 0 { long } else { short });
+            new.set(if site.generations.max_concurrent_copies() > 0 { long } else { short });
             Ok(seen.any(|s| s.id() == "a1"))
         })
         .await?;
--- a/tests/suite/relay/site.rs
+++ b/tests/suite/relay/site.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use nutmeggrade_fakes::site::{
-    Behaviour, Door, Endpoint, Entry, Generations, RawClient, RoutingPlan, Store, request,
+    Behaviour, Endpoint, Entry, Generations, RawClient, RoutingPlan, Store, StoreListener, request,
 };
 use nutmeggrade_relay::{Instance, LogBuffer, Settings};
 
@@ -14,7 +14,7 @@
 /// The platform, its endpoints and one instance.
 pub struct Site {
     pub store: Store,
-    pub door: Door,
+    pub store_listener: StoreListener,
     pub generations: Generations,
     pub instance: Instance,
 }
@@ -24,9 +24,9 @@
     pub async fn start(plan: &RoutingPlan) -> anyhow::Result<Self> {
         let store = Store::new();
         store.put("config", "main", plan.content());
-        let door = store.door().await?;
-        let instance = instance("i-1", &door, "").await?;
-        let site = Self { store, door, generations: Generations::default(), instance };
+        let store_listener = store.store_listener().await?;
+        let instance = instance("i-1", &store_listener, "").await?;
+        let site = Self { store, store_listener, generations: Generations::default(), instance };
         site.until_metric("config_version", plan.version).await?;
         Ok(site)
     }
@@ -35,9 +35,9 @@
     pub async fn start_rolling(plan: &RoutingPlan) -> anyhow::Result<Self> {
         let store = Store::new();
         store.put("config", "main", plan.content());
-        let door = store.door().await?;
-        let instance = rolling("i-1", &door, 1).await?;
-        let site = Self { store, door, generations: Generations::default(), instance };
+        let store_listener = store.store_listener().await?;
+        let instance = rolling("i-1", &store_listener, 1).await?;
+        let site = Self { store, store_listener, generations: Generations::default(), instance };
         site.until_metric("config_version", plan.version).await?;
         Ok(site)
     }
@@ -97,32 +97,45 @@
 }
 
 /// Starts a life of an instance that follows roll-outs.
-pub async fn rolling(name: &str, door: &Door, incarnation: u64) -> anyhow::Result<Instance> {
-    let mut args = arguments(name, door, "", "127.0.0.1:0");
+pub async fn rolling(
+    name: &str,
+    store_listener: &StoreListener,
+    incarnation: u64,
+) -> anyhow::Result<Instance> {
+    let mut args = arguments(name, store_listener, "", "127.0.0.1:0");
     args.extend(["--exposure-share=0.1".to_owned(), "--exposure-tolerance=50".to_owned()]);
     Instance::start(&load(&args)?, &LogBuffer::new(), incarnation).await
 }
 
 /// Starts an instance that reads the store through a door.
-pub async fn instance(name: &str, door: &Door, seeds: &str) -> anyhow::Result<Instance> {
-    let settings = settings(name, door, seeds, "127.0.0.1:0")?;
+pub async fn instance(
+    name: &str,
+    store_listener: &StoreListener,
+    seeds: &str,
+) -> anyhow::Result<Instance> {
+    let settings = settings(name, store_listener, seeds, "127.0.0.1:0")?;
     Instance::start(&settings, &LogBuffer::new(), 1).await
 }
 
 /// Makes the settings of an instance whose heartbeats come in at `beacon`.
-pub fn settings(name: &str, door: &Door, seeds: &str, beacon: &str) -> anyhow::Result<Settings> {
-    load(&arguments(name, door, seeds, beacon))
+pub fn settings(
+    name: &str,
+    store_listener: &StoreListener,
+    seeds: &str,
+    beacon: &str,
+) -> anyhow::Result<Settings> {
+    load(&arguments(name, store_listener, seeds, beacon))
 }
 
 fn load(args: &[String]) -> anyhow::Result<Settings> {
     Settings::load(args, None).map_err(|mistakes| anyhow::anyhow!("{mistakes:?}"))
 }
 
-fn arguments(name: &str, door: &Door, seeds: &str, beacon: &str) -> Vec<String> {
+fn arguments(name: &str, store_listener: &StoreListener, seeds: &str, beacon: &str) -> Vec<String> {
     let mut args = vec![
         format!("--instance={name}"),
         "--domain=veluwe".to_owned(),
-        format!("--platform={}", door.address),
+        format!("--platform={}", store_listener.address),
         format!("--seeds={seeds}"),
         format!("--beacon-address={beacon}"),
         "--grace=4".to_owned(),
--- a/tests/suite/relay/store.rs
+++ b/tests/suite/relay/store.rs
@@ -20,7 +20,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let instance = instance("i-1", &store.door().await?, "").await?;
+        let instance = instance("i-1", &store.store_listener().await?, "").await?;
         let metrics = instance.addresses().metrics;
         let calls = async |kind: &str, reason: &str| {
             let labels = format!("kind=\"{kind}\",reason=\"{reason}\"");
@@ -40,11 +40,11 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let door = store.door().await?;
-        let instance = instance("i-1", &door, "").await?;
+        let store_listener = store.store_listener().await?;
+        let instance = instance("i-1", &store_listener, "").await?;
         let metrics = instance.addresses().metrics;
         until("ready", async || Ok(metric(metrics, "config_version").await? > 0)).await?;
-        door.set(Fault::Refuse);
+        store_listener.set(Fault::Refuse);
         let failed = async |kind: &str| {
             metric(metrics, &format!("store_calls_total{{end=\"failed\",kind=\"{kind}\"}}")).await
         };
@@ -52,7 +52,7 @@
         assert!(failed("config").await? + failed("evacuations").await? <= 5);
         let newest = RoutingPlan { version: 4, ..RoutingPlan::default() };
         store.put("config", "main", newest.content());
-        door.set(Fault::None);
+        store_listener.set(Fault::None);
         until("read again", async || Ok(metric(metrics, "config_version").await? == 4)).await
     });
 }
@@ -61,13 +61,13 @@
 #[test]
 fn outage_is_over_while_endpoints_change() {
     run(async {
-        let Pair { store, first, other, other_door, .. } = pair().await?;
+        let Pair { store, first, other, other_listener, .. } = pair().await?;
         let lapses = async |instance: &Instance| {
             let known = known_endpoints(instance).await?;
             Ok::<_, anyhow::Error>(known["lapses"].clone())
         };
         until("in steady state", async || Ok(lapses(&other).await? == false)).await?;
-        other_door.set(Fault::Refuse);
+        other_listener.set(Fault::Refuse);
         until("the store is away", async || Ok(lapses(&other).await? == true)).await?;
         let address = "127.0.0.1:9".parse()?;
         let mut number = 0;
@@ -76,7 +76,7 @@
             store.put("servers", &format!("e-{number}"), Entry::new("desk", address).content());
         };
         change();
-        other_door.set(Fault::None);
+        other_listener.set(Fault::None);
         for instance in [&first, &other] {
             until("the outage is over", async || {
                 change();
@@ -112,14 +112,14 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let door = store.door().await?;
-        let instance = instance("i-1", &door, "").await?;
+        let store_listener = store.store_listener().await?;
+        let instance = instance("i-1", &store_listener, "").await?;
         let lapses = async || {
             let known = known_endpoints(&instance).await?;
             Ok::<_, anyhow::Error>(known["lapses"].clone())
         };
         until("in steady state", async || Ok(lapses().await? == false)).await?;
-        door.set(Fault::Refuse);
+        store_listener.set(Fault::Refuse);
         until("the store is away", async || Ok(lapses().await? == true)).await
     });
 }
--- a/tests/suite/relay/streams.rs
+++ b/tests/suite/relay/streams.rs
@@ -56,7 +56,11 @@
         let first = site.endpoint("writers", "e-1", stream).await?;
         let mut client = RawClient::connect(site.client()).await?;
         client.send(&request("sort", "a1", "key-1", PROMPT)).await?;
-        until("the first has made events", async || Ok(site.generations.most_made() > 5)).await?;
+        until(
+            "the first has made events",
+            async || Ok(site.generations.max_generated_events() > 5),
+        )
+        .await?;
         let second = site.endpoint("writers", "e-2", stream).await?;
         first.kill();
         let answer = client.answer().await?;
--- a/tests/suite/soak.rs
+++ b/tests/suite/soak.rs
@@ -15,7 +15,7 @@
 fn keeps_promises(seed: u64) {
     run(async {
         let slot = SLOTS.acquire().await?;
-        let verdict = soak(&Plan::new(seed).untimed()).await?;
+        let verdict = soak(&Plan::new(seed).without_time_limits()).await?;
         drop(slot);
         let (asked, served) = verdict.asked;
         assert!(verdict.breaks.is_empty(), "{:#?} after {:#?}", verdict.breaks, verdict.acts);
