--- a/crates/nutmeggrade-fakes/examples/rollouts.rs
+++ b/crates/nutmeggrade-fakes/examples/rollouts.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use anyhow::Context;
-use nutmeggrade_fakes::rollout::{End, Fault, Flaw, Plan, Report, play};
+use nutmeggrade_fakes::rollout::{Fault, Flaw, Plan, Report, RolloutEnd, simulate};
 
 const SIZES: [usize; 3] = [7, 18, 70];
 
@@ -27,7 +27,7 @@
         if report.is_broken() {
             self.broken.push(plan.seed);
         }
-        if let End::Decided(_, after) = report.end
+        if let RolloutEnd::Decided(_, after) = report.end
             && !report.is_in_time()
         {
             self.late.push(after.as_secs_f64() - plan.duration.as_secs_f64());
@@ -61,7 +61,7 @@
         let at = usize::try_from(seed)?;
         let fault = Fault::ALL[at / SIZES.len() % Fault::ALL.len()];
         let plan = Plan::draw(seed, SIZES[at % SIZES.len()], fault, at % 2 == 0);
-        let report = play(&plan)?;
+        let report = simulate(&plan)?;
         if matches.opt_present("each") && (report.is_broken() || !report.is_correct()) {
             println!("{plan:?} {report:?}");
         }
--- a/crates/nutmeggrade-fakes/examples/soak.rs
+++ b/crates/nutmeggrade-fakes/examples/soak.rs
@@ -56,7 +56,7 @@
     while let Some((seed, verdict)) = runs.next().await {
         let verdict = verdict.with_context(|| format!("seed {seed}"))?;
         print(seed, &verdict, shows_acts);
-        if !verdict.breaks.is_empty() {
+        if !verdict.violations.is_empty() {
             failed.push(seed);
         }
     }
@@ -68,24 +68,24 @@
 async fn show_all() -> anyhow::Result<()> {
     println!("store, 4 engines, 2 services, 4 instances; clients ask all the while\n");
     let verdict = show(&Plan::new(0)).await?;
-    for act in &verdict.acts {
+    for act in &verdict.actions {
         println!("  {act}");
     }
-    let (asked, served) = verdict.asked;
+    let (asked, served) = verdict.requests;
     println!("\ndemo: {asked} requests, {served} served, by answer {:?}", verdict.outcomes);
-    println!("demo: {} promises broken {:?}", verdict.breaks.len(), verdict.breaks);
-    anyhow::ensure!(verdict.breaks.is_empty(), "the demo did not end as it must");
+    println!("demo: {} promises broken {:?}", verdict.violations.len(), verdict.violations);
+    anyhow::ensure!(verdict.violations.is_empty(), "the demo did not end as it must");
     Ok(())
 }
 
 fn print(seed: u64, verdict: &Verdict, shows_acts: bool) {
-    let (asked, served) = verdict.asked;
+    let (asked, served) = verdict.requests;
     println!("seed {seed}: {asked} asked, {served} served, {:?}", verdict.outcomes);
-    for broken in &verdict.breaks {
+    for broken in &verdict.violations {
         println!("  BROKEN {broken}");
     }
-    if shows_acts || !verdict.breaks.is_empty() {
-        for act in &verdict.acts {
+    if shows_acts || !verdict.violations.is_empty() {
+        for act in &verdict.actions {
             println!("  {act}");
         }
     }
--- a/crates/nutmeggrade-fakes/src/rollout.rs
+++ b/crates/nutmeggrade-fakes/src/rollout.rs
@@ -9,6 +9,6 @@
 mod simulation;
 mod store;
 
-pub use evaluation::{End, Report};
+pub use evaluation::{Report, RolloutEnd};
 pub use plan::{Fault, Flaw, Plan};
-pub use simulation::play;
+pub use simulation::simulate;
--- a/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
@@ -14,7 +14,7 @@
 
 /// The end of a simulated roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum RolloutEnd {
     /// The state that the store recorded, and the time from the order to its write.
     Decided(RolloutState, Duration),
     /// The roll-out was undecided when the simulation ended.
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Report {
     /// State of the roll-out at the end of the simulation.
-    pub end: End,
+    pub end: RolloutEnd,
     /// Number of requests within the order's duration.
     pub requests: u32,
     /// Number of these requests that went to the new version.
@@ -58,12 +58,12 @@
     /// Returns whether the decision is right: a good version completed, a defective one reverted.
     pub fn is_correct(&self) -> bool {
         let expected = if self.is_bad { RolloutState::Reverted } else { RolloutState::Completed };
-        matches!(self.end, End::Decided(state, _) if state == expected)
+        matches!(self.end, RolloutEnd::Decided(state, _) if state == expected)
     }
 
     /// Returns whether the roll-out was decided within the order's duration.
     pub fn is_in_time(&self) -> bool {
-        matches!(self.end, End::Decided(_, after) if after <= self.deadline)
+        matches!(self.end, RolloutEnd::Decided(_, after) if after <= self.deadline)
     }
 }
 
@@ -124,9 +124,9 @@
     pub fn report(&self, written: &[(RolloutState, Moment)], ordered: Moment) -> Report {
         let is_decision = |(state, _): &&(RolloutState, Moment)| *state != RolloutState::InProgress;
         let decision = written.iter().position(|w| is_decision(&w));
-        let end = decision.map_or(End::Open, |at| {
+        let end = decision.map_or(RolloutEnd::Open, |at| {
             let (state, when) = written[at];
-            End::Decided(state, when.since(ordered))
+            RolloutEnd::Decided(state, when.since(ordered))
         });
         let later_writes = decision.map_or(0, |at| written.len() - at - 1);
         Report {
--- a/crates/nutmeggrade-fakes/src/rollout/simulation.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/simulation.rs
@@ -64,7 +64,7 @@
 }
 
 /// Simulates a roll-out until it is decided and its duration is over, or to the time limit.
-pub fn play(plan: &Plan) -> anyhow::Result<Report> {
+pub fn simulate(plan: &Plan) -> anyhow::Result<Report> {
     let mut simulation = Simulation::new(plan)?;
     let end = ORDERED_AT.after(plan.duration + MAX_OVERTIME);
     let (mut now, mut step) = (Moment::ZERO, 0);
--- a/crates/nutmeggrade-fakes/src/site/store.rs
+++ b/crates/nutmeggrade-fakes/src/site/store.rs
@@ -89,13 +89,13 @@
     }
 
     /// Serves the current objects to listings that may be stale, regardless of later changes.
-    pub fn lag(&self) {
+    pub fn freeze_stale_listings(&self) {
         let mut state = self.state();
         state.stale_snapshot = Some(state.snapshot());
     }
 
     /// Opens a listener on a free local port.
-    pub async fn store_listener(&self) -> anyhow::Result<StoreListener> {
+    pub async fn open_listener(&self) -> anyhow::Result<StoreListener> {
         let listener = TcpListener::bind("127.0.0.1:0").await.context("bind a store listener")?;
         let store_listener = StoreListener::new(listener.local_addr()?);
         let (store, opened) = (self.clone(), store_listener.clone());
@@ -119,7 +119,7 @@
     }
 
     /// Drops the change history: a watch from an older revision gets 410.
-    pub fn forget(&self) {
+    pub fn drop_history(&self) {
         let mut state = self.state();
         state.dropped_revision = state.revision;
         state.changes.clear();
--- a/crates/nutmeggrade-fakes/src/soak/checker.rs
+++ b/crates/nutmeggrade-fakes/src/soak/checker.rs
@@ -34,13 +34,13 @@
 #[derive(Debug)]
 pub struct Verdict {
     /// Descriptions of the violated guarantees.
-    pub breaks: Vec<String>,
+    pub violations: Vec<String>,
     /// Number of requests, and of those with a complete successful response.
-    pub asked: (usize, usize),
+    pub requests: (usize, usize),
     /// Number of requests by outcome.
     pub outcomes: BTreeMap<String, usize>,
     /// The faults and operator actions, with their times.
-    pub acts: Vec<String>,
+    pub actions: Vec<String>,
 }
 
 struct Checker<'a> {
@@ -86,10 +86,10 @@
     }
     let served = all_requests.iter().filter(|r| r.outcome.is_served()).count();
     Ok(Verdict {
-        breaks: checker.violations,
-        asked: (all_requests.len(), served),
+        violations: checker.violations,
+        requests: (all_requests.len(), served),
         outcomes,
-        acts: actions,
+        actions,
     })
 }
 
--- a/crates/nutmeggrade-fakes/src/soak/instances.rs
+++ b/crates/nutmeggrade-fakes/src/soak/instances.rs
@@ -74,7 +74,7 @@
             let name = format!("i-{n}");
             let settings_file = directory.join(format!("soak-{seed}-{name}.env"));
             let ip = instance_ip(base, n)?;
-            let store_access = store.store_listener().await?;
+            let store_access = store.open_listener().await?;
             hosts.push(InstanceHost {
                 name,
                 ip,
--- a/crates/nutmeggrade-fakes/src/soak/runner.rs
+++ b/crates/nutmeggrade-fakes/src/soak/runner.rs
@@ -95,7 +95,7 @@
                 for n in 0..instances.count() {
                     records.add_disturbance(n, DisturbanceKind::Store, HISTORY_LOSS_RECOVERY);
                 }
-                self.store.forget();
+                self.store.drop_history();
             }
             Action::FailLink(slot, link, time) => self.endpoints.fail_link(slot, link, time).await,
             Action::Misbehave(slot, behaviour, time) => {
--- a/tests/suite/process/early_signals.rs
+++ b/tests/suite/process/early_signals.rs
@@ -26,7 +26,7 @@
         let (pipe, log) = (folder.join(format!("{name}.pipe")), folder.join(format!("{name}.log")));
         drop(std::fs::remove_file(&pipe));
         mkfifo(&pipe, Mode::S_IRWXU)?;
-        let store_listener = Store::new().store_listener().await?;
+        let store_listener = Store::new().open_listener().await?;
         let mut settings = format!(
             "NUTMEGGRADE_INSTANCE=i-1\nNUTMEGGRADE_DOMAIN=veluwe\nNUTMEGGRADE_PLATFORM={}\n\
              NUTMEGGRADE_GRACE=1\n",
--- a/tests/suite/random/rollouts.rs
+++ b/tests/suite/random/rollouts.rs
@@ -1,6 +1,6 @@
 //! Roll-outs of drawn versions, with drawn faults.
 
-use nutmeggrade_fakes::rollout::{Fault, Plan, play};
+use nutmeggrade_fakes::rollout::{Fault, Plan, simulate};
 
 const SMALL: [usize; 2] = [7, 18];
 const LARGE: usize = 70;
@@ -9,7 +9,7 @@
 fn keeps_rules(seeds: std::ops::Range<u64>, instances: usize, fault: Fault) {
     for seed in seeds {
         let plan = Plan::draw(seed, instances, fault, seed % 2 == 0);
-        let report = play(&plan).expect("play");
+        let report = simulate(&plan).expect("play");
         assert!(!report.is_broken(), "{plan:?} {report:?}");
     }
 }
--- a/tests/suite/relay/config.rs
+++ b/tests/suite/relay/config.rs
@@ -58,7 +58,7 @@
             "main",
             RoutingPlan { version: 2, ..Default::default() }.content(),
         );
-        site.store.forget();
+        site.store.drop_history();
         site.store_listener.set(Fault::None);
         site.until_metric("config_version", 2).await
     });
@@ -71,7 +71,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let store_listener = store.store_listener().await?;
+        let store_listener = store.open_listener().await?;
         store_listener.set(Fault::Refuse);
         let instance = instance("i-1", &store_listener, "").await?;
         let addresses = instance.addresses();
--- a/tests/suite/relay/endpoints.rs
+++ b/tests/suite/relay/endpoints.rs
@@ -156,7 +156,7 @@
             let address = format!("127.0.0.1:{}", 20_000 + n).parse()?;
             store.put("servers", &format!("e-{n:03}"), Entry::new("desk", address).content());
         }
-        let instance = instance("i-1", &store.store_listener().await?, "").await?;
+        let instance = instance("i-1", &store.open_listener().await?, "").await?;
         let metrics = instance.addresses().metrics;
         let listed = async || Ok(metric(metrics, "endpoints").await? == 300);
         until("all endpoints are known", listed).await
@@ -176,14 +176,14 @@
         for n in 0..10 {
             store.put("servers", &format!("e-{n:02}"), entry(n).content());
         }
-        store.lag();
+        store.freeze_stale_listings();
         store.put("servers", "e-08", entry(8).with_leaving(true).content());
         store.remove("servers", "e-09");
         store.put("servers", "e-10", entry(10).content());
         if is_history_gone {
-            store.forget();
+            store.drop_history();
         }
-        let instance = instance("i-1", &store.store_listener().await?, "").await?;
+        let instance = instance("i-1", &store.open_listener().await?, "").await?;
         let metrics = instance.addresses().metrics;
         until("listed", async || Ok(metric(metrics, "endpoints").await? > 0)).await?;
         assert_eq!(metric(metrics, "endpoints").await?, 9);
--- a/tests/suite/relay/fleet.rs
+++ b/tests/suite/relay/fleet.rs
@@ -47,7 +47,7 @@
     let store = Store::new();
     store.put("config", "main", RoutingPlan::default().content());
     let (first_listener, other_listener) =
-        (store.store_listener().await?, store.store_listener().await?);
+        (store.open_listener().await?, store.open_listener().await?);
     let first = instance("i-1", &first_listener, "").await?;
     let other = second(&first, &other_listener).await?;
     until_entries(&other, 2).await?;
@@ -61,7 +61,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let store_listener = store.store_listener().await?;
+        let store_listener = store.open_listener().await?;
         let first = instance("i-1", &store_listener, "").await?;
         let other = second(&first, &store_listener).await?;
         until_entries(&first, 2).await?;
@@ -123,7 +123,7 @@
         until("known", async || Ok(metric(metrics, "endpoints").await? == 1)).await?;
         other_listener.set(Fault::Silent);
         store.remove("servers", "e-1");
-        store.forget();
+        store.drop_history();
         until("gone", async || Ok(metric(metrics, "endpoints").await? == 0)).await
     });
 }
@@ -144,7 +144,7 @@
         }
         other_listener.set(Fault::Silent);
         (0..400).for_each(|n| store.remove("servers", &name(n)));
-        store.forget();
+        store.drop_history();
         let metrics = other.addresses().metrics;
         until("gone", async || Ok(metric(metrics, "endpoints").await? == 0)).await
     });
@@ -158,7 +158,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let first = instance("i-1", &store.store_listener().await?, "").await?;
+        let first = instance("i-1", &store.open_listener().await?, "").await?;
         let all = join(&first, &store).await?;
         for ((instance, store_listener), version) in all.iter().zip(2..) {
             let Addresses { metrics, client, .. } = instance.addresses();
@@ -182,7 +182,7 @@
     let mut all = Vec::new();
     for n in 2..=9 {
         let own = format!("127.0.0.{n}:{}", beacon.port());
-        let store_listener = store.store_listener().await?;
+        let store_listener = store.open_listener().await?;
         let settings = settings(&format!("i-{n}"), &store_listener, &control.to_string(), &own)?;
         all.push((Instance::start(&settings, &LogBuffer::new(), 1).await?, store_listener));
     }
@@ -200,7 +200,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let store_listener = store.store_listener().await?;
+        let store_listener = store.open_listener().await?;
         let first = instance("i-1", &store_listener, "").await?;
         let mut all = join(&first, &store).await?;
         all.push((first, store_listener));
@@ -380,7 +380,7 @@
             answered.push(calls(instance, "ok").await?);
         }
         pair.store.remove("servers", "e-1");
-        pair.store.forget();
+        pair.store.drop_history();
         pair.first_listener.set(Fault::None);
         pair.other_listener.set(Fault::None);
         for (instance, before) in both.into_iter().zip(answered) {
--- a/tests/suite/relay/memory.rs
+++ b/tests/suite/relay/memory.rs
@@ -28,7 +28,7 @@
     let mut plan = RoutingPlan::default().content();
     plan["limits"]["header_timeout_ms"] = 60_000.into();
     store.put("config", "main", plan);
-    let store_listener = store.store_listener().await?;
+    let store_listener = store.open_listener().await?;
     let mut settings = format!(
         "NUTMEGGRADE_INSTANCE=i-1\nNUTMEGGRADE_DOMAIN=veluwe\nNUTMEGGRADE_PLATFORM={}\n\
          NUTMEGGRADE_MEMORY={MEMORY_MB}\nNUTMEGGRADE_DESCRIPTORS={DESCRIPTORS}\n",
--- a/tests/suite/relay/site.rs
+++ b/tests/suite/relay/site.rs
@@ -24,7 +24,7 @@
     pub async fn start(plan: &RoutingPlan) -> anyhow::Result<Self> {
         let store = Store::new();
         store.put("config", "main", plan.content());
-        let store_listener = store.store_listener().await?;
+        let store_listener = store.open_listener().await?;
         let instance = instance("i-1", &store_listener, "").await?;
         let site = Self { store, store_listener, generations: Generations::default(), instance };
         site.until_metric("config_version", plan.version).await?;
@@ -35,7 +35,7 @@
     pub async fn start_rolling(plan: &RoutingPlan) -> anyhow::Result<Self> {
         let store = Store::new();
         store.put("config", "main", plan.content());
-        let store_listener = store.store_listener().await?;
+        let store_listener = store.open_listener().await?;
         let instance = rolling("i-1", &store_listener, 1).await?;
         let site = Self { store, store_listener, generations: Generations::default(), instance };
         site.until_metric("config_version", plan.version).await?;
@@ -107,7 +107,7 @@
     Instance::start(&load(&args)?, &LogBuffer::new(), incarnation).await
 }
 
-/// Starts an instance that reads the store through a door.
+/// Starts an instance that reads the store through a listener.
 pub async fn instance(
     name: &str,
     store_listener: &StoreListener,
--- a/tests/suite/relay/store.rs
+++ b/tests/suite/relay/store.rs
@@ -20,7 +20,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let instance = instance("i-1", &store.store_listener().await?, "").await?;
+        let instance = instance("i-1", &store.open_listener().await?, "").await?;
         let metrics = instance.addresses().metrics;
         let calls = async |kind: &str, reason: &str| {
             let labels = format!("kind=\"{kind}\",reason=\"{reason}\"");
@@ -40,7 +40,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let store_listener = store.store_listener().await?;
+        let store_listener = store.open_listener().await?;
         let instance = instance("i-1", &store_listener, "").await?;
         let metrics = instance.addresses().metrics;
         until("ready", async || Ok(metric(metrics, "config_version").await? > 0)).await?;
@@ -112,7 +112,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let store_listener = store.store_listener().await?;
+        let store_listener = store.open_listener().await?;
         let instance = instance("i-1", &store_listener, "").await?;
         let lapses = async || {
             let known = known_endpoints(&instance).await?;
--- a/tests/suite/soak.rs
+++ b/tests/suite/soak.rs
@@ -17,8 +17,13 @@
         let slot = SLOTS.acquire().await?;
         let verdict = soak(&Plan::new(seed).without_time_limits()).await?;
         drop(slot);
-        let (asked, served) = verdict.asked;
-        assert!(verdict.breaks.is_empty(), "{:#?} after {:#?}", verdict.breaks, verdict.acts);
+        let (asked, served) = verdict.requests;
+        assert!(
+            verdict.violations.is_empty(),
+            "{:#?} after {:#?}",
+            verdict.violations,
+            verdict.actions
+        );
         assert!(served > 0 && asked > served, "{served} of {asked} served");
         Ok(())
     });
