--- a/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
@@ -8,7 +8,7 @@
 use super::plan::{Flaw, Plan};
 
 /// Number of defective responses after which the new version must be rolled back.
-const MAX_BAD_RESPONSES: u32 = 50;
+const ROLLBACK_THRESHOLD: u32 = 50;
 /// Limit from that response to the last request at the new version.
 const ROLLBACK_LIMIT: Duration = Duration::from_secs(5);
 
@@ -110,7 +110,7 @@
     /// Counts a response that shows the defect.
     pub fn count_bad_response(&mut self, age: Duration) {
         self.bad_responses += 1;
-        if self.bad_responses >= MAX_BAD_RESPONSES {
+        if self.bad_responses >= ROLLBACK_THRESHOLD {
             self.rollback_due.get_or_insert(age);
         }
     }
