--- a/crates/nutmeggrade-fakes/examples/rollouts.rs
+++ b/crates/nutmeggrade-fakes/examples/rollouts.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use anyhow::Context;
-use nutmeggrade_fakes::rollout::{End, Fault, Flaw, Plan, Report, play};
+use nutmeggrade_fakes::rollout::{Fault, Flaw, Plan, Report, RolloutEnd, simulate};
 
 const FLEET_SIZES: [usize; 3] = [7, 18, 70];
 
@@ -22,12 +22,12 @@
 impl Summary {
     fn record(&mut self, plan: &Plan, report: &Report) {
         self.plays += 1;
-        self.right += u32::from(report.is_right());
-        self.in_time += u32::from(report.is_right() && report.is_in_time());
+        self.right += u32::from(report.is_correct());
+        self.in_time += u32::from(report.is_correct() && report.is_in_time());
         if report.is_broken() {
             self.broken.push(plan.seed);
         }
-        if let End::Decided(_, after) = report.end
+        if let RolloutEnd::Decided(_, after) = report.end
             && !report.is_in_time()
         {
             self.delays_s.push(after.as_secs_f64() - plan.duration.as_secs_f64());
@@ -62,8 +62,8 @@
         let index = usize::try_from(seed)?;
         let fault = Fault::ALL[index / FLEET_SIZES.len() % Fault::ALL.len()];
         let plan = Plan::draw(seed, FLEET_SIZES[index % FLEET_SIZES.len()], fault, index % 2 == 0);
-        let report = play(&plan)?;
-        if matches.opt_present("each") && (report.is_broken() || !report.is_right()) {
+        let report = simulate(&plan)?;
+        if matches.opt_present("each") && (report.is_broken() || !report.is_correct()) {
             println!("{plan:?} {report:?}");
         }
         let category =
--- a/crates/nutmeggrade-fakes/examples/soak.rs
+++ b/crates/nutmeggrade-fakes/examples/soak.rs
@@ -57,7 +57,7 @@
     while let Some((seed, verdict)) = runs.next().await {
         let verdict = verdict.with_context(|| format!("seed {seed}"))?;
         print_verdict(seed, &verdict, shows_acts);
-        if !verdict.breaks.is_empty() {
+        if !verdict.violations.is_empty() {
             failed.push(seed);
         }
     }
@@ -69,24 +69,24 @@
 async fn run_show() -> anyhow::Result<()> {
     println!("store, 4 engines, 2 services, 4 instances; clients ask all the while\n");
     let verdict = show(&Plan::new(0)).await?;
-    for act in &verdict.acts {
+    for act in &verdict.actions {
         println!("  {act}");
     }
-    let (asked, served) = verdict.asked;
+    let (asked, served) = verdict.requests;
     println!("\ndemo: {asked} requests, {served} served, by answer {:?}", verdict.outcomes);
-    println!("demo: {} promises broken {:?}", verdict.breaks.len(), verdict.breaks);
-    anyhow::ensure!(verdict.breaks.is_empty(), "a guarantee was violated");
+    println!("demo: {} promises broken {:?}", verdict.violations.len(), verdict.violations);
+    anyhow::ensure!(verdict.violations.is_empty(), "a guarantee was violated");
     Ok(())
 }
 
 fn print_verdict(seed: u64, verdict: &Verdict, shows_acts: bool) {
-    let (asked, served) = verdict.asked;
+    let (asked, served) = verdict.requests;
     println!("seed {seed}: {asked} asked, {served} served, {:?}", verdict.outcomes);
-    for violation in &verdict.breaks {
+    for violation in &verdict.violations {
         println!("  BROKEN {violation}");
     }
-    if shows_acts || !verdict.breaks.is_empty() {
-        for act in &verdict.acts {
+    if shows_acts || !verdict.violations.is_empty() {
+        for act in &verdict.actions {
             println!("  {act}");
         }
     }
--- a/crates/nutmeggrade-fakes/src/site.rs
+++ b/crates/nutmeggrade-fakes/src/site.rs
@@ -1,24 +1,24 @@
-//! Stand-ins of a deployment's platform: its store, its endpoints and its clients.
+//! Stand-ins for a deployment's platform: its store, its endpoints and its clients.
 //!
-//! They speak the platform's own messages, so that an instance that serves routes can be tested as
-//! it runs. Endpoints have switches for what real ones do wrong.
+//! They use the platform's own protocols, so that a complete instance can be tested over the network.
+//! Endpoints and store listeners can be set to fail in the ways that real ones do.
 
 mod behaviour;
-mod door;
 mod endpoint;
 mod generation;
 mod message;
 mod raw_client;
+mod received_request;
 mod routing;
-mod seen;
 mod store;
+mod store_listener;
 
 pub use behaviour::Behaviour;
-pub use door::{Door, Fault};
 pub use endpoint::Endpoint;
 pub use generation::Generations;
 pub use message::{Answer, Message};
 pub use raw_client::{RawClient, request};
+pub use received_request::ReceivedRequest;
 pub use routing::{Entry, RoutingPlan};
-pub use seen::Seen;
 pub use store::Store;
+pub use store_listener::{Fault, StoreListener};
--- a/tests/suite/random/rollouts.rs
+++ b/tests/suite/random/rollouts.rs
@@ -1,6 +1,6 @@
 //! Simulated roll-outs of randomly generated versions with injected faults.
 
-use nutmeggrade_fakes::rollout::{Fault, Plan, play};
+use nutmeggrade_fakes::rollout::{Fault, Plan, simulate};
 
 const SMALL_FLEETS: [usize; 2] = [7, 18];
 const LARGE_FLEET: usize = 70;
@@ -10,7 +10,7 @@
 fn keeps_rules(seeds: std::ops::Range<u64>, instances: usize, fault: Fault) {
     for seed in seeds {
         let plan = Plan::draw(seed, instances, fault, seed % 2 == 0);
-        let report = play(&plan).expect("play");
+        let report = simulate(&plan).expect("play");
         assert!(!report.is_broken(), "{plan:?} {report:?}");
     }
 }
@@ -20,8 +20,8 @@
 cases! {keeps_rules {
     small_calm: 1..5, SMALL_FLEETS[0], Fault::None;
     small_judge_killed: 5..9, SMALL_FLEETS[0], Fault::JudgeKilled;
-    small_domain_cut: 9..13, SMALL_FLEETS[1], Fault::DomainCut;
-    small_store_away: 13..17, SMALL_FLEETS[1], Fault::StoreAway;
+    small_domain_cut: 9..13, SMALL_FLEETS[1], Fault::DomainPartitioned;
+    small_store_away: 13..17, SMALL_FLEETS[1], Fault::StoreUnavailable;
     small_all_killed: 17..21, SMALL_FLEETS[0], Fault::AllKilled;
-    large_domain_cut: 21..23, LARGE_FLEET, Fault::DomainCut;
+    large_domain_cut: 21..23, LARGE_FLEET, Fault::DomainPartitioned;
 }}
--- a/tests/suite/soak.rs
+++ b/tests/suite/soak.rs
@@ -17,10 +17,15 @@
 fn keeps_promises(seed: u64) {
     run(async {
         let slot = SLOTS.acquire().await?;
-        let verdict = soak(&Plan::new(seed).untimed()).await?;
+        let verdict = soak(&Plan::new(seed).without_time_limits()).await?;
         drop(slot);
-        let (requested, served) = verdict.asked;
-        assert!(verdict.breaks.is_empty(), "{:#?} after {:#?}", verdict.breaks, verdict.acts);
+        let (requested, served) = verdict.requests;
+        assert!(
+            verdict.violations.is_empty(),
+            "{:#?} after {:#?}",
+            verdict.violations,
+            verdict.actions
+        );
         assert!(served > 0 && requested > served, "{served} of {requested} served");
         Ok(())
     });
