--- a/tests/suite/relay.rs
+++ b/tests/suite/relay.rs
@@ -1,4 +1,5 @@
-//! An instance that serves routes, against stand-ins of the platform, its endpoints and clients.
+//! Tests of an instance that serves routes, with fakes of the platform, the endpoints and the
+//! clients.
 
 mod answer_body;
 mod clients;
@@ -21,11 +22,11 @@
 use nutmeggrade_fakes::site::{Answer, RawClient};
 use site::Site;
 
-/// Asks for `/ROUTE/x` and returns the answer.
+/// Sends a request to `/ROUTE/x` and returns the response.
 async fn ask(site: &Site, route: &str, id: &str) -> anyhow::Result<Answer> {
     RawClient::ask(site.client(), route, id, "X-Nutmeggrade-Deadline-Ms: 20000\r\n").await
 }
 
 /// Headers of a request that carries a prompt.
-const PROMPT: &str = "X-Nutmeggrade-Deadline-Ms: 20000\r\nX-Nutmeggrade-Model-Name: m\r\n\
+const PROMPT_HEADERS: &str = "X-Nutmeggrade-Deadline-Ms: 20000\r\nX-Nutmeggrade-Model-Name: m\r\n\
      X-Nutmeggrade-Token-Count: 100,80\r\n";
--- a/tests/suite/relay/answer_body.rs
+++ b/tests/suite/relay/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer that comes in pieces.
+//! Answer bodies that are streamed in pieces.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -9,23 +9,23 @@
 
 const EVENT: &[u8] = b"id: 1\n\n";
 
-// A client reads slowly, so that pieces of its answer wait for it and there is no room for more. The
-// endpoint dies, and whoever passes the answer on can say no more. What the client gets must end as one
-// that broke off; it took a truncated answer for the whole one.
+// A client reads slowly, so that pieces of its answer fill the channel. The endpoint dies, and the
+// sender is dropped before it can send an end. The body has to end with an error; without it the
+// client took a truncated answer for a complete one.
 #[test]
-fn end_without_a_word_is_no_whole_answer() {
+fn missing_end_is_an_error() {
     run(async {
         let (sender, receiver) = mpsc::channel(1);
         sender.send(Piece::Bytes(Bytes::from_static(EVENT))).await?;
         drop(sender);
         let collected = AnswerBody::Pieces(receiver).collect().await;
-        assert!(collected.is_err(), "looks complete");
+        assert!(collected.is_err(), "a body without an end looks complete");
         Ok(())
     });
 }
 
 #[test]
-fn whole_answer_ends() {
+fn complete_answer_ends() {
     run(async {
         let (sender, receiver) = mpsc::channel(2);
         sender.send(Piece::Bytes(Bytes::from_static(EVENT))).await?;
--- a/tests/suite/relay/clients.rs
+++ b/tests/suite/relay/clients.rs
@@ -1,15 +1,15 @@
-//! What clients send and when they leave.
+//! Headers, keys and connections of clients.
 
 use nutmeggrade_fakes::site::{Behaviour, RawClient, RoutingPlan, request};
 
 use super::site::Site;
-use super::{PROMPT, ask};
+use super::{PROMPT_HEADERS, ask};
 use crate::support::{run, until};
 
-// Headers that only the system sets come from a client. Passed on, they would name another
-// workspace or reserve an engine's memory.
+// A client sends headers that only the system may set. If they were forwarded, they would name
+// another workspace or reserve memory of an engine.
 #[test]
-fn forged_headers_and_the_key_stay_here() {
+fn forged_headers_and_key_are_not_forwarded() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let endpoint = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
@@ -31,8 +31,8 @@
     });
 }
 
-// The endpoint is told how long the answer is still waited for, which is never longer than the
-// client's time.
+// The endpoint gets the remaining time of the request, which is never longer than the deadline of
+// the client.
 #[test]
 fn endpoints_hear_the_time_that_is_left() {
     run(async {
@@ -47,8 +47,8 @@
     });
 }
 
-/// Checks the status of a request with a path and a key.
-fn refused(route: &str, key: &str, status: u16) {
+/// Checks the status of a request to a route with a key.
+fn checks_route_and_key(route: &str, key: &str, status: u16) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let endpoint = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
@@ -60,49 +60,49 @@
     });
 }
 
-cases! {refused {
+cases! {checks_route_and_key {
     known: "once", "key-1", 200;
     no_route: "nowhere", "key-1", 404;
     unknown_key: "once", "key-9", 401;
 }}
 
-// The client closes its connection while its request runs. The endpoint must learn of it, or it
-// works on for nobody.
-fn endpoint_learns(route: &str, service: &str) {
+// The client closes its connection while its request runs. The connection to the endpoint has to be
+// closed, or the endpoint keeps working on an answer that nobody reads.
+fn client_disconnect_reaches_endpoint(route: &str, service: &str) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let endpoint = site.endpoint(service, "e-1", Behaviour::Hang).await?;
         let mut client = RawClient::connect(site.client()).await?;
-        client.send(&request(route, "a1", "key-1", PROMPT)).await?;
-        until("the endpoint has it", async || Ok(endpoint.runs("a1") == 1)).await?;
+        client.send(&request(route, "a1", "key-1", PROMPT_HEADERS)).await?;
+        until("the endpoint runs the request", async || Ok(endpoint.runs("a1") == 1)).await?;
         assert_eq!(endpoint.open(), 1);
         drop(client);
-        until("its connection is closed", async || Ok(endpoint.open() == 0)).await
+        until("the connection to the endpoint is closed", async || Ok(endpoint.open() == 0)).await
     });
 }
 
-cases! {endpoint_learns {
+cases! {client_disconnect_reaches_endpoint {
     of_a_call: "once", "desk";
     of_a_stream: "draft", "writers";
 }}
 
-// A stream's client leaves in the middle of its answer.
+// The client of a stream disconnects in the middle of the answer.
 #[test]
-fn endpoint_learns_in_the_middle_of_a_stream() {
+fn client_disconnect_mid_stream_reaches_endpoint() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let pause = std::time::Duration::from_millis(20);
         let behaviour = Behaviour::Stream { events: 100_000, pause };
         let endpoint = site.endpoint("writers", "e-1", behaviour).await?;
         let mut client = RawClient::connect(site.client()).await?;
-        client.send(&request("draft", "a1", "key-1", PROMPT)).await?;
+        client.send(&request("draft", "a1", "key-1", PROMPT_HEADERS)).await?;
         client.read_some(400).await?;
         drop(client);
-        until("its connection is closed", async || Ok(endpoint.open() == 0)).await
+        until("the connection to the endpoint is closed", async || Ok(endpoint.open() == 0)).await
     });
 }
 
-// A client keeps its connection for many requests; each answer is its own.
+// A client reuses its connection for many requests; each response belongs to its request.
 #[test]
 fn kept_connection_serves_in_turn() {
     run(async {
@@ -120,22 +120,22 @@
     });
 }
 
-// Many connections send half a head and nothing more. They are closed after the time that the
-// configuration gives, and others are served meanwhile.
+// Many connections send an incomplete request head. They are closed after the configured timeout,
+// and other clients are served meanwhile.
 #[test]
-fn half_a_head_is_closed() {
+fn incomplete_heads_are_closed() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         site.endpoint("desk", "e-1", Behaviour::Answer).await?;
-        let mut halves = Vec::new();
+        let mut clients = Vec::new();
         for _ in 0..40 {
             let mut client = RawClient::connect(site.client()).await?;
             client.send("POST /once/x HTTP/1.1\r\nHost: d").await?;
-            halves.push(client);
+            clients.push(client);
         }
         assert_eq!(ask(&site, "once", "a1").await?.status, 200);
-        for half in &mut halves {
-            assert!(half.is_closed().await);
+        for client in &mut clients {
+            assert!(client.is_closed().await);
         }
         Ok(())
     });
--- a/tests/suite/relay/config.rs
+++ b/tests/suite/relay/config.rs
@@ -1,4 +1,4 @@
-//! Configurations, keys and the store's absence.
+//! Configurations, keys and outages of the store.
 
 use nutmeggrade_fakes::site::{Behaviour, Fault, RawClient, RoutingPlan, Store, request};
 
@@ -12,8 +12,8 @@
     Ok(client.answer().await?.status)
 }
 
-// A version adds a route and takes a key away; a later listing that is older must not bring the
-// key back.
+// A version adds a route and removes a key. A later listing with an older version must not restore
+// the key.
 #[test]
 fn versions_only_go_forward() {
     run(async {
@@ -33,7 +33,7 @@
     });
 }
 
-// A version can't be read. The one before stays in force.
+// A version that can't be decoded is ignored; the previous version stays in force.
 #[test]
 fn unreadable_version_changes_nothing() {
     run(async {
@@ -46,8 +46,8 @@
     });
 }
 
-// The store forgets its history while nobody watches closely. What changed in the gap is found by
-// a new listing.
+// The store drops its history while no watch is open. Changes in the gap are found by a new
+// listing.
 #[test]
 fn forgotten_history_is_listed_anew() {
     run(async {
@@ -64,10 +64,10 @@
     });
 }
 
-// The store is down from the start. A fresh instance knows no route and must not claim that there
-// is none; it says when to come back.
+// The store is unavailable when the instance starts. Without any configuration the instance must
+// not answer that a route does not exist; it sends a retry time.
 #[test]
-fn start_without_the_store_promises_nothing() {
+fn start_without_the_store_is_not_ready() {
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
@@ -81,27 +81,26 @@
         let ready = get_answer(addresses.ready, "/nutmeggrade/readiness").await?;
         assert_eq!(ready.0, 503);
         door.set(Fault::None);
-        until("ready", async || {
+        until("the instance is ready", async || {
             Ok(get_answer(addresses.ready, "/nutmeggrade/readiness").await?.0 == 200)
         })
         .await
     });
 }
 
-// The store is down. Routes and keys that are known are served; for those that are not, this
-// instance may be behind, so it does not say that there are none.
+// The store is unavailable. Known routes and keys are served; unknown ones may exist in a newer
+// configuration, so the instance does not answer that they do not exist.
 #[test]
-fn outage_serves_what_is_known_and_denies_nothing() {
+fn outage_serves_known_routes_and_answers_503_for_others() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         site.endpoint("desk", "e-1", Behaviour::Answer).await?;
         site.door.set(Fault::Refuse);
-        // A call that waits at the store ends as something changes there.
+        // A change ends a pending watch of the store.
         site.store.put("config", "other", serde_json::Value::Null);
-        until(
-            "the instance has noticed",
-            async || Ok(status(&site, "late", "key-1").await? == 503),
-        )
+        until("the instance has noticed the outage", async || {
+            Ok(status(&site, "late", "key-1").await? == 503)
+        })
         .await?;
         assert_eq!(status(&site, "once", "key-9").await?, 503);
         assert_eq!(ask(&site, "once", "a1").await?.status, 200);
--- a/tests/suite/relay/endpoints.rs
+++ b/tests/suite/relay/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave, vanish, lie or are cold.
+//! Endpoints that leave, disappear, have wrong entries or are cold.
 
 use nutmeggrade_fakes::site::{Behaviour, Entry, Fault, RoutingPlan, Store};
 use serde_json::json;
@@ -7,8 +7,8 @@
 use super::site::{Site, instance, metric};
 use crate::support::{run, until};
 
-// An endpoint says that it leaves. From the moment at which the instance knows, nothing new goes to
-// it, however long it stays.
+// An endpoint is marked as leaving. Once the instance has read this, it sends no new requests to
+// the endpoint, however long the endpoint stays.
 #[test]
 fn leaving_endpoint_gets_nothing_new() {
     run(async {
@@ -27,7 +27,7 @@
     });
 }
 
-// A failure domain is taken out and brought back.
+// A failure domain is taken out of service and brought back.
 #[test]
 fn domain_that_is_out_gets_nothing() {
     run(async {
@@ -44,8 +44,8 @@
     });
 }
 
-// Another program writes into the endpoints' place. Its entries name nothing to use and disturb no
-// other.
+// Another program writes malformed entries among those of the endpoints. They are skipped, and the
+// other entries stay usable.
 #[test]
 fn foreign_entries_are_passed_over() {
     run(async {
@@ -70,33 +70,34 @@
     });
 }
 
-// Entries lapse while the store is away and are written again when it is back. Endpoints that live
-// must not lose their work for that; one that does not come back is gone.
+// Entries lapse while the store is unavailable and are written again when it is back. Endpoints
+// that live must stay in service meanwhile; one whose entry does not come back is removed.
 #[test]
 fn lapsed_entries_get_time_to_come_back() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let stays = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        let returning = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
         site.endpoint("desk", "e-2", Behaviour::Answer).await?;
         site.door.set(Fault::Refuse);
         site.store.remove("servers", "e-1");
         site.store.remove("servers", "e-2");
-        let away = "store_calls_total{end=\"failed\",kind=\"endpoints\"}";
-        until("the store is missed", async || {
-            Ok(metric(site.instance.addresses().metrics, away).await? > 0)
+        let failed_calls = "store_calls_total{end=\"failed\",kind=\"endpoints\"}";
+        until("calls to the store fail", async || {
+            Ok(metric(site.instance.addresses().metrics, failed_calls).await? > 0)
         })
         .await?;
         site.door.set(Fault::None);
-        site.store.put("servers", "e-1", Entry::new("desk", stays.address).content());
+        site.store.put("servers", "e-1", Entry::new("desk", returning.address).content());
         site.until_metric("endpoints", 1).await?;
         assert_eq!(ask(&site, "once", "a1").await?.status, 200);
         Ok(())
     });
 }
 
-// Another endpoint has got the address of one that is gone. It says so, and the request goes on to
-// one of its own service. While the store is away entries stay that are long stale; asked again and
-// again they use up what may be sent a second time.
+// The address of an endpoint that is gone is reused by another endpoint, which refuses misdirected
+// requests, so that each request is sent again to an endpoint of its own service. While the store
+// is unavailable, stale entries stay; if they were selected again and again, they would exhaust the
+// budget of repeated sends.
 #[test]
 fn reused_address_runs_nothing() {
     run(async {
@@ -109,15 +110,15 @@
             assert_eq!(ask(&site, "once", &id).await?.status, 200);
             assert_eq!(other.runs(&id), 1);
         }
-        // The endpoint that was meant is gone, which one answer was enough to learn.
+        // One refusal is enough to stop using the stale entry.
         let misdirected = other.seen().iter().filter(|s| !s.ran).count();
         assert!(misdirected <= 1, "{misdirected}");
         Ok(())
     });
 }
 
-// An endpoint has just started and bears ten requests a second. Thirty come in the same moment, and
-// those that would come too late are refused.
+// A cold endpoint sustains ten requests per second. Thirty arrive at once, and those that could not
+// be served in time are refused.
 #[test]
 fn cold_endpoint_is_not_flooded() {
     run(async {
@@ -145,8 +146,8 @@
     });
 }
 
-// A deployment has some thousands of endpoints, and the store lists them in many pages. An instance that
-// gave up after some of them would never become ready.
+// A deployment has thousands of endpoints, and the store lists them in many pages. An instance that
+// stopped after some pages would never become ready.
 #[test]
 fn endpoints_of_a_hundred_pages_are_listed() {
     run(async {
@@ -159,13 +160,14 @@
         let instance = instance("i-1", &store.door().await?, "").await?;
         let metrics = instance.addresses().metrics;
         let listed = async || Ok(metric(metrics, "endpoints").await? == 300);
-        until("all endpoints are known", listed).await
+        until("all endpoints are listed", listed).await
     });
 }
 
-/// Starts an instance before a store whose further pages are as they were before the last changes: one
-/// endpoint of ten said that it leaves, one is gone and one has come. Waits until it knows all that.
-fn listed_though_it_lags(is_history_gone: bool) {
+/// Starts an instance with a store whose further pages show the state before the last changes: of
+/// ten endpoints one is marked as leaving and one is removed, and one endpoint is added. Waits for
+/// the listing and checks that it has all changes.
+fn listing_is_current_despite_lag(is_history_gone: bool) {
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
@@ -185,15 +187,15 @@
         }
         let instance = instance("i-1", &store.door().await?, "").await?;
         let metrics = instance.addresses().metrics;
-        until("listed", async || Ok(metric(metrics, "endpoints").await? > 0)).await?;
+        until("endpoints are listed", async || Ok(metric(metrics, "endpoints").await? > 0)).await?;
         assert_eq!(metric(metrics, "endpoints").await?, 9);
         Ok(())
     });
 }
 
-// An instance starts, and the store's further pages lag. What has changed since then is known as soon as
-// anything is: nothing goes to an endpoint that left before the start.
-cases! {listed_though_it_lags {
+// An instance starts while the further pages of the store lag behind. The first listing already has
+// the changes since then: no request goes to an endpoint that left before the start.
+cases! {listing_is_current_despite_lag {
     with_history: false;
     history_gone: true;
 }}
--- a/tests/suite/relay/fleet.rs
+++ b/tests/suite/relay/fleet.rs
@@ -1,4 +1,4 @@
-//! Several instances.
+//! Several instances that exchange heartbeats.
 
 use std::time::Duration;
 
@@ -9,31 +9,34 @@
 use nutmeggrade_relay::{Addresses, Instance, LogBuffer};
 use tokio::time::sleep;
 
-use super::PROMPT;
+use super::PROMPT_HEADERS;
 use super::site::{generation, get, instance, metric, settings};
 use crate::support::{run, until};
 
-async fn entries(instance: &Instance) -> anyhow::Result<usize> {
+async fn listed_instances(instance: &Instance) -> anyhow::Result<usize> {
     let path = "/nutmeggrade/resolution?name=desk.example&region=x&zone=veluwe";
     let text = get(instance.addresses().directory, path).await?;
     let answer: serde_json::Value = serde_json::from_str(&text)?;
     Ok(answer["addresses"].as_array().map_or(0, Vec::len))
 }
 
-async fn until_entries(instance: &Instance, count: usize) -> anyhow::Result<()> {
-    until("the directory names them", async || Ok(entries(instance).await? == count)).await
+async fn until_listed(instance: &Instance, count: usize) -> anyhow::Result<()> {
+    until("the directory lists the expected number of instances", async || {
+        Ok(listed_instances(instance).await? == count)
+    })
+    .await
 }
 
-/// Starts an instance whose heartbeats come in at the same port as the first one's, at another
-/// address of the loopback network.
-async fn second(first: &Instance, door: &Door) -> anyhow::Result<Instance> {
+/// Starts a second instance that receives heartbeats at the same port as the first one, on another
+/// loopback address.
+async fn start_second(first: &Instance, door: &Door) -> anyhow::Result<Instance> {
     let beacon = first.addresses().beacon;
     let own = format!("127.0.0.2:{}", beacon.port());
     let settings = settings("i-2", door, &first.addresses().control.to_string(), &own)?;
     Instance::start(&settings, &LogBuffer::new(), 1).await
 }
 
-/// Two instances that hear each other, each with its own way into the store.
+/// Two instances that receive each other's heartbeats, each with its own address of the store.
 pub struct Pair {
     pub store: Store,
     pub first: Instance,
@@ -42,19 +45,19 @@
     pub other_door: Door,
 }
 
-/// Starts two instances and waits until they hear each other.
+/// Starts two instances and waits until each one lists the other.
 pub async fn pair() -> anyhow::Result<Pair> {
     let store = Store::new();
     store.put("config", "main", RoutingPlan::default().content());
     let (first_door, other_door) = (store.door().await?, store.door().await?);
     let first = instance("i-1", &first_door, "").await?;
-    let other = second(&first, &other_door).await?;
-    until_entries(&other, 2).await?;
+    let other = start_second(&first, &other_door).await?;
+    until_listed(&other, 2).await?;
     Ok(Pair { store, first, first_door, other, other_door })
 }
 
-// Instances find each other by one address. One that is stopped is no longer named at once, and one
-// that dies is no longer named after some heartbeats.
+// Instances find each other through one seed address. An instance that stops as planned is no
+// longer listed at once, and one that dies is no longer listed after some missed heartbeats.
 #[test]
 fn directory_names_who_is_there() {
     run(async {
@@ -62,24 +65,24 @@
         store.put("config", "main", RoutingPlan::default().content());
         let door = store.door().await?;
         let first = instance("i-1", &door, "").await?;
-        let other = second(&first, &door).await?;
-        until_entries(&first, 2).await?;
-        until_entries(&other, 2).await?;
+        let other = start_second(&first, &door).await?;
+        until_listed(&first, 2).await?;
+        until_listed(&other, 2).await?;
         drop(other);
-        until_entries(&first, 1).await?;
-        let other = second(&first, &door).await?;
-        until_entries(&first, 2).await?;
+        until_listed(&first, 1).await?;
+        let other = start_second(&first, &door).await?;
+        until_listed(&first, 2).await?;
         let stopping = tokio::spawn(other.stop());
-        until_entries(&first, 1).await?;
+        until_listed(&first, 1).await?;
         stopping.await?;
         Ok(())
     });
 }
 
-// The store turns one instance away and serves the other. A new version and a new endpoint reach the
-// first one by the second.
+// The store refuses one instance and serves the other. The refused instance gets a new
+// configuration version and a new endpoint from its peer.
 #[test]
-fn instance_that_is_turned_away_learns_from_its_peer() {
+fn refused_instance_gets_changes_from_its_peer() {
     run(async {
         let Pair { store, other, other_door, first: _first, .. } = pair().await?;
         other_door.set(Fault::Refuse);
@@ -88,17 +91,21 @@
         store.put("config", "main", plan.content());
         store.put("servers", "e-1", Entry::new("desk", endpoint.address).content());
         let metrics = other.addresses().metrics;
-        until("its peer's version", async || Ok(metric(metrics, "config_version").await? == 5))
+        until(
+            "the version of the peer",
+            async || Ok(metric(metrics, "config_version").await? == 5),
+        )
+        .await?;
+        until("the endpoint of the peer", async || Ok(metric(metrics, "endpoints").await? == 1))
             .await?;
-        until("its peer's endpoint", async || Ok(metric(metrics, "endpoints").await? == 1)).await?;
         let answer = RawClient::ask(other.addresses().client, "late", "a1", "").await?;
         assert_eq!(answer.status, 200);
         Ok(())
     });
 }
 
-// A connection to the store goes silent without an end. The peer's heartbeats tell that there was
-// news, so the instance asks again instead of waiting.
+// A watch of the store stalls without being closed. Heartbeats of the peer announce a change, so
+// the instance reads the store again instead of waiting for the watch.
 #[test]
 fn silent_watch_is_noticed_by_a_peers_news() {
     run(async {
@@ -106,30 +113,36 @@
         other_door.set(Fault::Silent);
         store.put("config", "main", RoutingPlan { version: 3, ..Default::default() }.content());
         let metrics = other.addresses().metrics;
-        until("the newer version", async || Ok(metric(metrics, "config_version").await? == 3)).await
+        until("the newer version is in force", async || {
+            Ok(metric(metrics, "config_version").await? == 3)
+        })
+        .await
     });
 }
 
-// The store's watches hear nothing while an endpoint goes, and then its history is gone. One instance
-// finds out by a new listing; the other's watch is silent still, and must not wait for its end.
+// The watches of the store miss the removal of an endpoint, and then the history of the store is
+// gone. One instance finds the removal by a new listing; the other one, whose watch is still
+// stalled, has to get it from its peer.
 #[test]
-fn what_a_listing_finds_is_handed_on() {
+fn removal_found_by_listing_reaches_peers() {
     run(async {
         let Pair { store, other, other_door, first: _first, .. } = pair().await?;
         let endpoint = Endpoint::start("e-1", Behaviour::Answer, &Generations::default()).await?;
         store.put("servers", "e-1", Entry::new("desk", endpoint.address).content());
         let metrics = other.addresses().metrics;
-        until("known", async || Ok(metric(metrics, "endpoints").await? == 1)).await?;
+        until("the endpoints are listed", async || Ok(metric(metrics, "endpoints").await? == 1))
+            .await?;
         other_door.set(Fault::Silent);
         store.remove("servers", "e-1");
         store.forget();
-        until("gone", async || Ok(metric(metrics, "endpoints").await? == 0)).await
+        until("the endpoints are removed", async || Ok(metric(metrics, "endpoints").await? == 0))
+            .await
     });
 }
 
-// The same with some hundreds of endpoints. Their names together are larger than a datagram that is read.
+// The same with 400 endpoints. Their names together exceed the size of a datagram that is read.
 #[test]
-fn hundreds_that_a_listing_finds_gone_are_handed_on() {
+fn hundreds_of_removals_reach_peers() {
     run(async {
         let Pair { store, other, other_door, first, .. } = pair().await?;
         let name = |n: u16| format!("an-endpoint-with-a-long-name-{n:03}");
@@ -139,27 +152,32 @@
         }
         for instance in [&first, &other] {
             let metrics = instance.addresses().metrics;
-            until("known", async || Ok(metric(metrics, "endpoints").await? == 400)).await?;
+            until("the endpoints are listed", async || {
+                Ok(metric(metrics, "endpoints").await? == 400)
+            })
+            .await?;
         }
         other_door.set(Fault::Silent);
         (0..400).for_each(|n| store.remove("servers", &name(n)));
         store.forget();
         let metrics = other.addresses().metrics;
-        until("gone", async || Ok(metric(metrics, "endpoints").await? == 0)).await
+        until("the endpoints are removed", async || Ok(metric(metrics, "endpoints").await? == 0))
+            .await
     });
 }
 
-// The store turns one instance after the other away while the configuration changes, and then answers
-// it again. One that does not watch the store finds out, too: a route that does not exist is answered
-// as such, and not as one that may have come in the meantime.
+// The store refuses one instance after the other while the configuration changes, and then serves
+// it again. An instance that does not watch the store has to notice the end of the outage as well:
+// a request to a route that does not exist gets 404 again and not an answer that allows for a route
+// in a newer configuration.
 #[test]
 fn outage_ends_for_those_that_do_not_watch() {
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
         let first = instance("i-1", &store.door().await?, "").await?;
-        let all = join(&first, &store).await?;
-        for ((instance, door), version) in all.iter().zip(2..) {
+        let members = start_eight_more(&first, &store).await?;
+        for ((instance, door), version) in members.iter().zip(2..) {
             let Addresses { metrics, client, .. } = instance.addresses();
             door.set(Fault::Refuse);
             store.put("config", "main", RoutingPlan { version, ..Default::default() }.content());
@@ -168,32 +186,35 @@
             door.set(Fault::None);
             let absent =
                 async || Ok(RawClient::ask(client, "nowhere", "a1", "").await?.status == 404);
-            until("told that there is no such route", absent).await?;
+            until("the route is reported as unknown", absent).await?;
         }
         Ok(())
     });
 }
 
-/// Starts eight more instances beside the first, each with its own way into the store, and waits until
-/// each hears all others.
-async fn join(first: &Instance, store: &Store) -> anyhow::Result<Vec<(Instance, Door)>> {
+/// Starts eight more instances beside the first, each with its own address of the store, and waits
+/// until each has eight peers.
+async fn start_eight_more(
+    first: &Instance,
+    store: &Store,
+) -> anyhow::Result<Vec<(Instance, Door)>> {
     let (beacon, control) = (first.addresses().beacon, first.addresses().control);
-    let mut all = Vec::new();
+    let mut members = Vec::new();
     for n in 2..=9 {
         let own = format!("127.0.0.{n}:{}", beacon.port());
         let door = store.door().await?;
         let settings = settings(&format!("i-{n}"), &door, &control.to_string(), &own)?;
-        all.push((Instance::start(&settings, &LogBuffer::new(), 1).await?, door));
+        members.push((Instance::start(&settings, &LogBuffer::new(), 1).await?, door));
     }
-    for (instance, _) in &all {
+    for (instance, _) in &members {
         let metrics = instance.addresses().metrics;
-        until("peers", async || Ok(metric(metrics, "peers").await? == 8)).await?;
+        until("all peers are present", async || Ok(metric(metrics, "peers").await? == 8)).await?;
     }
-    Ok(all)
+    Ok(members)
 }
 
-// More instances run than follow the configuration. Those that don't watch the store get a new version,
-// and a failure domain that was taken out, by word of those that do.
+// More instances run than watch the configuration. Those that don't watch the store get a new
+// version, and the removal of a failure domain, from those that do.
 #[test]
 fn changes_reach_those_that_do_not_watch() {
     run(async {
@@ -201,114 +222,119 @@
         store.put("config", "main", RoutingPlan::default().content());
         let door = store.door().await?;
         let first = instance("i-1", &door, "").await?;
-        let mut all = join(&first, &store).await?;
-        all.push((first, door));
+        let mut members = start_eight_more(&first, &store).await?;
+        members.push((first, door));
         let endpoint = Endpoint::start("e-1", Behaviour::Answer, &Generations::default()).await?;
         store.put("servers", "e-1", Entry::new("desk", endpoint.address).content());
-        let all_have = async |name, value| {
-            for (instance, _) in &all {
+        let until_all_have = async |name, value| {
+            for (instance, _) in &members {
                 let metrics = instance.addresses().metrics;
                 until(name, async || Ok(metric(metrics, name).await? == value)).await?;
             }
             Ok::<_, anyhow::Error>(())
         };
-        all_have("endpoints", 1).await?;
+        until_all_have("endpoints", 1).await?;
         store.put("config", "main", RoutingPlan { version: 7, ..Default::default() }.content());
-        all_have("config_version", 7).await?;
+        until_all_have("config_version", 7).await?;
         store.put("evacuations", "veluwe", serde_json::json!({}));
-        all_have("endpoints", 0).await?;
+        until_all_have("endpoints", 0).await?;
         store.remove("evacuations", "veluwe");
-        all_have("endpoints", 1).await
+        until_all_have("endpoints", 1).await
     });
 }
 
-/// Puts an endpoint before both instances and waits until they know it.
-async fn known(pair: &Pair, service: &str, behaviour: Behaviour) -> anyhow::Result<Endpoint> {
+/// Registers an endpoint and waits until both instances list it.
+async fn add_endpoint(
+    pair: &Pair,
+    service: &str,
+    behaviour: Behaviour,
+) -> anyhow::Result<Endpoint> {
     let endpoint = Endpoint::start("e-1", behaviour, &Generations::default()).await?;
     pair.store.put("servers", "e-1", Entry::new(service, endpoint.address).content());
     for instance in [&pair.first, &pair.other] {
         let metrics = instance.addresses().metrics;
-        until("known", async || Ok(metric(metrics, "endpoints").await? == 1)).await?;
+        until("the endpoints are listed", async || Ok(metric(metrics, "endpoints").await? == 1))
+            .await?;
     }
     Ok(endpoint)
 }
 
-async fn until_gone(endpoint: &Endpoint) -> anyhow::Result<()> {
-    let gone = async || Ok(tokio::net::TcpStream::connect(endpoint.address).await.is_err());
-    until("nobody listens", gone).await
+async fn until_refused(endpoint: &Endpoint) -> anyhow::Result<()> {
+    let is_refused = async || Ok(tokio::net::TcpStream::connect(endpoint.address).await.is_err());
+    until("connections are refused", is_refused).await
 }
 
-async fn until_told(instance: &Instance, times: u64) -> anyhow::Result<()> {
+async fn until_notified(instance: &Instance, times: u64) -> anyhow::Result<()> {
     let metrics = instance.addresses().metrics;
-    let told = async || Ok(metric(metrics, "told_gone_total").await? >= times);
-    until("told that it is gone", told).await
+    let notifications = async || Ok(metric(metrics, "told_gone_total").await? >= times);
+    until("the peer is notified that the endpoint is gone", notifications).await
 }
 
-// An endpoint died and its entry stays. One instance finds that nobody listens there; the other is
-// told, before it sends anything there itself.
+// An endpoint dies and its entry stays. One instance gets a refused connection; the other one is
+// notified before it sends anything to the endpoint.
 #[test]
 fn endpoint_that_is_gone_is_told_to_peers() {
     run(async {
         let pair = pair().await?;
-        let endpoint = known(&pair, "desk", Behaviour::Answer).await?;
+        let endpoint = add_endpoint(&pair, "desk", Behaviour::Answer).await?;
         endpoint.kill();
-        until_gone(&endpoint).await?;
+        until_refused(&endpoint).await?;
         let answer = RawClient::ask(pair.first.addresses().client, "once", "a1", "").await?;
         assert_eq!(answer.status, 503);
-        until_told(&pair.other, 1).await
+        until_notified(&pair.other, 1).await
     });
 }
 
-// An endpoint dies under a request, and its connection breaks before anybody finds that nobody listens
-// there any more. The lost answer alone has this instance leave the endpoint alone; the other knows
-// nothing yet and is told.
+// An endpoint dies during a request, and its connection breaks before any connection to it is
+// refused. The lost answer alone makes this instance avoid the endpoint; the other instance has no
+// evidence yet and is notified.
 #[test]
 fn endpoint_that_died_under_a_request_is_told_to_peers() {
     run(async {
         let pair = pair().await?;
-        let _endpoint = known(&pair, "desk", Behaviour::Crash).await?;
+        let _endpoint = add_endpoint(&pair, "desk", Behaviour::Crash).await?;
         let answer = RawClient::ask(pair.first.addresses().client, "once", "a1", "").await?;
         assert_eq!(answer.status, 502);
-        until_told(&pair.other, 1).await
+        until_notified(&pair.other, 1).await
     });
 }
 
-// An engine dies in the middle of a stream. The other instance is told as well.
+// An engine dies in the middle of a stream. The other instance is notified as well.
 #[test]
 fn engine_that_died_under_a_stream_is_told_to_peers() {
     run(async {
         let pair = pair().await?;
         let stream = Behaviour::Stream { events: 1_000, pause: Duration::from_millis(15) };
-        let engine = known(&pair, "writers", stream).await?;
+        let engine = add_endpoint(&pair, "writers", stream).await?;
         let mut client = generation(pair.first.addresses().client, "draft", "a1", &engine).await?;
         engine.kill();
         assert!(!client.answer().await.is_ok_and(|a| a.is_whole));
-        until_told(&pair.other, 1).await
+        until_notified(&pair.other, 1).await
     });
 }
 
-/// Checks that an endpoint that takes connections and breaks all of them is told to the peers for as long as it
-/// does.
+/// Checks that peers are notified of an endpoint that accepts connections and breaks all of them,
+/// for as long as it does.
 fn breaking_endpoint_is_told_to_peers(service: &str, route: &str) {
     run(async {
         let pair = pair().await?;
-        known(&pair, service, Behaviour::Deaf).await?;
+        add_endpoint(&pair, service, Behaviour::Deaf).await?;
         let client = pair.first.addresses().client;
-        let lost = RawClient::ask(client, route, "a1", PROMPT).await?;
+        let lost = RawClient::ask(client, route, "a1", PROMPT_HEADERS).await?;
         assert_eq!(lost.status, 502);
-        until_told(&pair.other, 3).await
+        until_notified(&pair.other, 3).await
     });
 }
 
-// An endpoint is down behind an address that still takes connections. Each instance would lose a request to
-// find out, which for a generation is the whole answer.
+// An endpoint is down behind an address that still accepts connections. Without notifications each
+// instance would lose a request to find out, which for a generation is the whole answer.
 cases! {breaking_endpoint_is_told_to_peers {
     engine: "writers", "draft";
     plain: "desk", "once";
 }}
 
-// An endpoint fails all that it gets, and its entry says that it is well. What one instance has lost there the
-// other need not lose.
+// An endpoint fails all requests while its entry says that it is healthy. The failures that one
+// instance has seen there need not be repeated by the other.
 #[test]
 fn failing_endpoint_is_told_to_peers() {
     run(async {
@@ -320,11 +346,15 @@
         }
         for instance in [&pair.first, &pair.other] {
             let metrics = instance.addresses().metrics;
-            until("known", async || Ok(metric(metrics, "endpoints").await? == 2)).await?;
+            until(
+                "the endpoints are listed",
+                async || Ok(metric(metrics, "endpoints").await? == 2),
+            )
+            .await?;
         }
         let ask = async |instance: &Instance, id: String| {
             let client = instance.addresses().client;
-            anyhow::Ok(RawClient::ask(client, "once", &id, PROMPT).await?.status)
+            anyhow::Ok(RawClient::ask(client, "once", &id, PROMPT_HEADERS).await?.status)
         };
         let together = (0..16).map(|number| ask(&pair.first, format!("a{number}")));
         let answers = join_all(together).await;
@@ -338,35 +368,38 @@
     });
 }
 
-// An engine dies while the store is away, so that its entry stays. One instance asks it again and again
-// and finds nobody. It says so again for as long as that is so: what a peer is told holds for half a
-// second, after which the engine would look like the emptiest of all.
+// An engine dies while the store is unavailable, so that its entry stays. One instance queries the
+// engine repeatedly, gets refused connections, and repeats its notification each time: a
+// notification is valid for half a second, after which the engine would look like the least loaded
+// of all.
 #[test]
 fn engine_that_stays_gone_is_told_again() {
     run(async {
         let pair = pair().await?;
-        let engine = known(&pair, "writers", Behaviour::Answer).await?;
+        let engine = add_endpoint(&pair, "writers", Behaviour::Answer).await?;
         engine.kill();
-        until_gone(&engine).await?;
+        until_refused(&engine).await?;
         pair.first_door.set(Fault::Refuse);
         pair.other_door.set(Fault::Refuse);
-        let told = async |instance: &Instance| {
+        let notifications = async |instance: &Instance| {
             metric(instance.addresses().metrics, "told_gone_total").await
         };
-        let both = async || Ok(told(&pair.first).await? + told(&pair.other).await? >= 3);
-        until("told again and again", both).await
+        let is_repeated =
+            async || Ok(notifications(&pair.first).await? + notifications(&pair.other).await? >= 3);
+        until("the notification is repeated", is_repeated).await
     });
 }
 
-// Entries lapse while the store is away, and its history is gone when it is back, so that instances list
-// anew. An entry that is missing from a listing may come back; told to the peers as leaving it would be out
-// of service there for good, though the endpoint lives and writes its entry again.
+// Entries lapse while the store is unavailable, and its history is gone when it is back, so that
+// instances list again. An entry that is missing from a listing may come back. If peers were told
+// that it left, the endpoint would be out of service there for good, though it lives and writes its
+// entry again.
 #[test]
 fn endpoint_that_is_missing_is_not_told_to_leave() {
     run(async {
         let pair = pair().await?;
-        let endpoint = known(&pair, "desk", Behaviour::Answer).await?;
-        let both = [&pair.first, &pair.other];
+        let endpoint = add_endpoint(&pair, "desk", Behaviour::Answer).await?;
+        let instances = [&pair.first, &pair.other];
         let calls = async |instance: &Instance, end: &str| {
             let name = format!("store_calls_total{{end=\"{end}\",kind=\"endpoints\"}}");
             metric(instance.addresses().metrics, &name).await
@@ -374,19 +407,23 @@
         pair.first_door.set(Fault::Refuse);
         pair.other_door.set(Fault::Refuse);
         let mut answered = Vec::new();
-        for instance in both {
-            until("the store is missed", async || Ok(calls(instance, "failed").await? > 0)).await?;
+        for instance in instances {
+            until("calls to the store fail", async || Ok(calls(instance, "failed").await? > 0))
+                .await?;
             answered.push(calls(instance, "ok").await?);
         }
         pair.store.remove("servers", "e-1");
         pair.store.forget();
         pair.first_door.set(Fault::None);
         pair.other_door.set(Fault::None);
-        for (instance, before) in both.into_iter().zip(answered) {
-            until("it lists", async || Ok(calls(instance, "ok").await? > before)).await?;
+        for (instance, before) in instances.into_iter().zip(answered) {
+            until("the endpoints are listed again", async || {
+                Ok(calls(instance, "ok").await? > before)
+            })
+            .await?;
         }
         pair.store.put("servers", "e-1", Entry::new("desk", endpoint.address).content());
-        for instance in both {
+        for instance in instances {
             let client = instance.addresses().client;
             let is_served =
                 async || Ok(RawClient::ask(client, "once", "a1", "").await?.status == 200);
--- a/tests/suite/relay/framing.rs
+++ b/tests/suite/relay/framing.rs
@@ -1,4 +1,4 @@
-//! Requests that say in two ways where they end.
+//! Requests with ambiguous framing, and chunked requests.
 
 use nutmeggrade_fakes::site::{Behaviour, RawClient, RoutingPlan};
 
@@ -7,10 +7,11 @@
 
 const HEAD: &str = "POST /once/x HTTP/1.1\r\nHost: desk.example\r\n\
      X-Nutmeggrade-Attempt-Id: a1\r\nX-Api-Key: key-1\r\n";
-const HIDDEN: &str = "0\r\n\r\nPOST /once/x HTTP/1.1\r\nHost: desk.example\r\n\
+const SMUGGLED_BODY: &str = "0\r\n\r\nPOST /once/x HTTP/1.1\r\nHost: desk.example\r\n\
      X-Nutmeggrade-Attempt-Id: a2\r\nX-Api-Key: key-1\r\nContent-Length: 0\r\n\r\n";
 
-/// Checks that a request is refused and that nothing of it reaches an endpoint.
+/// Checks that a request is refused, that its connection is closed and that nothing of it reaches
+/// an endpoint.
 fn refused(headers: &str, body: &str, status: u16) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
@@ -24,22 +25,22 @@
     });
 }
 
-// A second request is hidden in the body of the first. Whoever goes by the other length runs a
-// request that no client sent.
+// A second request is hidden in the body of the first one (request smuggling). A server that uses
+// the other length would run a request that no client sent.
 cases! {refused {
-    length_then_chunks: "Content-Length: 60\r\nTransfer-Encoding: chunked\r\n", HIDDEN, 400;
-    chunks_then_length: "Transfer-Encoding: chunked\r\nContent-Length: 60\r\n", HIDDEN, 400;
-    two_codings: "Transfer-Encoding: gzip, chunked\r\n", HIDDEN, 400;
-    chunks_twice: "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", HIDDEN, 400;
-    unknown_coding: "Transfer-Encoding: xchunked\r\n", HIDDEN, 400;
-    two_lengths: "Content-Length: 4\r\nContent-Length: 60\r\n", HIDDEN, 400;
-    signed_length: "Content-Length: +4\r\n", HIDDEN, 400;
+    length_then_chunks: "Content-Length: 60\r\nTransfer-Encoding: chunked\r\n", SMUGGLED_BODY, 400;
+    chunks_then_length: "Transfer-Encoding: chunked\r\nContent-Length: 60\r\n", SMUGGLED_BODY, 400;
+    two_codings: "Transfer-Encoding: gzip, chunked\r\n", SMUGGLED_BODY, 400;
+    chunks_twice: "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", SMUGGLED_BODY, 400;
+    unknown_coding: "Transfer-Encoding: xchunked\r\n", SMUGGLED_BODY, 400;
+    two_lengths: "Content-Length: 4\r\nContent-Length: 60\r\n", SMUGGLED_BODY, 400;
+    signed_length: "Content-Length: +4\r\n", SMUGGLED_BODY, 400;
     two_hosts: "Host: other.example\r\nContent-Length: 0\r\n", "", 400;
     folded_header: "X-A: 1\r\n 2\r\nContent-Length: 0\r\n", "", 400;
     too_large: "Content-Length: 100001\r\n", "", 413;
 }}
 
-// Chunked bodies are proper, on fresh connections and behind another request.
+// Chunked bodies are valid, also for a second request on the same connection.
 #[test]
 fn chunks_arrive_as_one_body() {
     run(async {
--- a/tests/suite/relay/logs.rs
+++ b/tests/suite/relay/logs.rs
@@ -1,18 +1,18 @@
-//! Log lines when nobody reads them.
+//! The log buffer when its reader stalls, and at the end of the process.
 
 use std::io::{self, Write};
 use std::sync::mpsc;
 
 use nutmeggrade_relay::{LogBuffer, start_writer};
 
-/// A reader that takes nothing until it is told to.
-struct Stopped {
-    go_on: mpsc::Receiver<()>,
+/// An output that blocks until its channel gets a message or is closed.
+struct StalledOutput {
+    resume: mpsc::Receiver<()>,
 }
 
-impl Write for Stopped {
+impl Write for StalledOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        self.go_on.recv().map_err(io::Error::other)?;
+        self.resume.recv().map_err(io::Error::other)?;
         Ok(buf.len())
     }
 
@@ -21,29 +21,29 @@
     }
 }
 
-// Whoever reads standard output stops reading. Lines are dropped and counted; whoever writes them
-// never waits, and the memory that they take is bounded.
+// The reader of standard output stalls. Lines are dropped and counted, writers never block, and the
+// memory of waiting lines is bounded.
 #[test]
 fn stopped_reader_holds_up_nobody() {
-    let (go_on, stopped) = mpsc::channel();
+    let (resume, resumed) = mpsc::channel();
     let logs = LogBuffer::new();
-    start_writer(&logs, Stopped { go_on: stopped }).expect("a thread");
+    start_writer(&logs, StalledOutput { resume: resumed }).expect("start writer thread");
     let line = [b'x'; 200];
     let mut writer = logs.clone();
     for _ in 0..50_000 {
-        assert_eq!(writer.write(&line).expect("a line is taken or dropped"), line.len());
+        assert_eq!(writer.write(&line).expect("buffer or drop a line"), line.len());
     }
     let dropped = logs.dropped();
     assert!(dropped > 40_000, "{dropped}");
-    drop(go_on);
+    drop(resume);
 }
 
-// The process ends. What still waits is written first.
+// Lines that still wait when the process ends are written first.
 #[test]
 fn last_lines_are_written() {
     let mut logs = LogBuffer::new();
-    logs.write_all(b"last\n").expect("a line");
+    logs.write_all(b"last\n").expect("buffer a line");
     let mut out = Vec::new();
-    logs.drain(&mut out).expect("written");
+    logs.drain(&mut out).expect("write lines");
     assert_eq!(out, b"last\n");
 }
--- a/tests/suite/relay/memory.rs
+++ b/tests/suite/relay/memory.rs
@@ -1,4 +1,4 @@
-//! What strangers can make an instance hold.
+//! Memory that untrusted clients can occupy in an instance.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,17 +13,18 @@
 use super::site::metric;
 use crate::support::{run, until};
 
-/// Memory that the instance may use, as on the smallest machines.
+/// Memory limit of the instance in MB, as on the smallest machines.
 const MEMORY_MB: u64 = 88;
 const DESCRIPTORS: u32 = 8_192;
-/// More connections than it may take with that memory.
-const STRANGERS: usize = 2_500;
-/// Most of those that it takes: half of its memory by 24 KB each.
-const TAKEN: u64 = 1_877;
-/// Bytes of a head that never ends.
-const HALF_A_HEAD: usize = 7 << 10;
+/// More connections than the instance may accept with that memory.
+const CONNECTIONS: usize = 2_500;
+/// Limit of accepted connections: half of the memory at 24 KB each.
+const CONNECTION_LIMIT: u64 = 1_877;
+/// Bytes of a request head that is never completed.
+const HEAD_BYTES: usize = 7 << 10;
 
-/// Starts an instance as a process of its own before a store whose configuration lets heads take long.
+/// Starts an instance as a separate process, with a configuration that allows a long time for
+/// request heads.
 async fn start(store: &Store) -> anyhow::Result<(Process, BTreeMap<String, SocketAddr>)> {
     let mut plan = RoutingPlan::default().content();
     plan["limits"]["header_timeout_ms"] = 60_000.into();
@@ -45,9 +46,9 @@
     let process =
         Process::start_logged("memory", &program, &["relay".to_owned()], &variables, &log)?;
     let started = async || Ok(std::fs::read_to_string(&log)?.contains("event=config "));
-    until("started", started).await?;
+    until("the instance has a configuration", started).await?;
     let text = std::fs::read_to_string(&log)?;
-    let line = text.lines().find(|l| l.contains("event=started")).context("no start")?;
+    let line = text.lines().find(|l| l.contains("event=started")).context("no started event")?;
     let fields = line.split(' ').filter_map(|f| f.split_once('='));
     let addresses = fields.filter_map(|(k, v)| Some((k.to_owned(), v.parse().ok()?)));
     Ok((process, addresses.collect()))
@@ -56,31 +57,35 @@
 fn resident_mb(process: &Process) -> anyhow::Result<u64> {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.id()))?;
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).context("no VmRSS")?;
-    let kb: u64 = line.split_whitespace().nth(1).context("no figure")?.parse()?;
+    let kb: u64 = line.split_whitespace().nth(1).context("no value of VmRSS")?.parse()?;
     Ok(kb >> 10)
 }
 
-// Strangers open thousands of connections, send most of a head on each and go on no further. An instance
-// that took them all would be ended for its memory, and every answer under way with it. It takes as many as
-// it can hold and stays within its memory.
+// Untrusted clients open thousands of connections and send an incomplete request head on each. An
+// instance that accepted them all would be killed for its memory use, and with it every answer in
+// progress. It accepts as many connections as fit and stays within its memory.
 #[test]
 fn thousands_of_half_heads_stay_within_memory() {
     run(async {
         let store = Store::new();
         let (process, addresses) = start(&store).await?;
         let before = resident_mb(&process)?;
-        let head = format!("GET /once/x HTTP/1.1\r\nX-Long: {}", "x".repeat(HALF_A_HEAD));
-        let mut strangers = Vec::new();
-        for _ in 0..STRANGERS {
+        let head = format!("GET /once/x HTTP/1.1\r\nX-Long: {}", "x".repeat(HEAD_BYTES));
+        let mut connections = Vec::new();
+        for _ in 0..CONNECTIONS {
             let mut stream = TcpStream::connect(addresses["clients"]).await?;
-            // One that is turned away is closed under the write.
+            // The instance closes refused connections during the write.
             drop(stream.write_all(head.as_bytes()).await);
-            strangers.push(stream);
+            connections.push(stream);
         }
-        let full = async || Ok(metric(addresses["metrics"], "connections").await? >= TAKEN);
-        until("all that it may take", full).await?;
+        let is_full =
+            async || Ok(metric(addresses["metrics"], "connections").await? >= CONNECTION_LIMIT);
+        until("the connection limit is reached", is_full).await?;
         let after = resident_mb(&process)?;
-        assert!(after < MEMORY_MB, "{before} MB before, {after} MB with {TAKEN} half heads");
+        assert!(
+            after < MEMORY_MB,
+            "{before} MB before, {after} MB with {CONNECTION_LIMIT} incomplete heads"
+        );
         Ok(())
     });
 }
--- a/tests/suite/relay/moves.rs
+++ b/tests/suite/relay/moves.rs
@@ -1,4 +1,4 @@
-//! Generations whose engine leaves.
+//! Generations whose engine leaves while they run.
 
 use std::time::Duration;
 
@@ -10,15 +10,19 @@
 
 const PAUSE: Duration = Duration::from_millis(15);
 
-/// Asks for a stream and waits until the engine runs it.
-async fn begin(site: &Site, route: &str, engine: &Endpoint) -> anyhow::Result<RawClient> {
+/// Starts a generation, waits until the engine runs it and lets the engine leave soon after.
+async fn start_on_leaving(
+    site: &Site,
+    route: &str,
+    engine: &Endpoint,
+) -> anyhow::Result<RawClient> {
     let client = generation(site.client(), route, "a1", engine).await?;
     engine.leave_in(Duration::from_millis(600));
     Ok(client)
 }
 
-/// Checks that a client gets a whole answer of so many events, in order and each once.
-async fn comes_whole(client: &mut RawClient, count: u64) -> anyhow::Result<()> {
+/// Checks that a client gets a complete answer of `count` events, in order and each once.
+async fn assert_complete(client: &mut RawClient, count: u64) -> anyhow::Result<()> {
     let answer = client.answer().await?;
     assert!(answer.is_whole);
     assert_eq!(events(&answer.message.body), (1..=count).collect::<Vec<u64>>());
@@ -30,44 +34,45 @@
     site.store.put("servers", "e-1", entry.content());
 }
 
-fn vanish(site: &Site, _: &Endpoint) {
+fn remove_entry(site: &Site, _: &Endpoint) {
     site.store.remove("servers", "e-1");
 }
 
-/// Checks that a stream goes on whole, in order and once when its engine leaves.
-fn goes_on(route: &str, how: fn(&Site, &Endpoint)) {
+/// Checks that a stream is complete, in order and without repeats when its engine leaves.
+fn goes_on(route: &str, leave: fn(&Site, &Endpoint)) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let stream = Behaviour::Stream { events: 120, pause: PAUSE };
         let first = site.endpoint("writers", "e-1", stream).await?;
-        let mut client = begin(&site, route, &first).await?;
+        let mut client = start_on_leaving(&site, route, &first).await?;
         let second = site.endpoint("writers", "e-2", stream).await?;
-        how(&site, &first);
-        comes_whole(&mut client, 120).await?;
+        leave(&site, &first);
+        assert_complete(&mut client, 120).await?;
         let resumed = second.seen().into_iter().find(|s| s.id() == "a1");
-        let resumed = resumed.expect("the second engine went on");
+        let resumed = resumed.expect("the second engine continues the generation");
         let from = resumed.message.header("kv-from").unwrap_or_default();
         assert!(from.starts_with(&first.address.to_string()), "{from}");
         Ok(())
     });
 }
 
-// An engine is reclaimed. It says so, or its entry just vanishes. The client sees one stream.
+// An engine is reclaimed. Its entry is marked as leaving, or just disappears. The client gets one
+// uninterrupted stream.
 cases! {goes_on {
     drained: "draft", drain;
-    vanished: "draft", vanish;
+    vanished: "draft", remove_entry;
     resumable: "sort", drain;
 }}
 
-// An engine leaves and there is nowhere to go. The generation ends there if it can, and nothing is
-// cut before.
+// An engine leaves and no other engine has room. The generation is not cut off early and ends on
+// its engine if it can.
 #[test]
 fn generation_that_finds_no_room_ends_where_it_is() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let stream = Behaviour::Stream { events: 60, pause: PAUSE };
         let first = site.endpoint("writers", "e-1", stream).await?;
-        let mut client = begin(&site, "draft", &first).await?;
+        let mut client = start_on_leaving(&site, "draft", &first).await?;
         drain(&site, &first);
         let answer = client.answer().await?;
         assert!(answer.is_whole);
@@ -76,9 +81,9 @@
     });
 }
 
-// Four generations run on an engine that is reclaimed. Copies queue on its link, and a generation
-// that is stopped while another is copied stands still behind it, as its client sees. They are
-// copied one after another, and all arrive.
+// Four generations run on an engine that is reclaimed. Copies share the link of the engine, and a
+// generation that is stopped while another one is copied stalls behind it, which its client
+// notices. The generations are copied one at a time, and all of them complete.
 #[test]
 fn generations_take_turns() {
     run(async {
@@ -93,16 +98,17 @@
         first.leave_in(Duration::from_secs(2));
         drain(&site, &first);
         for client in &mut clients {
-            comes_whole(client, 150).await?;
+            assert_complete(client, 150).await?;
         }
         assert_eq!(site.generations.most_copying(), 1);
         Ok(())
     });
 }
 
-// An engine that is reclaimed says that it goes in a tenth of a second, which is old news: it lives
-// longer, as most do. Whoever believes it begins no copy, and every answer is cut when the engine
-// does go. All generations move for as long as the engine answers.
+// A reclaimed engine announces that it stops in 100 ms, but the announcement is outdated and the
+// engine lives longer, as most do. If instances relied on the announced time, they would start no
+// copy, and all answers would be cut off when the engine stops. Generations are moved for as long
+// as the engine responds.
 #[test]
 fn copies_are_begun_past_the_time_that_the_engine_told() {
     run(async {
@@ -117,18 +123,18 @@
         first.leave_in(Duration::from_millis(100));
         drain(&site, &first);
         for client in &mut clients {
-            comes_whole(client, 150).await?;
+            assert_complete(client, 150).await?;
         }
         assert_eq!(second.seen().len(), 3);
         Ok(())
     });
 }
 
-/// Failed calls to the store for endpoints.
-const FAILED: &str = "store_calls_total{end=\"failed\",kind=\"endpoints\"}";
+/// Metric of failed calls to the store for endpoints.
+const FAILED_ENDPOINT_CALLS: &str = "store_calls_total{end=\"failed\",kind=\"endpoints\"}";
 
-/// Begins a generation at the first of three engines.
-async fn begin_of_three(site: &Site) -> anyhow::Result<(RawClient, [Endpoint; 3])> {
+/// Starts a generation on the first of three engines.
+async fn start_with_three(site: &Site) -> anyhow::Result<(RawClient, [Endpoint; 3])> {
     let stream = Behaviour::Stream { events: 400, pause: PAUSE };
     let first = site.endpoint("writers", "e-1", stream).await?;
     let client = generation(site.client(), "draft", "a1", &first).await?;
@@ -138,21 +144,24 @@
 }
 
 async fn until_moved(engines: &[Endpoint; 3]) -> anyhow::Result<()> {
-    let is_there = |engine: &Endpoint| !engine.seen().is_empty();
-    until("the generation moved", async || Ok(engines[1..].iter().any(is_there))).await
+    let has_requests = |engine: &Endpoint| !engine.seen().is_empty();
+    until("the generation is moved", async || Ok(engines[1..].iter().any(has_requests))).await
 }
 
-// The store is back after an outage, and an engine leaves without a word. Its entry could have lapsed
-// with the store and may come back for two seconds, by when the engine is gone. The generation moves
-// while the entry is still waited for.
+// The store is back after an outage, and an engine stops without notice. Its entry may have lapsed
+// during the outage and may come back within two seconds, but the engine is gone by then. The
+// generation is moved while the entry may still return.
 #[test]
 fn generation_leaves_an_engine_that_is_missing_after_an_outage() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let (mut client, engines) = begin_of_three(&site).await?;
+        let (mut client, engines) = start_with_three(&site).await?;
         let metrics = site.instance.addresses().metrics;
         site.door.set(Fault::Refuse);
-        until("the store is missed", async || Ok(metric(metrics, FAILED).await? > 0)).await?;
+        until("calls to the store fail", async || {
+            Ok(metric(metrics, FAILED_ENDPOINT_CALLS).await? > 0)
+        })
+        .await?;
         site.store.remove("servers", "e-1");
         site.door.set(Fault::None);
         until_moved(&engines).await?;
@@ -162,19 +171,19 @@
     });
 }
 
-// The store falls silent in the moment at which an engine is told that it is reclaimed. A call is given
-// up after more than two seconds, and the engine is gone by then. It is asked itself as soon as the
-// store's answer is overdue.
+// The store stops responding at the moment when an engine gets notice that it is reclaimed. A call
+// to the store times out after more than two seconds, when the engine is already gone. The instance
+// therefore queries the engine directly once the response of the store is overdue.
 #[test]
 fn generation_leaves_an_engine_while_the_store_falls_silent() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let (mut client, engines) = begin_of_three(&site).await?;
+        let (mut client, engines) = start_with_three(&site).await?;
         let metrics = site.instance.addresses().metrics;
         site.door.set(Fault::Silent);
         engines[0].leave_in(Duration::from_secs(2));
         until_moved(&engines).await?;
-        assert_eq!(metric(metrics, FAILED).await?, 0);
+        assert_eq!(metric(metrics, FAILED_ENDPOINT_CALLS).await?, 0);
         assert!(client.answer().await?.is_whole);
         Ok(())
     });
--- a/tests/suite/relay/outcomes.rs
+++ b/tests/suite/relay/outcomes.rs
@@ -1,4 +1,4 @@
-//! What clients are told, and how often requests run.
+//! Responses to clients, and how often requests run.
 
 use nutmeggrade_core::failure::CODE_HEADER;
 use nutmeggrade_core::prelude::*;
@@ -8,8 +8,9 @@
 use super::site::Site;
 use crate::support::{run, until};
 
-/// Checks what a client gets of an endpoint that behaves in one way, and how often its request ran.
-fn told(route: &str, behaviour: Behaviour, status: u16, runs: usize) {
+/// Checks the response that a client gets when all endpoints behave in one way, and how often its
+/// request runs.
+fn client_outcome(route: &str, behaviour: Behaviour, status: u16, runs: usize) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let first = site.endpoint("desk", "e-1", behaviour).await?;
@@ -18,7 +19,7 @@
         assert_eq!(answer.status, status, "{answer:?}");
         assert!(answer.is_whole, "{answer:?}");
         assert_eq!(first.runs("a1") + second.runs("a1"), runs);
-        // A later request is not touched by what is left of the earlier one.
+        // A later request must not be affected by what the earlier one left behind.
         first.set(Behaviour::Answer);
         second.set(Behaviour::Answer);
         let later = ask(&site, "read", "a2").await?;
@@ -28,9 +29,9 @@
     });
 }
 
-// An endpoint sheds, fails, hangs up, breaks off or sends foreign bytes. A client that is told 503
-// comes back, and its request then runs a second time if the first did run.
-cases! {told {
+// An endpoint sheds, fails, closes the connection, truncates its answer or sends foreign bytes. A
+// client that gets 503 retries, so its request would run twice if the first attempt did run.
+cases! {client_outcome {
     once_answered: "once", Behaviour::Answer, 200, 1;
     once_unframed: "once", Behaviour::Unframed, 200, 1;
     once_with_extra_bytes: "once", Behaviour::Extra, 200, 1;
@@ -49,7 +50,8 @@
     read_shed: "read", Behaviour::Shed, 503, 0;
 }}
 
-// One of two endpoints is broken. A lookup may run twice, so its client must not notice.
+// One of two endpoints is broken. A lookup is idempotent, so it is retried and its client gets no
+// error.
 #[test]
 fn lookup_is_answered_by_the_second_endpoint() {
     run(async {
@@ -64,17 +66,17 @@
     });
 }
 
-// A lookup's first endpoint closes the connection, and the second one, which comes only then, has no
-// room. The first may have run it, so the client is told neither that nothing ran nor when to come
-// back, and the code says what is known.
+// The first endpoint of a lookup closes the connection, and the second one, which joins only then,
+// has no room. The first one may have run the request, so the client gets neither "not run" nor a
+// retry time, and the code says that the outcome is unknown.
 #[test]
-fn no_room_after_a_lost_answer_is_no_promise() {
+fn no_room_after_lost_answer_is_outcome_unknown() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let first = site.endpoint("desk", "e-1", Behaviour::Close).await?;
         let mut client = RawClient::connect(site.client()).await?;
         client.send(&request("read", "a1", "key-1", "")).await?;
-        until("the first runs it", async || Ok(first.runs("a1") == 1)).await?;
+        until("the first endpoint runs the request", async || Ok(first.runs("a1") == 1)).await?;
         site.endpoint("desk", "e-2", Behaviour::Shed).await?;
         let answer = client.answer().await?;
         let header = |name| answer.message.header(name);
@@ -85,10 +87,10 @@
     });
 }
 
-// The endpoint has a request that may not run twice and says nothing. When the route's time is over
-// the client gets its final answer, and that does not claim that nothing ran.
+// An endpoint accepts a request that may not run twice and never responds. When the timeout of the
+// route expires, the client gets a final response that does not claim that nothing ran.
 #[test]
-fn silence_ends_with_the_routes_time() {
+fn silent_endpoint_times_out_with_the_route() {
     run(async {
         let plan = RoutingPlan { timeout_ms: 300, ..RoutingPlan::default() };
         let site = Site::start(&plan).await?;
@@ -100,7 +102,7 @@
     });
 }
 
-// No endpoint is there. The client is told at once that nothing ran and when to come back.
+// No endpoint is registered. The client is told at once that nothing ran and when to retry.
 #[test]
 fn nothing_to_send_to_is_refused_at_once() {
     run(async {
@@ -113,8 +115,8 @@
     });
 }
 
-// The registry names an address where nothing listens any more. Nothing went out, so the request
-// goes to another endpoint although it may not run twice.
+// The registry has an address where nothing listens any more. Nothing was sent, so the request goes
+// to another endpoint although it may not run twice.
 #[test]
 fn refused_connection_is_no_send() {
     run(async {
--- a/tests/suite/relay/rollouts.rs
+++ b/tests/suite/relay/rollouts.rs
@@ -1,4 +1,4 @@
-//! Services that move to another version.
+//! Roll-outs of a new version of a service.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -11,81 +11,83 @@
 
 use super::site::{Site, generation, rolling};
 use super::streams::events;
-use super::{PROMPT, ask};
+use super::{PROMPT_HEADERS, ask};
 use crate::support::{run, until};
 
 const PAUSE: Duration = Duration::from_millis(15);
 
-fn order(site: &Site, service: &str, seconds: u64) {
+fn put_rollout(site: &Site, service: &str, seconds: u64) {
     let content = json!({ "service": service, "to": "v2", "duration_s": seconds });
     site.store.put("rollouts", service, content);
 }
 
-fn state(site: &Site, service: &str) -> String {
+fn rollout_state(site: &Site, service: &str) -> String {
     let status = site.store.status("rollouts", service);
     let to = status["to"].as_str().unwrap_or_default();
     format!("{} {to}", status["state"].as_str().unwrap_or_default())
 }
 
 async fn until_state(site: &Site, service: &str, expected: &str) -> anyhow::Result<()> {
-    until(expected, async || Ok(state(site, service) == expected)).await
+    until(expected, async || Ok(rollout_state(site, service) == expected)).await
 }
 
-/// Clients that ask again and again until they are stopped.
-struct Load {
-    is_over: Arc<AtomicBool>,
+/// A continuous load of requests that runs until it is stopped.
+struct RequestLoad {
+    is_stopped: Arc<AtomicBool>,
     failed: Arc<AtomicU32>,
     task: JoinHandle<()>,
 }
 
-impl Load {
-    /// Asks for a route some sixty times a second.
+impl RequestLoad {
+    /// Sends about sixty requests per second to a route.
     fn start(site: &Site, route: &'static str) -> Self {
-        let (is_over, failed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(0)));
-        let (client, over, failures) = (site.client(), Arc::clone(&is_over), Arc::clone(&failed));
+        let (is_stopped, failed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(0)));
+        let (client, stopped, failure_count) =
+            (site.client(), Arc::clone(&is_stopped), Arc::clone(&failed));
         let task = tokio::spawn(async move {
             for number in 0.. {
-                if over.load(Ordering::Relaxed) {
+                if stopped.load(Ordering::Relaxed) {
                     return;
                 }
-                let failures = Arc::clone(&failures);
+                let failure_count = Arc::clone(&failure_count);
                 tokio::spawn(async move {
                     let id = format!("{route}{number}");
-                    let answer = RawClient::ask(client, route, &id, PROMPT).await;
-                    let is_good = answer.is_ok_and(|a| a.status == 200 && a.is_whole);
-                    failures.fetch_add(u32::from(!is_good), Ordering::Relaxed);
+                    let answer = RawClient::ask(client, route, &id, PROMPT_HEADERS).await;
+                    let is_success = answer.is_ok_and(|a| a.status == 200 && a.is_whole);
+                    failure_count.fetch_add(u32::from(!is_success), Ordering::Relaxed);
                 });
                 sleep(PAUSE).await;
             }
         });
-        Self { is_over, failed, task }
+        Self { is_stopped, failed, task }
     }
 
-    /// Stops asking; returns how many requests were not answered well.
+    /// Stops the load and returns the number of failed requests.
     async fn stop(self) -> anyhow::Result<u32> {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
         self.task.await?;
         sleep(Duration::from_millis(300)).await;
         Ok(self.failed.load(Ordering::Relaxed))
     }
 }
 
-/// Starts an instance before a service with an endpoint of each version.
-async fn versions() -> anyhow::Result<(Site, Endpoint, Endpoint)> {
+/// Starts an instance, a service with an endpoint of the old version, and a roll-out to `v2` with
+/// one endpoint.
+async fn start_rollout() -> anyhow::Result<(Site, Endpoint, Endpoint)> {
     let site = Site::start_rolling(&RoutingPlan::default()).await?;
     let old = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
-    order(&site, "desk", 9);
+    put_rollout(&site, "desk", 9);
     until_state(&site, "desk", "in_progress v2").await?;
     let new = site.versioned("desk", "e-2", "v2", Behaviour::Answer).await?;
     Ok((site, old, new))
 }
 
-// Endpoints of a new version register, and nobody has seen yet what they do. Used like the others they would
-// get half of the requests at once.
+// Endpoints of a new version register before anything is known about their behaviour. If they were
+// balanced like the others, they would get half of the requests at once.
 #[test]
 fn new_version_is_held_first() {
     run(async {
-        let (site, old, new) = versions().await?;
+        let (site, old, new) = start_rollout().await?;
         for number in 0..20 {
             assert_eq!(ask(&site, "once", &format!("a{number}")).await?.status, 200);
         }
@@ -94,14 +96,14 @@
     });
 }
 
-// A good version gets a part, then everything, and the old endpoints stop without draining the moment the
-// state is written: no request may be there then.
+// A good version gets a share of the requests and then all of them. The old endpoints stop without
+// draining as soon as the completed state is written, so no request may be open on them then.
 #[test]
 fn good_version_takes_over() {
     run(async {
-        let (site, old, new) = versions().await?;
-        let load = Load::start(&site, "once");
-        until("a part goes to the new version", async || Ok(new.seen().len() > 3)).await?;
+        let (site, old, new) = start_rollout().await?;
+        let load = RequestLoad::start(&site, "once");
+        until("the new version gets some requests", async || Ok(new.seen().len() > 3)).await?;
         until_state(&site, "desk", "completed v2").await?;
         assert_eq!(old.open(), 0);
         old.kill();
@@ -112,42 +114,42 @@
     });
 }
 
-// A version fails nearly all that it gets. It is taken out after a few answers, long before its time is over,
-// and gets nothing after that.
+// A version fails nearly all of its requests. It is reverted after a few responses, long before the
+// roll-out time ends, and gets no further requests.
 #[test]
 fn bad_version_is_reverted() {
     run(async {
-        let (site, _, new) = versions().await?;
+        let (site, _, new) = start_rollout().await?;
         new.set(Behaviour::Fail);
-        let load = Load::start(&site, "once");
+        let load = RequestLoad::start(&site, "once");
         until_state(&site, "desk", "reverted v2").await?;
-        let exposed = new.seen().len();
-        assert!(exposed < 40, "{exposed}");
+        let exposed_requests = new.seen().len();
+        assert!(exposed_requests < 40, "{exposed_requests}");
         sleep(Duration::from_millis(500)).await;
-        assert_eq!(new.seen().len(), exposed);
-        assert!(usize::try_from(load.stop().await?)? <= exposed);
+        assert_eq!(new.seen().len(), exposed_requests);
+        assert!(usize::try_from(load.stop().await?)? <= exposed_requests);
         Ok(())
     });
 }
 
-// The store answers nobody just when a bad version has to go. The instances take it out all the same, and
-// write so once the store is back.
+// The store is unavailable at the moment when a bad version has to be reverted. The instances stop
+// using the version anyway and write the state once the store is back.
 #[test]
 fn bad_version_gets_nothing_while_the_store_is_away() {
     run(async {
-        let (site, _, new) = versions().await?;
-        let load = Load::start(&site, "once");
-        until("a part goes to the new version", async || Ok(new.seen().len() > 2)).await?;
+        let (site, _, new) = start_rollout().await?;
+        let load = RequestLoad::start(&site, "once");
+        until("the new version gets some requests", async || Ok(new.seen().len() > 2)).await?;
         site.door.set(Fault::Refuse);
         new.set(Behaviour::Fail);
         let mut before = usize::MAX;
-        until("it gets no more", async || {
+        until("the bad version gets no more requests", async || {
             sleep(Duration::from_millis(1_500)).await;
             let seen = new.seen().len();
             Ok(std::mem::replace(&mut before, seen) == seen)
         })
         .await?;
-        assert_eq!(state(&site, "desk"), "in_progress v2");
+        assert_eq!(rollout_state(&site, "desk"), "in_progress v2");
         site.door.set(Fault::None);
         until_state(&site, "desk", "reverted v2").await?;
         load.stop().await?;
@@ -155,33 +157,34 @@
     });
 }
 
-// All instances are killed while a bad version is watched. Those that start find the order in the store and
-// watch it anew; the new version is not used like any other meanwhile.
+// All instances are killed while a bad version is under observation. New instances read the
+// roll-out from the store and observe the version again; meanwhile it is not balanced like the
+// others.
 #[test]
 fn order_outlives_all_instances() {
     run(async {
-        let (mut site, _, new) = versions().await?;
-        let load = Load::start(&site, "once");
-        until("a part goes to the new version", async || Ok(new.seen().len() > 2)).await?;
+        let (mut site, _, new) = start_rollout().await?;
+        let load = RequestLoad::start(&site, "once");
+        until("the new version gets some requests", async || Ok(new.seen().len() > 2)).await?;
         load.stop().await?;
         new.set(Behaviour::Fail);
-        let exposed = new.seen().len();
+        let exposed_requests = new.seen().len();
         site.instance = rolling("i-1", &site.door, 2).await?;
         site.until_metric("config_version", 1).await?;
         site.until_metric("endpoints", 1).await?;
         for number in 0..10 {
             assert_eq!(ask(&site, "once", &format!("b{number}")).await?.status, 200);
         }
-        assert_eq!(new.seen().len(), exposed);
-        let load = Load::start(&site, "once");
+        assert_eq!(new.seen().len(), exposed_requests);
+        let load = RequestLoad::start(&site, "once");
         until_state(&site, "desk", "reverted v2").await?;
         load.stop().await?;
         Ok(())
     });
 }
 
-// A draft is under way at an engine of the old version when the new one is found to be good. The engine
-// would stop in the middle of it, so it moves first.
+// A generation runs on an engine of the old version when the new version is accepted. The engine
+// would stop in the middle of the generation, so the generation is moved first.
 #[test]
 fn generation_moves_to_the_new_version() {
     run(async {
@@ -189,15 +192,15 @@
         let long = Behaviour::Stream { events: 900, pause: PAUSE };
         let short = Behaviour::Stream { events: 12, pause: Duration::from_millis(1) };
         let old = site.endpoint("writers", "e-1", long).await?;
-        order(&site, "writers", 7);
+        put_rollout(&site, "writers", 7);
         until_state(&site, "writers", "in_progress v2").await?;
         let mut client = generation(site.client(), "draft", "a1", &old).await?;
         old.set(short);
         let new = site.versioned("writers", "e-2", "v2", short).await?;
-        let load = Load::start(&site, "sort");
+        let load = RequestLoad::start(&site, "sort");
         until("the generation moves", async || {
             let mut seen = new.seen().into_iter();
-            // What goes on there is as long as it was.
+            // A generation that is continued there keeps its length.
             new.set(if site.generations.most_copying() > 0 { long } else { short });
             Ok(seen.any(|s| s.id() == "a1"))
         })
@@ -213,7 +216,7 @@
     });
 }
 
-/// Checks that an order changes nothing: both endpoints serve.
+/// Checks that a roll-out has no effect: both endpoints serve.
 fn changes_nothing(content: Value) {
     run(async {
         let site = Site::start_rolling(&RoutingPlan::default()).await?;
@@ -229,18 +232,19 @@
     });
 }
 
-// An order can't be read, or is for another service.
+// The roll-out can't be decoded, or it is for another service.
 cases! {changes_nothing {
     unreadable: json!({ "to": 7 });
     of_another_service: json!({ "service": "writers", "to": "v2", "duration_s": 9 });
 }}
 
-// The ordered version is the one that serves. The order is fulfilled, and nothing is held back.
+// The target version is already the one that serves. The roll-out completes, and no request is
+// withheld from the version.
 #[test]
 fn version_that_serves_already_goes_on() {
     run(async {
         let site = Site::start_rolling(&RoutingPlan::default()).await?;
-        order(&site, "desk", 9);
+        put_rollout(&site, "desk", 9);
         site.versioned("desk", "e-2", "v2", Behaviour::Answer).await?;
         site.until_metric("endpoints", 1).await?;
         assert_eq!(ask(&site, "once", "a1").await?.status, 200);
@@ -250,11 +254,11 @@
     });
 }
 
-// The operator takes an order back. The version that nobody decided on gets nothing.
+// The operator removes the roll-out. The undecided version gets no requests.
 #[test]
 fn removed_order_leaves_the_old_version() {
     run(async {
-        let (site, _, new) = versions().await?;
+        let (site, _, new) = start_rollout().await?;
         site.store.remove("rollouts", "desk");
         sleep(Duration::from_millis(300)).await;
         for number in 0..20 {
--- a/tests/suite/relay/site.rs
+++ b/tests/suite/relay/site.rs
@@ -1,4 +1,4 @@
-//! A deployment of one or several instances.
+//! A test deployment of one or several instances.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 };
 use nutmeggrade_relay::{Instance, LogBuffer, Settings};
 
-use super::PROMPT;
+use super::PROMPT_HEADERS;
 use crate::support::until;
 
-/// The platform, its endpoints and one instance.
+/// A store, endpoints and one instance.
 pub struct Site {
     pub store: Store,
     pub door: Door,
@@ -20,7 +20,7 @@
 }
 
 impl Site {
-    /// Starts an instance and waits until it has the plan in force.
+    /// Starts an instance and waits until the configuration of the plan is in force.
     pub async fn start(plan: &RoutingPlan) -> anyhow::Result<Self> {
         let store = Store::new();
         store.put("config", "main", plan.content());
@@ -31,7 +31,7 @@
         Ok(site)
     }
 
-    /// Starts an instance that follows roll-outs.
+    /// Starts an instance that observes roll-outs and waits until the configuration is in force.
     pub async fn start_rolling(plan: &RoutingPlan) -> anyhow::Result<Self> {
         let store = Store::new();
         store.put("config", "main", plan.content());
@@ -42,7 +42,7 @@
         Ok(site)
     }
 
-    /// Starts an endpoint of a version, which the instance may not use yet.
+    /// Starts an endpoint with a version, without waiting until the instance lists it.
     pub async fn versioned(
         &self,
         service: &str,
@@ -56,7 +56,7 @@
         Ok(endpoint)
     }
 
-    /// Starts an endpoint and waits until the instance knows it.
+    /// Starts an endpoint and waits until the instance lists it.
     pub async fn endpoint(
         &self,
         service: &str,
@@ -70,12 +70,12 @@
         Ok(endpoint)
     }
 
-    /// Returns where clients connect.
+    /// Returns the address for clients.
     pub fn client(&self) -> SocketAddr {
         self.instance.addresses().client
     }
 
-    /// Waits until a metric has a value.
+    /// Waits until a metric of the instance has a value.
     pub async fn until_metric(&self, name: &str, value: u64) -> anyhow::Result<()> {
         let address = self.instance.addresses().metrics;
         let what = format!("{name} is {value}");
@@ -83,7 +83,7 @@
     }
 }
 
-/// Asks an instance for a generation and waits until the engine runs it.
+/// Requests a generation from an instance and waits until the engine runs it.
 pub async fn generation(
     client: SocketAddr,
     route: &str,
@@ -91,31 +91,31 @@
     engine: &Endpoint,
 ) -> anyhow::Result<RawClient> {
     let mut client = RawClient::connect(client).await?;
-    client.send(&request(route, id, "key-1", PROMPT)).await?;
+    client.send(&request(route, id, "key-1", PROMPT_HEADERS)).await?;
     until("the generation runs", async || Ok(engine.runs(id) == 1)).await?;
     Ok(client)
 }
 
-/// Starts a life of an instance that follows roll-outs.
+/// Starts an incarnation of an instance that observes roll-outs.
 pub async fn rolling(name: &str, door: &Door, incarnation: u64) -> anyhow::Result<Instance> {
     let mut args = arguments(name, door, "", "127.0.0.1:0");
     args.extend(["--exposure-share=0.1".to_owned(), "--exposure-tolerance=50".to_owned()]);
     Instance::start(&load(&args)?, &LogBuffer::new(), incarnation).await
 }
 
-/// Starts an instance that reads the store through a door.
+/// Starts an instance that reads the store at the address of `door`.
 pub async fn instance(name: &str, door: &Door, seeds: &str) -> anyhow::Result<Instance> {
     let settings = settings(name, door, seeds, "127.0.0.1:0")?;
     Instance::start(&settings, &LogBuffer::new(), 1).await
 }
 
-/// Makes the settings of an instance whose heartbeats come in at `beacon`.
+/// Returns the settings of an instance that receives heartbeats at `beacon`.
 pub fn settings(name: &str, door: &Door, seeds: &str, beacon: &str) -> anyhow::Result<Settings> {
     load(&arguments(name, door, seeds, beacon))
 }
 
 fn load(args: &[String]) -> anyhow::Result<Settings> {
-    Settings::load(args, None).map_err(|mistakes| anyhow::anyhow!("{mistakes:?}"))
+    Settings::load(args, None).map_err(|errors| anyhow::anyhow!("{errors:?}"))
 }
 
 fn arguments(name: &str, door: &Door, seeds: &str, beacon: &str) -> Vec<String> {
@@ -135,14 +135,14 @@
     args
 }
 
-/// Reads a gauge of an instance; 0 if it is not there.
+/// Returns the value of a metric, or 0 if it is missing.
 pub async fn metric(address: SocketAddr, name: &str) -> anyhow::Result<u64> {
     let text = get(address, "/metrics").await?;
     let line = text.lines().find_map(|l| l.strip_prefix(&format!("nutmeggrade_relay_{name} ")));
-    line.map_or(Ok(0), |value| value.trim().parse().context("metric"))
+    line.map_or(Ok(0), |value| value.trim().parse().context("parse metric"))
 }
 
-/// Gets a path and returns the body.
+/// Gets a path and returns the response body.
 pub async fn get(address: SocketAddr, path: &str) -> anyhow::Result<String> {
     Ok(get_answer(address, path).await?.1)
 }
@@ -152,5 +152,5 @@
     let mut client = RawClient::connect(address).await?;
     client.send(&format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")).await?;
     let answer = client.answer().await?;
-    Ok((answer.status, String::from_utf8(answer.message.body).context("text")?))
+    Ok((answer.status, String::from_utf8(answer.message.body).context("decode response body")?))
 }
--- a/tests/suite/relay/stop.rs
+++ b/tests/suite/relay/stop.rs
@@ -4,13 +4,14 @@
 
 use nutmeggrade_fakes::site::{Behaviour, RawClient, RoutingPlan, request};
 
-use super::PROMPT;
+use super::PROMPT_HEADERS;
 use super::site::{Site, get_answer};
 use super::streams::events;
 use crate::support::{run, until};
 
-// An instance is stopped while a stream runs and while clients still have its address. The stream
-// ends whole, who comes is served and told to go elsewhere next time.
+// An instance is stopped while a stream runs and while clients still use its address. The stream
+// completes, and new requests get an answer that closes the connection, so that clients go
+// elsewhere next time.
 #[test]
 fn planned_stop_cuts_nobody() {
     run(async {
@@ -21,15 +22,16 @@
         site.endpoint("desk", "e-2", Behaviour::Answer).await?;
         let addresses = site.instance.addresses();
         let mut stream = RawClient::connect(addresses.client).await?;
-        stream.send(&request("draft", "a1", "key-1", PROMPT)).await?;
+        stream.send(&request("draft", "a1", "key-1", PROMPT_HEADERS)).await?;
         until("the stream runs", async || Ok(engine.runs("a1") == 1)).await?;
         let stopping = tokio::spawn(site.instance.stop());
-        until("not ready", async || {
+        until("the instance is not ready", async || {
             Ok(get_answer(addresses.ready, "/nutmeggrade/readiness").await?.0 == 503)
         })
         .await?;
         let late = RawClient::ask(addresses.client, "once", "a2", "").await?;
-        // Its route's target is five seconds and the grace four, so it could not surely end.
+        // The target latency of the route is five seconds and the grace period four, so the request
+        // might not finish in time.
         assert_eq!(late.status, 503);
         assert_eq!(late.message.header("connection"), Some("close"));
         let answer = stream.answer().await?;
@@ -40,7 +42,8 @@
     });
 }
 
-// A long answer is asked for just before the end. It is refused as not run, since it would be cut.
+// A long answer is requested just before the stop. It is refused as not run, since it would be cut
+// off.
 #[test]
 fn answer_that_could_not_end_is_refused() {
     run(async {
@@ -50,7 +53,7 @@
             site.endpoint("writers", "e-1", Behaviour::Stream { events: 9, pause }).await?;
         let address = site.instance.addresses();
         let stopping = tokio::spawn(site.instance.stop());
-        until("not ready", async || {
+        until("the instance is not ready", async || {
             Ok(get_answer(address.ready, "/nutmeggrade/readiness").await?.0 == 503)
         })
         .await?;
--- a/tests/suite/relay/store.rs
+++ b/tests/suite/relay/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, and what peers hand on of its objects.
+//! Calls to the store, and objects that peers exchange.
 
 use nutmeggrade_fakes::site::{Behaviour, Endpoint, Entry, Fault, Generations, RoutingPlan, Store};
 use nutmeggrade_relay::Instance;
@@ -7,14 +7,14 @@
 use super::site::{Site, get, instance, metric};
 use crate::support::{run, until};
 
-/// Asks an instance for all endpoints, as its peers do.
-async fn known_endpoints(instance: &Instance) -> anyhow::Result<serde_json::Value> {
+/// Gets all endpoints from an instance, as its peers do.
+async fn get_endpoints(instance: &Instance) -> anyhow::Result<serde_json::Value> {
     let text = get(instance.addresses().control, "/known?kind=endpoints").await?;
     let answer: serde_json::Value = serde_json::from_str(&text)?;
     Ok(answer["known"]["Endpoints"].clone())
 }
 
-// Operators see how many calls the store gets and not what for.
+// Without a count by reason, operators see how many calls the store gets and not why.
 #[test]
 fn store_calls_are_counted_by_reason() {
     run(async {
@@ -27,14 +27,16 @@
             metric(metrics, &format!("store_call_reasons_total{{{labels}}}")).await
         };
         for kind in ["config", "endpoints", "evacuations"] {
-            until("first listing", async || Ok(calls(kind, "first").await? == 1)).await?;
+            until("the first listing is counted", async || Ok(calls(kind, "first").await? == 1))
+                .await?;
         }
         store.put("config", "main", RoutingPlan { version: 2, ..Default::default() }.content());
-        until("a watch", async || Ok(calls("config", "watch").await? > 0)).await
+        until("a watch is counted", async || Ok(calls("config", "watch").await? > 0)).await
     });
 }
 
-// A store that is away is asked for all kinds of objects, three times as often as needed.
+// An unavailable store would get three times as many calls as needed if the instance kept asking
+// for all kinds of objects.
 #[test]
 fn store_that_is_away_is_asked_for_one_kind() {
     run(async {
@@ -43,32 +45,40 @@
         let door = store.door().await?;
         let instance = instance("i-1", &door, "").await?;
         let metrics = instance.addresses().metrics;
-        until("ready", async || Ok(metric(metrics, "config_version").await? > 0)).await?;
+        until("a configuration is in force", async || {
+            Ok(metric(metrics, "config_version").await? > 0)
+        })
+        .await?;
         door.set(Fault::Refuse);
         let failed = async |kind: &str| {
             metric(metrics, &format!("store_calls_total{{end=\"failed\",kind=\"{kind}\"}}")).await
         };
-        until("asked often", async || Ok(failed("endpoints").await? >= 10)).await?;
+        until("ten calls for endpoints fail", async || Ok(failed("endpoints").await? >= 10))
+            .await?;
         assert!(failed("config").await? + failed("evacuations").await? <= 5);
         let newest = RoutingPlan { version: 4, ..RoutingPlan::default() };
         store.put("config", "main", newest.content());
         door.set(Fault::None);
-        until("read again", async || Ok(metric(metrics, "config_version").await? == 4)).await
+        until("the configuration is read again", async || {
+            Ok(metric(metrics, "config_version").await? == 4)
+        })
+        .await
     });
 }
 
-// Two readers renew the end of an outage with each change, and endpoints that are gone get work for two seconds more.
+// Two readers extend the end of an outage with each change, so that endpoints that are gone get
+// requests for two more seconds.
 #[test]
 fn outage_is_over_while_endpoints_change() {
     run(async {
         let Pair { store, first, other, other_door, .. } = pair().await?;
-        let lapses = async |instance: &Instance| {
-            let known = known_endpoints(instance).await?;
-            Ok::<_, anyhow::Error>(known["lapses"].clone())
+        let may_lapse = async |instance: &Instance| {
+            let endpoints = get_endpoints(instance).await?;
+            Ok::<_, anyhow::Error>(endpoints["lapses"].clone())
         };
-        until("in steady state", async || Ok(lapses(&other).await? == false)).await?;
+        until("the store is available", async || Ok(may_lapse(&other).await? == false)).await?;
         other_door.set(Fault::Refuse);
-        until("the store is away", async || Ok(lapses(&other).await? == true)).await?;
+        until("the outage is noticed", async || Ok(may_lapse(&other).await? == true)).await?;
         let address = "127.0.0.1:9".parse()?;
         let mut number = 0;
         let mut change = || {
@@ -80,7 +90,7 @@
         for instance in [&first, &other] {
             until("the outage is over", async || {
                 change();
-                Ok(lapses(instance).await? == false)
+                Ok(may_lapse(instance).await? == false)
             })
             .await?;
         }
@@ -88,7 +98,8 @@
     });
 }
 
-// Endpoints that have been warm for long count as cold anew at an instance that asks a peer.
+// An instance that gets its endpoints from a peer counts endpoints as cold again that have been
+// warm for long.
 #[test]
 fn peer_says_how_cold_endpoints_are_now() {
     run(async {
@@ -98,15 +109,16 @@
         content["cold_remaining_ms"] = serde_json::json!(400);
         site.store.put("servers", "e-1", content);
         site.until_metric("endpoints", 1).await?;
-        until("warm", async || {
-            let known = known_endpoints(&site.instance).await?;
-            Ok(known["all"][0]["cold_left"] == 0)
+        until("the endpoint is warm", async || {
+            let endpoints = get_endpoints(&site.instance).await?;
+            Ok(endpoints["all"][0]["cold_left"] == 0)
         })
         .await
     });
 }
 
-// An endpoint that a peer does not know any more gets work for two seconds more, as if its entry had lapsed.
+// An endpoint that a peer no longer lists gets requests for two more seconds, as if its entry had
+// lapsed.
 #[test]
 fn peer_says_whether_endpoints_may_have_lapsed() {
     run(async {
@@ -114,12 +126,12 @@
         store.put("config", "main", RoutingPlan::default().content());
         let door = store.door().await?;
         let instance = instance("i-1", &door, "").await?;
-        let lapses = async || {
-            let known = known_endpoints(&instance).await?;
-            Ok::<_, anyhow::Error>(known["lapses"].clone())
+        let may_lapse = async || {
+            let endpoints = get_endpoints(&instance).await?;
+            Ok::<_, anyhow::Error>(endpoints["lapses"].clone())
         };
-        until("in steady state", async || Ok(lapses().await? == false)).await?;
+        until("the store is available", async || Ok(may_lapse().await? == false)).await?;
         door.set(Fault::Refuse);
-        until("the store is away", async || Ok(lapses().await? == true)).await
+        until("the outage is noticed", async || Ok(may_lapse().await? == true)).await
     });
 }
