--- a/tests/suite/operators/audit.rs
+++ b/tests/suite/operators/audit.rs
@@ -59,16 +59,16 @@
 #[rstest]
 fn refusals_are_in_the_trail() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
-        held.fleet.fault("platform", &json!({ "lose": 1 })).await?;
-        let admin = held.fleet.nodes["node-0"].admin;
+        let guard = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
+        guard.fleet.fault("platform", &json!({ "lose": 1 })).await?;
+        let admin = guard.fleet.nodes["node-0"].admin;
         let headers = [("authorization", "Bearer wrong")];
         let (status, _) = send(admin, Method::GET, "/status", &headers, Vec::new()).await?;
         assert_eq!(status.as_u16(), Code::BadToken.status());
-        while !is_written(&held.fleet).await? {
+        while !is_written(&guard.fleet).await? {
             sleep(Duration::from_millis(50)).await;
         }
-        let (code, text) = held.fleet.operate(&["audit"]).await?;
+        let (code, text) = guard.fleet.operate(&["audit"]).await?;
         assert_eq!(code, 0, "{text}");
         let lines: Vec<_> = text.lines().collect();
         let places = |start: &str| -> Vec<usize> {
@@ -77,9 +77,9 @@
         let (change, refusal) = (places("change version=1 "), places("token_refused "));
         assert!(change.len() == 1 && refusal.len() == 1, "{text}");
         assert!(change < refusal && lines[refusal[0]].contains("instance=node-0 "), "{text}");
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        guard.fleet.fault("platform", &json!({ "down": true })).await?;
         let admin = admin.to_string();
-        let (code, text) = held.fleet.operate(&["audit", "--admin", &admin]).await?;
+        let (code, text) = guard.fleet.operate(&["audit", "--admin", &admin]).await?;
         assert!(code == 0 && text.contains("token_refused instance=node-0 "), "{text}");
         Ok(())
     });
--- a/tests/suite/operators/changes.rs
+++ b/tests/suite/operators/changes.rs
@@ -28,16 +28,16 @@
 #[rstest]
 fn racing_operators_learn_who_won() {
     run(async {
-        let held = fleet(&plan()).await?;
-        held.fleet.fault("platform", &json!({ "slow_ms": 100 })).await?;
+        let guard = fleet(&plan()).await?;
+        guard.fleet.fault("platform", &json!({ "slow_ms": 100 })).await?;
         let domain = |d| [["domain", d, "veluwe"], ["endpoint", d, "engine-1"]];
         for round in 0..10 {
             let [one, two] = domain(["out", "in"][round % 2]);
-            let before = versions(&held.fleet).await?;
-            let (one, two) = tokio::join!(change(&held.fleet, &one), change(&held.fleet, &two));
+            let before = versions(&guard.fleet).await?;
+            let (one, two) = tokio::join!(change(&guard.fleet, &one), change(&guard.fleet, &two));
             let (one, two) = (one?, two?);
             let accepted = [&one, &two].iter().filter(|(code, _)| *code == 0).count();
-            assert_eq!(versions(&held.fleet).await?, before + accepted, "{one:?} {two:?}");
+            assert_eq!(versions(&guard.fleet).await?, before + accepted, "{one:?} {two:?}");
             if let Some((_, text)) = [&one, &two].into_iter().find(|(code, _)| *code == 4) {
                 assert!(text.contains("5002") && text.contains("anna"), "{text}");
                 return Ok(());
@@ -52,12 +52,12 @@
 #[rstest]
 fn lost_answer_is_settled() {
     run(async {
-        let held = fleet(&plan()).await?;
-        held.fleet.fault("platform", &json!({ "lose": 1 })).await?;
-        let (code, text) = change(&held.fleet, &["domain", "out", "veluwe"]).await?;
+        let guard = fleet(&plan()).await?;
+        guard.fleet.fault("platform", &json!({ "lose": 1 })).await?;
+        let (code, text) = change(&guard.fleet, &["domain", "out", "veluwe"]).await?;
         assert_eq!(code, 0, "{text}");
         assert!(text.contains("accepted version=2"), "{text}");
-        assert_eq!(versions(&held.fleet).await?, 2);
+        assert_eq!(versions(&guard.fleet).await?, 2);
         Ok(())
     });
 }
@@ -67,18 +67,18 @@
 #[rstest]
 fn outage_leaves_the_trail_readable() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let (code, text) = change(&held.fleet, &["domain", "out", "veluwe"]).await?;
+        let guard = fleet(&plan()).await?;
+        let (code, text) = change(&guard.fleet, &["domain", "out", "veluwe"]).await?;
         assert_eq!(code, 0, "{text}");
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
-        let (code, text) = change(&held.fleet, &["domain", "in", "veluwe"]).await?;
+        guard.fleet.fault("platform", &json!({ "down": true })).await?;
+        let (code, text) = change(&guard.fleet, &["domain", "in", "veluwe"]).await?;
         assert_eq!(code, 7, "{text}");
-        let admin = held.fleet.nodes["node-1"].admin.to_string();
-        let (code, text) = held.fleet.operate(&["audit", "--admin", &admin]).await?;
+        let admin = guard.fleet.nodes["node-1"].admin.to_string();
+        let (code, text) = guard.fleet.operate(&["audit", "--admin", &admin]).await?;
         assert_eq!(code, 0, "{text}");
         let line = text.lines().find(|l| l.starts_with("change version=2")).unwrap_or("");
         assert!(line.contains("anna") && line.contains("domain_out veluwe"), "{text}");
-        let (code, text) = held.fleet.operate(&["status", "--admin", &admin]).await?;
+        let (code, text) = guard.fleet.operate(&["status", "--admin", &admin]).await?;
         assert!(code == 0 && text.contains("config=2"), "{text}");
         Ok(())
     });
@@ -89,20 +89,20 @@
 #[rstest]
 fn frozen_instance_is_named() {
     run(async {
-        let mut held = fleet(&plan()).await?;
-        held.fleet.process("node-1")?.signal(Signal::SIGSTOP)?;
+        let mut guard = fleet(&plan()).await?;
+        guard.fleet.process("node-1")?.signal(Signal::SIGSTOP)?;
         let words = ["domain", "out", "veluwe", "--wait", "500"];
-        let (code, text) = change(&held.fleet, &words).await?;
+        let (code, text) = change(&guard.fleet, &words).await?;
         assert_eq!(code, 5, "{text}");
         assert!(text.contains("accepted version=2"), "{text}");
         assert!(text.contains("in_force instance=node-0 version=2"), "{text}");
         assert!(text.contains("not_in_force instance=node-1 version=2"), "{text}");
-        held.fleet.process("node-1")?.signal(Signal::SIGCONT)?;
+        guard.fleet.process("node-1")?.signal(Signal::SIGCONT)?;
         let words = ["domain", "out", "veluwe", "--wait", "30000"];
-        let (code, text) = change(&held.fleet, &words).await?;
+        let (code, text) = change(&guard.fleet, &words).await?;
         assert_eq!(code, 0, "{text}");
         assert!(text.contains("unchanged version=2"), "{text}");
-        assert_eq!(versions(&held.fleet).await?, 2);
+        assert_eq!(versions(&guard.fleet).await?, 2);
         Ok(())
     });
 }
--- a/tests/suite/operators/explain.rs
+++ b/tests/suite/operators/explain.rs
@@ -62,8 +62,8 @@
 #[rstest]
 fn a_request_is_explained() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(2).with_engines(1)).await?;
-        let entry = held.fleet.nodes["node-1"].callers;
+        let guard = fleet(&Plan::default().with_nodes(2).with_engines(1)).await?;
+        let entry = guard.fleet.nodes["node-1"].callers;
         let body = json!({ "model": MODEL, "prompt": "a len=5" });
         let request = Request::builder()
             .method(Method::POST)
@@ -75,7 +75,7 @@
         let name = response.headers().get("nutmeggrade-request").expect("request id");
         let name = name.to_str()?.to_owned();
         body_bytes(response.into_body(), 1 << 20).await?;
-        let (code, text) = held.fleet.operate(&["explain", &name]).await?;
+        let (code, text) = guard.fleet.operate(&["explain", &name]).await?;
         assert_eq!(code, 0, "{text}");
         for part in ["instance=node-1", "step=let_in", "waited_ms=", "engine-0", "code=0 "] {
             assert!(text.contains(part), "{part}: {text}");
@@ -89,8 +89,8 @@
 #[rstest]
 fn a_repeated_call_is_explained() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
-        let entry = held.fleet.nodes["node-0"].callers;
+        let guard = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
+        let entry = guard.fleet.nodes["node-0"].callers;
         let path = format!("/v1/services/{SERVICE}/issue-permit");
         for (name, expected) in [("first", "ended=answered"), ("second", "answered before")] {
             let headers = [
@@ -100,7 +100,7 @@
             ];
             let body = json!({ "subject": "plot-1" }).to_string().into_bytes();
             send(entry, Method::POST, &path, &headers, body).await?;
-            let (code, text) = held.fleet.operate(&["explain", name]).await?;
+            let (code, text) = guard.fleet.operate(&["explain", name]).await?;
             assert!(code == 0 && text.contains("step=claimed"), "{text}");
             assert!(text.contains(expected), "{name}: {text}");
         }
--- a/tests/suite/operators/metrics.rs
+++ b/tests/suite/operators/metrics.rs
@@ -22,8 +22,8 @@
 #[rstest]
 fn page_and_instance_agree() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
-        let text = held.fleet.metrics("node-0").await?;
+        let guard = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
+        let text = guard.fleet.metrics("node-0").await?;
         let shown = text.lines().filter_map(|l| l.strip_prefix("# HELP "));
         let shown: BTreeSet<_> = shown.filter_map(|l| l.split(' ').next()).collect();
         let listed = documented();
--- a/tests/suite/operators/orders.rs
+++ b/tests/suite/operators/orders.rs
@@ -52,16 +52,16 @@
 #[rstest]
 fn engine_does_what_was_ordered() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(2).with_engines(1)).await?;
-        done(&held.fleet, &["load", "engine-0", "nutmeg-schrijvers@2"]).await?;
-        done(&held.fleet, &["load", "engine-0", "nutmeg-schrijvers@2+kozijn"]).await?;
-        done(&held.fleet, &["unload", "engine-0", "nutmeg-schrijvers@1"]).await?;
-        done(&held.fleet, &["role", "engine-0", "decode"]).await?;
-        let orders = seen(&held.fleet, "engine-0").await?;
+        let guard = fleet(&Plan::default().with_nodes(2).with_engines(1)).await?;
+        done(&guard.fleet, &["load", "engine-0", "nutmeg-schrijvers@2"]).await?;
+        done(&guard.fleet, &["load", "engine-0", "nutmeg-schrijvers@2+kozijn"]).await?;
+        done(&guard.fleet, &["unload", "engine-0", "nutmeg-schrijvers@1"]).await?;
+        done(&guard.fleet, &["role", "engine-0", "decode"]).await?;
+        let orders = seen(&guard.fleet, "engine-0").await?;
         let names: Vec<_> = orders.iter().filter_map(|o| o["order"].as_str()).collect();
         assert_eq!(names, ["load", "load", "role"]);
         assert!(fences(&orders).iter().all(|f| *f > 0), "{orders:?}");
-        let (code, text) = held.fleet.operate(&["audit"]).await?;
+        let (code, text) = guard.fleet.operate(&["audit"]).await?;
         assert!(code == 0 && text.contains("order_sent"), "{text}");
         Ok(())
     });
@@ -72,17 +72,17 @@
 #[rstest]
 fn weight_store_is_shared() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(2).with_engines(3)).await?;
+        let guard = fleet(&Plan::default().with_nodes(2).with_engines(3)).await?;
         let engines = ["engine-0", "engine-1", "engine-2"];
         for engine in engines {
-            held.fleet.fault(engine, &json!({ "load_ms": LOAD_MS })).await?;
+            guard.fleet.fault(engine, &json!({ "load_ms": LOAD_MS })).await?;
         }
         let [a, b, c] = engines.map(|e| ["load", e, "nutmeg-schrijvers@2"]);
-        let one = |words| done(&held.fleet, words);
+        let one = |words| done(&guard.fleet, words);
         tokio::try_join!(one(&a), one(&b), one(&c))?;
         let mut starts = Vec::new();
         for engine in engines {
-            let orders = seen(&held.fleet, engine).await?;
+            let orders = seen(&guard.fleet, engine).await?;
             assert_eq!(orders.len(), 1, "{orders:?}");
             starts.extend(orders[0]["at_ms"].as_i64());
         }
@@ -99,14 +99,14 @@
 #[rstest]
 fn owner_replaced_in_the_middle() {
     run(async {
-        let mut held = fleet(&Plan::default().with_nodes(3).with_engines(1)).await?;
+        let mut guard = fleet(&Plan::default().with_nodes(3).with_engines(1)).await?;
         let faults = json!({ "ignore_fence": true, "load_ms": 1_500 });
-        held.fleet.fault("engine-0", &faults).await?;
+        guard.fleet.fault("engine-0", &faults).await?;
         let words = ["load", "engine-0", "nutmeg-schrijvers@2"];
         let sent = async {
             loop {
-                if seen(&held.fleet, "engine-0").await?.len() == 1 {
-                    break effect(&held.fleet, "engine-0").await;
+                if seen(&guard.fleet, "engine-0").await?.len() == 1 {
+                    break effect(&guard.fleet, "engine-0").await;
                 }
                 sleep(POLL).await;
             }
@@ -114,21 +114,21 @@
         // The command is only needed to write the order; its wait is cut short.
         let rest = ["--who", "anna", "--why", "x", "--wait", "0"];
         let cut = [&["order"], &words[..], &rest[..]].concat();
-        let give = held.fleet.operate(&cut);
+        let give = guard.fleet.operate(&cut);
         let (_, first) = tokio::try_join!(give, sent)?;
         let first = first.context("no effect")?;
         let owner = first.instance.to_string();
-        held.fleet.process(&owner)?.signal(Signal::SIGSTOP)?;
-        done(&held.fleet, &words).await?;
-        let second = effect(&held.fleet, "engine-0").await?.context("no effect")?;
+        guard.fleet.process(&owner)?.signal(Signal::SIGSTOP)?;
+        done(&guard.fleet, &words).await?;
+        let second = effect(&guard.fleet, "engine-0").await?.context("no effect")?;
         assert!(second.instance != first.instance && second.epoch > first.epoch, "{second:?}");
-        held.fleet.process(&owner)?.signal(Signal::SIGCONT)?;
-        done(&held.fleet, &["role", "engine-0", "decode"]).await?;
-        let orders = seen(&held.fleet, "engine-0").await?;
+        guard.fleet.process(&owner)?.signal(Signal::SIGCONT)?;
+        done(&guard.fleet, &["role", "engine-0", "decode"]).await?;
+        let orders = seen(&guard.fleet, "engine-0").await?;
         let names: Vec<_> = orders.iter().filter_map(|o| o["order"].as_str()).collect();
         assert_eq!(names, ["load", "role"], "{orders:?}");
         assert!(fences(&orders).is_sorted(), "{orders:?}");
-        let (_, trail) = held.fleet.operate(&["audit"]).await?;
+        let (_, trail) = guard.fleet.operate(&["audit"]).await?;
         let mut taken = trail.lines().filter(|l| l.starts_with("took_over "));
         let of_epoch = format!("epoch={} ", second.epoch);
         assert!(taken.any(|l| l.contains(&of_epoch)), "{trail}");
@@ -141,22 +141,22 @@
 #[rstest]
 fn late_order_does_not_last() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(1).with_engines(2)).await?;
-        held.fleet.fault("engine-1", &json!({ "ignore_fence": true })).await?;
+        let guard = fleet(&Plan::default().with_nodes(1).with_engines(2)).await?;
+        guard.fleet.fault("engine-1", &json!({ "ignore_fence": true })).await?;
         let late = json!({ "fence": 0, "order": "unload", "load": "m@2" }).to_string();
         let mut statuses = Vec::new();
         for engine in ["engine-0", "engine-1"] {
-            done(&held.fleet, &["load", engine, "m@2"]).await?;
-            let address = held.fleet.endpoints[engine];
+            done(&guard.fleet, &["load", engine, "m@2"]).await?;
+            let address = guard.fleet.endpoints[engine];
             let body = late.clone().into_bytes();
             statuses.push(send(address, Method::POST, ORDERS_PATH, &[], body).await?.0.as_u16());
         }
         assert_eq!(statuses, [409, 200]);
-        while seen(&held.fleet, "engine-1").await?.len() < 3 {
+        while seen(&guard.fleet, "engine-1").await?.len() < 3 {
             sleep(POLL).await;
         }
         let state = |engine: &str| {
-            let address = held.fleet.endpoints[engine];
+            let address = guard.fleet.endpoints[engine];
             async move { ask::<EngineState>(address, Method::GET, ORDERS_PATH, None).await }
         };
         for engine in ["engine-0", "engine-1"] {
@@ -171,13 +171,13 @@
 #[rstest]
 fn racing_orders_show_the_winner() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
-        held.fleet.fault("platform", &json!({ "slow_ms": 50 })).await?;
+        let guard = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
+        guard.fleet.fault("platform", &json!({ "slow_ms": 50 })).await?;
         for round in 0..10 {
             let load = format!("m@{round}");
             let (one, two) = (["load", "engine-0", &load], ["unload", "engine-0", &load]);
-            let anna = order(&held.fleet, "anna", &one);
-            let bert = order(&held.fleet, "bert", &two);
+            let anna = order(&guard.fleet, "anna", &one);
+            let bert = order(&guard.fleet, "bert", &two);
             let (anna, bert) = tokio::try_join!(anna, bert)?;
             if anna.0 == 4 || bert.0 == 4 {
                 let (loser, winner) = if anna.0 == 4 { (anna, "bert") } else { (bert, "anna") };
@@ -194,14 +194,14 @@
 fn unknown_engine_is_refused() {
     run(async {
         let plan = Plan::default().with_nodes(1).with_engines(1);
-        let held = fleet(&plan).await?;
+        let guard = fleet(&plan).await?;
         for words in [["load", "engine-7", "m"], ["load", "service-0", "m"]] {
-            let (code, text) = order(&held.fleet, "anna", &words).await?;
+            let (code, text) = order(&guard.fleet, "anna", &words).await?;
             assert!(code == 3 && text.contains("5011"), "{text}");
         }
-        let (code, text) = order(&held.fleet, "anna", &["load", "engine-0", "m@"]).await?;
+        let (code, text) = order(&guard.fleet, "anna", &["load", "engine-0", "m@"]).await?;
         assert!(code == 3 && text.contains("5003"), "{text}");
-        assert_eq!(effect(&held.fleet, "engine-0").await?.map(|e| e.progress), None::<Progress>);
+        assert_eq!(effect(&guard.fleet, "engine-0").await?.map(|e| e.progress), None::<Progress>);
         Ok(())
     });
 }
--- a/tests/suite/operators/presets.rs
+++ b/tests/suite/operators/presets.rs
@@ -23,22 +23,22 @@
 #[rstest]
 fn only_the_named_engine_serves() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(1).with_engines(2)).await?;
+        let guard = fleet(&Plan::default().with_nodes(1).with_engines(2)).await?;
         let file = with_engine("engine-1")?;
         for words in [vec!["preset", "put", "one", &file], vec!["preset", "use", "one"]] {
-            let (code, text) = held.fleet.operate(&[&*words, &WHY].concat()).await?;
+            let (code, text) = guard.fleet.operate(&[&*words, &WHY].concat()).await?;
             assert_eq!(code, 0, "{text}");
         }
-        let caller = held.fleet.caller("staatsbos");
+        let caller = guard.fleet.caller("staatsbos");
         for n in 0..4 {
-            let heard = caller.stream(0, "district-sort", &format!("a {n} len=5")).await?;
-            assert!(heard.is_whole(), "{heard:?}");
+            let received = caller.stream(0, "district-sort", &format!("a {n} len=5")).await?;
+            assert!(received.is_whole(), "{received:?}");
         }
-        let runs = held.fleet.log("engine-0").await?["runs"].as_object().map(serde_json::Map::len);
+        let runs = guard.fleet.log("engine-0").await?["runs"].as_object().map(serde_json::Map::len);
         assert_eq!(runs, Some(0));
         let file = with_engine("engine-9")?;
         let words = ["preset", "put", "other", &file];
-        let (code, text) = held.fleet.operate(&[&words[..], &WHY].concat()).await?;
+        let (code, text) = guard.fleet.operate(&[&words[..], &WHY].concat()).await?;
         assert!(code == 3 && text.contains("5011"), "{text}");
         Ok(())
     });
--- a/tests/suite/operators/refusals.rs
+++ b/tests/suite/operators/refusals.rs
@@ -60,13 +60,13 @@
 fn refusals_and_looks_write_nothing() {
     run(async {
         let plan = Plan::default().with_nodes(1).with_engines(1).with_services(1);
-        let held = fleet(&plan).await?;
+        let guard = fleet(&plan).await?;
         for (expected, part, words) in CASES {
-            let (code, text) = held.fleet.operate(words).await?;
+            let (code, text) = guard.fleet.operate(words).await?;
             assert_eq!(code, *expected, "{words:?}: {text}");
             assert!(text.contains(part), "{words:?}: {text}");
         }
-        assert_eq!(held.fleet.client().list(CONFIG_PREFIX).await?.objects.len(), 1);
+        assert_eq!(guard.fleet.client().list(CONFIG_PREFIX).await?.objects.len(), 1);
         Ok(())
     });
 }
@@ -76,15 +76,15 @@
 fn first_preset_makes_version_1() {
     run(async {
         let plan = Plan::default().with_nodes(0).with_engines(1).with_services(0);
-        let held = fleet(&plan).await?;
-        held.fleet.client().remove("config/000000000001", 1).await?;
+        let guard = fleet(&plan).await?;
+        guard.fleet.client().remove("config/000000000001", 1).await?;
         let why = ["--who", "anna", "--why", "start"];
         let (code, text) =
-            held.fleet.operate(&[&["preset", "use", "peak"], &why[..]].concat()).await?;
+            guard.fleet.operate(&[&["preset", "use", "peak"], &why[..]].concat()).await?;
         assert!(code == 3 && text.contains("5003"), "{text}");
         let file = format!("{PERMIT_DESK}/peak.json");
         let words = [&["preset", "put", "peak", &file], &why[..]].concat();
-        let (code, text) = held.fleet.operate(&words).await?;
+        let (code, text) = guard.fleet.operate(&words).await?;
         assert!(code == 0 && text.contains("accepted version=1"), "{text}");
         Ok(())
     });
@@ -120,8 +120,8 @@
 fn old_token_is_named() {
     run(async {
         let plan = Plan::default().with_nodes(1).with_engines(1).with_services(0);
-        let held = fleet(&plan).await?;
-        let platform = held.fleet.platform.to_string();
+        let guard = fleet(&plan).await?;
+        let platform = guard.fleet.platform.to_string();
         let mut command = program("nutmegctl");
         command.args(["status", "--platform", &platform]);
         command.env("NUTMEGGRADE_OPERATOR_TOKEN", "a-token-of-last-year");
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -1,4 +1,4 @@
-//! Real processes: the whole path, and failures brought about on it.
+//! Tests of real processes: the complete request path with injected failures.
 
 mod bad_input;
 mod cold;
--- a/tests/suite/process/bad_input.rs
+++ b/tests/suite/process/bad_input.rs
@@ -1,4 +1,4 @@
-//! Each bad input gets its numbered code.
+//! Invalid requests and their error codes.
 
 use http::Method;
 use nutmeggrade_core::prelude::*;
@@ -76,12 +76,12 @@
     ]
 }
 
-// Callers make mistakes. Each gets the number that names its mistake and whether anything ran.
+// Each invalid request gets the code of its error and the statement that nothing ran.
 #[rstest]
 fn bad_input_gets_its_code() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
-        let entry = held.fleet.caller("staatsbos").entry(0);
+        let guard = fleet(&Plan::default().with_nodes(1).with_engines(1)).await?;
+        let entry = guard.fleet.caller("staatsbos").entry(0);
         for case in cases() {
             let body = case.body.clone().into_bytes();
             let (status, answer) =
--- a/tests/suite/process/cold.rs
+++ b/tests/suite/process/cold.rs
@@ -1,4 +1,4 @@
-//! An engine in cold start behind several instances.
+//! An engine in cold start that several instances use.
 
 use std::time::Duration;
 
@@ -20,12 +20,13 @@
     plan.with_flag("lease", "800").with_flag("silence", "1000").with_flag("beacon", "100")
 }
 
-/// Keeps the engine cold until an instance other than `but` may use it; returns that instance.
-async fn owner(fleet: &Fleet, but: Option<&str>) -> anyhow::Result<String> {
+/// Keeps the engine cold until an instance other than `excluded` may use it; returns the name of
+/// that instance.
+async fn until_owned(fleet: &Fleet, excluded: Option<&str>) -> anyhow::Result<String> {
     let start = Instant::now();
     loop {
         fleet.fault(ENGINE, &json!({ "cold": true })).await?;
-        for name in fleet.nodes.keys().filter(|n| Some(n.as_str()) != but) {
+        for name in fleet.nodes.keys().filter(|n| Some(n.as_str()) != excluded) {
             let status = fleet.status(name).await.unwrap_or(Value::Null);
             let row = status.pointer("/endpoints/0").cloned().unwrap_or_default();
             if row["owner_epoch"].is_u64() {
@@ -37,67 +38,69 @@
     }
 }
 
-/// Keeps the engine cold until `done` generations ran on it.
-async fn keep_cold(fleet: &Fleet, done: usize) -> anyhow::Result<()> {
+/// Keeps the engine cold until `count` generations have run on it.
+async fn keep_cold(fleet: &Fleet, count: usize) -> anyhow::Result<()> {
     let start = Instant::now();
     loop {
         fleet.fault(ENGINE, &json!({ "cold": true })).await?;
         let log = fleet.log(ENGINE).await?;
         let ran = log["runs"].as_object().map_or(0, serde_json::Map::len);
-        if ran >= done && log["running"] == 0 {
+        if ran >= count && log["running"] == 0 {
             return Ok(());
         }
-        ensure!(start.elapsed() < PATIENCE, "the engine ran {ran} of {done}");
+        ensure!(start.elapsed() < PATIENCE, "the engine ran {ran} of {count}");
         sleep(PAUSE).await;
     }
 }
 
-async fn assert_unharmed(fleet: &Fleet) -> anyhow::Result<()> {
+async fn ensure_not_overloaded(fleet: &Fleet) -> anyhow::Result<()> {
     let log = fleet.log(ENGINE).await?;
-    ensure!(log["crashes"] == 0, "the engine fell over: {log}");
+    ensure!(log["crashes"] == 0, "the engine crashed: {log}");
     let peak = log["cold_peak"].as_u64().unwrap_or(0);
-    ensure!((1..=2).contains(&peak), "it held {peak} while cold");
+    ensure!((1..=2).contains(&peak), "it ran {peak} at once while cold");
     Ok(())
 }
 
-// An engine starts cold and many callers at all instances want it at once. Each instance alone would
-// give it as much as it bears; together they would make it fall over, and callers see answers that
-// never begin.
+// An engine starts cold and many clients at all instances need it at once. Each instance on its own
+// would stay below the limit of the engine; together they would crash it, and clients would wait
+// for answers that never start.
 #[rstest]
 fn all_instances_together_stay_below_the_limit() {
     run(async {
-        let held = fleet(&plan()).await?;
-        owner(&held.fleet, None).await?;
-        // Every instance has seen by its own reports that the engine is cold.
+        let guard = fleet(&plan()).await?;
+        until_owned(&guard.fleet, None).await?;
+        // Time until every instance has seen in its own load reports that the engine is cold.
         sleep(Duration::from_secs(1)).await;
-        owner(&held.fleet, None).await?;
-        let caller = held.fleet.caller("staatsbos");
+        until_owned(&guard.fleet, None).await?;
+        let caller = guard.fleet.caller("staatsbos");
         let calls = (0..9).map(|n| caller.stream(n, "district-sort", "a len=12"));
-        let (heard, kept) =
-            tokio::join!(futures::future::join_all(calls), keep_cold(&held.fleet, 3));
-        kept?;
-        assert_unharmed(&held.fleet).await?;
-        let whole = heard.into_iter().flatten().filter(Heard::is_whole).count();
-        assert!(whole >= 3, "only {whole} were served");
+        let (received, cold_result) =
+            tokio::join!(futures::future::join_all(calls), keep_cold(&guard.fleet, 3));
+        cold_result?;
+        ensure_not_overloaded(&guard.fleet).await?;
+        let complete = received.into_iter().flatten().filter(Heard::is_whole).count();
+        assert!(complete >= 3, "only {complete} streams were complete");
         Ok(())
     });
 }
 
-// The owner of a cold engine is stopped with work on it, another instance takes over, and the first
-// wakes in the belief that nothing happened. Users notice an engine that crashes while it starts.
+// The owner of a cold engine is frozen while a generation runs on it, and another instance takes
+// over. The first owner then continues with its outdated state. Requests of both must not crash the
+// engine during its start.
 #[rstest]
 fn frozen_owner_and_its_successor_stay_below_the_limit() {
     run(async {
-        let mut held = fleet(&plan()).await?;
-        let first = owner(&held.fleet, None).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let slow = caller.clone();
-        let place = held.fleet.nodes.keys().position(|n| *n == first).unwrap_or(0);
-        let early =
-            tokio::spawn(async move { slow.stream(place, "permit-draft", "a len=300").await });
-        keep_running(&held.fleet).await?;
-        held.fleet.process(&first)?.signal(Signal::SIGSTOP)?;
-        let second = owner(&held.fleet, Some(&first)).await?;
+        let mut guard = fleet(&plan()).await?;
+        let first = until_owned(&guard.fleet, None).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let early_caller = caller.clone();
+        let position = guard.fleet.nodes.keys().position(|n| *n == first).unwrap_or(0);
+        let early_stream = tokio::spawn(async move {
+            early_caller.stream(position, "permit-draft", "a len=300").await
+        });
+        keep_cold_until_running(&guard.fleet).await?;
+        guard.fleet.process(&first)?.signal(Signal::SIGSTOP)?;
+        let second = until_owned(&guard.fleet, Some(&first)).await?;
         assert_ne!(first, second);
         let calls = |from: usize| {
             let caller = caller.clone();
@@ -108,44 +111,45 @@
                 )
             })
         };
-        let mut open: Vec<_> = calls(place + 1).collect();
+        let mut streams: Vec<_> = calls(position + 1).collect();
         sleep(Duration::from_millis(500)).await;
-        held.fleet.process(&first)?.signal(Signal::SIGCONT)?;
-        open.extend(calls(place));
-        keep_cold(&held.fleet, 3).await?;
-        assert_unharmed(&held.fleet).await?;
-        for call in open {
+        guard.fleet.process(&first)?.signal(Signal::SIGCONT)?;
+        streams.extend(calls(position));
+        keep_cold(&guard.fleet, 3).await?;
+        ensure_not_overloaded(&guard.fleet).await?;
+        for call in streams {
             call.abort();
         }
-        early.abort();
+        early_stream.abort();
         Ok(())
     });
 }
 
-async fn keep_running(fleet: &Fleet) -> anyhow::Result<()> {
+async fn keep_cold_until_running(fleet: &Fleet) -> anyhow::Result<()> {
     let start = Instant::now();
     while fleet.log(ENGINE).await?["running"] == 0 {
         fleet.fault(ENGINE, &json!({ "cold": true })).await?;
-        ensure!(start.elapsed() < PATIENCE, "nothing runs");
+        ensure!(start.elapsed() < PATIENCE, "no generation runs");
         sleep(PAUSE).await;
     }
     Ok(())
 }
 
-// The platform is down for long while an engine starts. Whose it is can't be known any more, so it
-// gets nothing until it is warm; one would notice callers who wait for as long, and no crash.
+// The platform is down for long while an engine starts. The owner of the engine can no longer be
+// determined, so the engine gets nothing until it is warm. Clients wait for as long, and the engine
+// does not crash.
 #[rstest]
 fn nobody_uses_a_cold_engine_in_an_outage() {
     run(async {
-        let held = fleet(&plan()).await?;
-        owner(&held.fleet, None).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
+        let guard = fleet(&plan()).await?;
+        until_owned(&guard.fleet, None).await?;
+        guard.fleet.fault("platform", &json!({ "down": true })).await?;
         let start = Instant::now();
-        while owned(&held.fleet).await? {
+        while has_owner(&guard.fleet).await? {
             ensure!(start.elapsed() < PATIENCE, "the lease does not lapse");
             sleep(PAUSE).await;
         }
-        let caller = held.fleet.caller("staatsbos");
+        let caller = guard.fleet.caller("staatsbos");
         let calls: Vec<_> = (0..3)
             .map(|n| {
                 let caller = caller.clone();
@@ -153,21 +157,21 @@
             })
             .collect();
         for _ in 0..10 {
-            held.fleet.fault(ENGINE, &json!({ "cold": true })).await?;
+            guard.fleet.fault(ENGINE, &json!({ "cold": true })).await?;
             sleep(PAUSE).await;
         }
-        assert_eq!(held.fleet.log(ENGINE).await?["runs"], json!({}));
-        held.fleet.fault(ENGINE, &json!({ "cold": false })).await?;
+        assert_eq!(guard.fleet.log(ENGINE).await?["runs"], json!({}));
+        guard.fleet.fault(ENGINE, &json!({ "cold": false })).await?;
         for call in calls {
-            let heard = call.await??;
-            assert!(heard.is_whole(), "{heard:?}");
+            let received = call.await??;
+            assert!(received.is_whole(), "{received:?}");
         }
         Ok(())
     });
 }
 
-/// Keeps the engine cold, and says whether an instance may use it.
-async fn owned(fleet: &Fleet) -> anyhow::Result<bool> {
+/// Keeps the engine cold; returns whether an instance may use it.
+async fn has_owner(fleet: &Fleet) -> anyhow::Result<bool> {
     fleet.fault(ENGINE, &json!({ "cold": true })).await?;
     for name in fleet.nodes.keys() {
         let status = fleet.status(name).await?;
@@ -178,15 +182,15 @@
     Ok(false)
 }
 
-// A warm engine under load turns cold without a word. What is on its way makes it fall over once at
-// most; as it comes up again it must not fall over again and again under all that wait for it.
+// A warm engine under load turns cold without notice. The requests in progress may crash it once;
+// when it is back, the waiting requests must not crash it again and again.
 #[rstest]
 fn engine_that_turns_cold_falls_over_once_at_most() {
     run(async {
-        let held = fleet(&plan()).await?;
-        owner(&held.fleet, None).await?;
-        held.fleet.fault(ENGINE, &json!({ "cold": false })).await?;
-        let caller = held.fleet.caller("staatsbos");
+        let guard = fleet(&plan()).await?;
+        until_owned(&guard.fleet, None).await?;
+        guard.fleet.fault(ENGINE, &json!({ "cold": false })).await?;
+        let caller = guard.fleet.caller("staatsbos");
         let first = caller.stream(0, "district-sort", "a len=5").await?;
         assert!(first.is_whole(), "{first:?}");
         let calls: Vec<_> = (0..8)
@@ -195,7 +199,7 @@
                 tokio::spawn(async move {
                     let start = Instant::now();
                     while start.elapsed() < Duration::from_secs(5) {
-                        // Those that the engine loses as it falls over end with an error.
+                        // Requests that the engine loses in its crash end with an error.
                         drop(caller.stream(n, "district-sort", "a len=12").await);
                         sleep(PAUSE).await;
                     }
@@ -203,7 +207,7 @@
             })
             .collect();
         sleep(Duration::from_millis(400)).await;
-        held.fleet.fault(ENGINE, &json!({ "cold": true })).await?;
+        guard.fleet.fault(ENGINE, &json!({ "cold": true })).await?;
         for call in calls {
             call.await?;
         }
@@ -212,7 +216,7 @@
             ensure!(start.elapsed() < PATIENCE, "the engine does not come back");
             sleep(PAUSE).await;
         }
-        let log = held.fleet.log(ENGINE).await?;
+        let log = guard.fleet.log(ENGINE).await?;
         assert!(log["crashes"].as_u64() <= Some(1), "{log}");
         Ok(())
     });
--- a/tests/suite/process/config.rs
+++ b/tests/suite/process/config.rs
@@ -1,4 +1,5 @@
-//! Configurations on real processes: accepted ones come into force everywhere and stay.
+//! Configuration versions on real processes: an accepted version comes into force on all instances
+//! and stays.
 
 use std::time::Duration;
 
@@ -26,7 +27,7 @@
 }
 
 /// Waits until every instance has at least `version` in force.
-async fn in_force(fleet: &Fleet, version: u64) -> anyhow::Result<()> {
+async fn until_in_force(fleet: &Fleet, version: u64) -> anyhow::Result<()> {
     let start = Instant::now();
     for name in fleet.nodes.keys() {
         loop {
@@ -41,90 +42,94 @@
     Ok(())
 }
 
-async fn domain_out(fleet: &Fleet) -> anyhow::Result<Configuration> {
+async fn next_without_domain(fleet: &Fleet) -> anyhow::Result<Configuration> {
     let newest = newest_config(&fleet.client()).await?.config.context("no configuration")?;
     let change = Change::DomainOut { domain: DomainId::new(DOMAIN)? };
     Ok(newest.next(ChangeId::new("c-out")?, "anna", "switch work", &change)?)
 }
 
-async fn ran(fleet: &Fleet, engine: &str) -> anyhow::Result<usize> {
+async fn run_count(fleet: &Fleet, engine: &str) -> anyhow::Result<usize> {
     let log = fleet.log(engine).await?;
     Ok(log["runs"].as_object().map_or(0, serde_json::Map::len))
 }
 
-// The platform goes down in the moment in which a change was accepted, and the operator's command
-// reached one instance only. Without the others' help two of three would go on using the domain.
+// The platform goes down just after a change was accepted, and the command of the operator reached
+// one instance only. Without a forward by that instance, two of three would keep using the failure
+// domain.
 #[rstest]
 fn peers_hand_on_what_the_platform_can_not() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let next = domain_out(&held.fleet).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
-        held.fleet.push("node-1", &next).await?;
-        in_force(&held.fleet, next.version).await?;
-        let before = ran(&held.fleet, "engine-0").await?;
-        let caller = held.fleet.caller("staatsbos");
-        let heard = join_all((0..6).map(|n| caller.stream(n, "district-sort", "a len=5"))).await;
-        assert!(heard.into_iter().all(|h| h.is_ok_and(|h| h.is_whole())));
-        assert_eq!(ran(&held.fleet, "engine-0").await?, before);
+        let guard = fleet(&plan()).await?;
+        let next = next_without_domain(&guard.fleet).await?;
+        guard.fleet.fault("platform", &json!({ "down": true })).await?;
+        guard.fleet.push("node-1", &next).await?;
+        until_in_force(&guard.fleet, next.version).await?;
+        let before = run_count(&guard.fleet, "engine-0").await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let received = join_all((0..6).map(|n| caller.stream(n, "district-sort", "a len=5"))).await;
+        assert!(received.into_iter().all(|h| h.is_ok_and(|h| h.is_whole())));
+        assert_eq!(run_count(&guard.fleet, "engine-0").await?, before);
         Ok(())
     });
 }
 
-// An instance is replaced while the platform is down for long. It serves as soon as a peer has told
-// it the configuration, and callers hear of it.
+// An instance is replaced during a long outage of the platform. It serves once it has the
+// configuration from a peer, and clients are told about it.
 #[rstest]
 fn starts_in_an_outage() {
     run(async {
-        let mut held = fleet(&plan().with_nodes(2)).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
-        let seed = held.fleet.nodes["node-0"].admin.to_string();
-        held.fleet.add_flag("seeds", &seed);
-        held.fleet.start_node(2)?;
-        held.fleet.ready().await?;
-        let heard = held.fleet.caller("staatsbos").stream(2, "district-sort", "a len=5").await?;
-        assert!(heard.is_whole(), "{heard:?}");
+        let mut guard = fleet(&plan().with_nodes(2)).await?;
+        guard.fleet.fault("platform", &json!({ "down": true })).await?;
+        let seed = guard.fleet.nodes["node-0"].admin.to_string();
+        guard.fleet.add_flag("seeds", &seed);
+        guard.fleet.start_node(2)?;
+        guard.fleet.ready().await?;
+        let received =
+            guard.fleet.caller("staatsbos").stream(2, "district-sort", "a len=5").await?;
+        assert!(received.is_whole(), "{received:?}");
         Ok(())
     });
 }
 
-// Without the platform and without a peer to ask, nothing can be known about what is out.
+// Without the platform and without a peer an instance can't tell which failure domains are out of
+// service.
 #[rstest]
 fn is_not_ready_without_a_configuration() {
     run(async {
-        let mut held = fleet(&plan().with_nodes(1)).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
-        held.fleet.start_node(1)?;
+        let mut guard = fleet(&plan().with_nodes(1)).await?;
+        guard.fleet.fault("platform", &json!({ "down": true })).await?;
+        guard.fleet.start_node(1)?;
         sleep(Duration::from_secs(1)).await;
-        let answer = held.fleet.caller("staatsbos").stream(1, "district-sort", "a").await?;
+        let answer = guard.fleet.caller("staatsbos").stream(1, "district-sort", "a").await?;
         assert_eq!(code(&answer), Some(4003), "{answer:?}");
         Ok(())
     });
 }
 
-/// Waits until a process that was sent a stop answers no more.
-async fn stopped(fleet: &Fleet, name: &str) -> anyhow::Result<()> {
+/// Waits until a process that got SIGSTOP no longer responds.
+async fn until_frozen(fleet: &Fleet, name: &str) -> anyhow::Result<()> {
     let start = Instant::now();
     while timeout(Duration::from_millis(500), fleet.status(name)).await.is_ok() {
-        ensure!(start.elapsed() < PATIENCE, "{name} goes on");
+        ensure!(start.elapsed() < PATIENCE, "{name} still responds");
     }
     Ok(())
 }
 
-fn code(heard: &Heard) -> Option<u64> {
-    heard.failure.as_ref()?.get("code")?.as_u64()
+fn code(received: &Heard) -> Option<u64> {
+    received.failure.as_ref()?.get("code")?.as_u64()
 }
 
-// An instance is stopped by its machine while operators take a domain out, and goes on, alone, with
-// callers already waiting at its door. It must not send them into the domain on what it knew before.
+// An instance is frozen while operators take a failure domain out of service, and continues,
+// without its peers, with client requests already queued. It must not serve them with the outdated
+// configuration.
 #[rstest]
 fn frozen_instance_wakes_after_a_change() {
     run(async {
-        let mut held = fleet(&plan().with_relays()).await?;
-        held.fleet.link("platform")?.set(Link::Stalled);
-        held.fleet.process("node-1")?.signal(Signal::SIGSTOP)?;
-        stopped(&held.fleet, "node-1").await?;
-        let caller = held.fleet.caller("staatsbos");
+        let mut guard = fleet(&plan().with_relays()).await?;
+        guard.fleet.link("platform")?.set(Link::Stalled);
+        guard.fleet.process("node-1")?.signal(Signal::SIGSTOP)?;
+        until_frozen(&guard.fleet, "node-1").await?;
+        let caller = guard.fleet.caller("staatsbos");
         let waiting: Vec<_> = (0..12)
             .map(|_| {
                 let caller = caller.clone();
@@ -133,39 +138,40 @@
             .collect();
         let words = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
         let (code, output) =
-            held.fleet.operate(&[&words[..], &["--wait", "2500"]].concat()).await?;
+            guard.fleet.operate(&[&words[..], &["--wait", "2500"]].concat()).await?;
         assert_eq!(code, 5, "{output}");
         assert!(output.contains("node-1"), "{output}");
         for peer in ["node-0", "node-2"] {
-            held.fleet.process(peer)?.signal(Signal::SIGSTOP)?;
+            guard.fleet.process(peer)?.signal(Signal::SIGSTOP)?;
         }
-        let before = ran(&held.fleet, "engine-0").await?;
-        held.fleet.process("node-1")?.signal(Signal::SIGCONT)?;
-        for heard in join_all(waiting).await {
-            let heard = heard??;
-            assert_eq!(self::code(&heard), Some(4004), "{heard:?}");
+        let before = run_count(&guard.fleet, "engine-0").await?;
+        guard.fleet.process("node-1")?.signal(Signal::SIGCONT)?;
+        for received in join_all(waiting).await {
+            let received = received??;
+            assert_eq!(self::code(&received), Some(4004), "{received:?}");
         }
-        assert_eq!(ran(&held.fleet, "engine-0").await?, before);
+        assert_eq!(run_count(&guard.fleet, "engine-0").await?, before);
         for peer in ["node-0", "node-2"] {
-            held.fleet.process(peer)?.signal(Signal::SIGCONT)?;
+            guard.fleet.process(peer)?.signal(Signal::SIGCONT)?;
         }
-        in_force(&held.fleet, 2).await
+        until_in_force(&guard.fleet, 2).await
     });
 }
 
-// The platform is away for much longer than the fence. Generations and idempotent calls go on; what
-// may not be repeated is refused, because nothing could record it or tell of an earlier attempt.
+// The platform is down for much longer than the fence. Generations and idempotent calls are served;
+// calls that may not be repeated are refused, because they can't be recorded and an earlier attempt
+// can't be looked up.
 #[rstest]
 fn serves_through_a_long_outage() {
     run(async {
-        let held = fleet(&plan()).await?;
-        held.fleet.fault("platform", &json!({ "down": true })).await?;
-        let caller = held.fleet.caller("staatsbos");
+        let guard = fleet(&plan()).await?;
+        guard.fleet.fault("platform", &json!({ "down": true })).await?;
+        let caller = guard.fleet.caller("staatsbos");
         let start = Instant::now();
         let mut n = 0;
         while start.elapsed() < Duration::from_secs(4) {
-            let heard = caller.stream(n, "district-sort", "a len=5").await?;
-            assert!(heard.is_whole(), "{heard:?}");
+            let received = caller.stream(n, "district-sort", "a len=5").await?;
+            assert!(received.is_whole(), "{received:?}");
             let (status, _) = caller.operation(n, "lookup-permit", None, "plot-1").await?;
             assert!(status.is_success(), "{status}");
             n += 1;
@@ -173,29 +179,29 @@
         let (status, failure) = caller.operation(0, "issue-permit", Some("k"), "plot-1").await?;
         assert_eq!(status, 503);
         assert_eq!((&failure["code"], &failure["run"]), (&json!(4001), &json!("unknown")));
-        let log = held.fleet.log("service-0").await?;
+        let log = guard.fleet.log("service-0").await?;
         assert!(log.get("issue-permit/plot-1").is_none(), "{log}");
-        held.fleet.fault("platform", &json!({})).await?;
+        guard.fleet.fault("platform", &json!({})).await?;
         let words = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
-        let (code, output) = held.fleet.operate(&words).await?;
+        let (code, output) = guard.fleet.operate(&words).await?;
         assert_eq!(code, 0, "{output}");
         Ok(())
     });
 }
 
-// Two operators change at once and the answer of an accepted write gets lost. Each learns truly
-// whether the change was accepted, and every accepted one is in force.
+// Two operators make changes at once, and the answer of an accepted write is lost. Each is told
+// correctly whether the change was accepted, and every accepted change is in force.
 #[rstest]
 fn racing_operators_learn_the_truth() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let fleet = &held.fleet;
+        let guard = fleet(&plan()).await?;
+        let fleet = &guard.fleet;
         let mut accepted = 1;
         for round in 0..3 {
             fleet.fault("platform", &json!({ "lose": 1 })).await?;
-            let place = if round % 2 == 0 { "out" } else { "in" };
+            let direction = if round % 2 == 0 { "out" } else { "in" };
             let change = |domain| async move {
-                let words = ["domain", place, domain, "--who", domain, "--why", "race"];
+                let words = ["domain", direction, domain, "--who", domain, "--why", "race"];
                 fleet.operate(&words).await
             };
             let both = tokio::join!(change(DOMAIN), change("gooi"));
@@ -203,46 +209,51 @@
                 ensure!(matches!(code, 0 | 4), "{code}: {output}");
                 accepted += u64::from(code == 0 && output.contains("accepted"));
             }
-            let newest = newest_config(&fleet.client()).await?.config.context("none")?;
+            let newest =
+                newest_config(&fleet.client()).await?.config.context("no configuration")?;
             assert_eq!(newest.version, accepted);
-            in_force(fleet, accepted).await?;
+            until_in_force(fleet, accepted).await?;
         }
         Ok(())
     });
 }
 
-// A failure domain is taken out at short notice and comes back while long answers run everywhere.
-// None of them breaks, nothing new goes there meanwhile, and it is used again afterwards.
+// A failure domain is taken out of service and brought back while long answers run everywhere. No
+// answer breaks, the domain gets no new requests meanwhile, and it is used again afterwards.
 #[rstest]
 fn domain_leaves_and_returns_while_streams_run() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
         let streams: Vec<_> = (0..6)
             .map(|n| {
                 let caller = caller.clone();
                 tokio::spawn(async move { caller.stream(n, "permit-draft", "a len=250").await })
             })
             .collect();
-        while ran(&held.fleet, "engine-0").await? + ran(&held.fleet, "engine-1").await? < 6 {
+        while run_count(&guard.fleet, "engine-0").await?
+            + run_count(&guard.fleet, "engine-1").await?
+            < 6
+        {
             sleep(PAUSE).await;
         }
-        let go = |place| ["domain", place, DOMAIN, "--who", "anna", "--why", "switch work"];
-        assert_eq!(held.fleet.operate(&go("out")).await?.0, 0);
-        let before = ran(&held.fleet, "engine-0").await?;
+        let command =
+            |direction| ["domain", direction, DOMAIN, "--who", "anna", "--why", "switch work"];
+        assert_eq!(guard.fleet.operate(&command("out")).await?.0, 0);
+        let before = run_count(&guard.fleet, "engine-0").await?;
         for n in 0..6 {
             assert!(caller.stream(n, "district-sort", "a len=5").await?.is_whole());
         }
-        assert_eq!(ran(&held.fleet, "engine-0").await?, before);
-        assert_eq!(held.fleet.operate(&go("in")).await?.0, 0);
+        assert_eq!(run_count(&guard.fleet, "engine-0").await?, before);
+        assert_eq!(guard.fleet.operate(&command("in")).await?.0, 0);
         let start = Instant::now();
-        while ran(&held.fleet, "engine-0").await? == before {
+        while run_count(&guard.fleet, "engine-0").await? == before {
             assert!(caller.stream(0, "district-sort", "a len=5").await?.is_whole());
             ensure!(start.elapsed() < PATIENCE, "the domain is not used again");
         }
         for stream in streams {
-            let heard = stream.await??;
-            assert!(heard.is_whole(), "{heard:?}");
+            let received = stream.await??;
+            assert!(received.is_whole(), "{received:?}");
         }
         Ok(())
     });
--- a/tests/suite/process/config_size.rs
+++ b/tests/suite/process/config_size.rs
@@ -1,4 +1,4 @@
-//! Many and large versions of the configuration.
+//! Many and large configuration versions.
 
 use anyhow::Context;
 use nutmeggrade_core::config::Change;
@@ -12,7 +12,7 @@
 use crate::support::{fleet, run};
 
 /// Writes versions up to `last`, each with a reason of `size` bytes.
-async fn write(fleet: &Fleet, last: u64, size: usize) -> anyhow::Result<()> {
+async fn write_versions(fleet: &Fleet, last: u64, size: usize) -> anyhow::Result<()> {
     let platform = fleet.client();
     let mut config = newest_config(&platform).await?.config.context("no configuration")?;
     let why = "x".repeat(size);
@@ -27,16 +27,16 @@
     Ok(())
 }
 
-// After some days of changes an instance starts. Read all at once, the versions pass any limit on an
-// answer, and the instance never becomes ready.
+// An instance starts after days of changes. If it read all versions at once, they would exceed any
+// limit of an answer, and the instance would never become ready.
 fn starts_whatever_there_is(last: u64, size: usize, hint: u64) {
     run(async move {
-        let mut held = fleet(&Plan::default().with_nodes(0).with_engines(1)).await?;
-        write(&held.fleet, last, size).await?;
-        advance_config_head(&held.fleet.client(), hint).await?;
-        held.fleet.start_node(0)?;
-        held.fleet.ready().await?;
-        let status = held.fleet.status("node-0").await?;
+        let mut guard = fleet(&Plan::default().with_nodes(0).with_engines(1)).await?;
+        write_versions(&guard.fleet, last, size).await?;
+        advance_config_head(&guard.fleet.client(), hint).await?;
+        guard.fleet.start_node(0)?;
+        guard.fleet.ready().await?;
+        let status = guard.fleet.status("node-0").await?;
         assert_eq!(status["config"], last);
         Ok(())
     });
@@ -49,14 +49,14 @@
     hint_of_a_page: 8, 100, 4;
 });
 
-// Thousands of versions a day, each with every preset, would fill the platform.
+// Thousands of versions a day, each with all presets, would fill the storage of the platform.
 #[rstest]
 fn old_versions_keep_the_audit_trail_only() {
     run(async {
-        let held = fleet(&Plan::default().with_nodes(0).with_engines(0).with_services(0)).await?;
-        let platform = held.fleet.client();
+        let guard = fleet(&Plan::default().with_nodes(0).with_engines(0).with_services(0)).await?;
+        let platform = guard.fleet.client();
         let last = VERSIONS_WITH_PRESETS + 2;
-        write(&held.fleet, last, 10).await?;
+        write_versions(&guard.fleet, last, 10).await?;
         strip_old_presets(&platform, last).await?;
         strip_old_presets(&platform, last).await?;
         let read = async |version: u64| {
--- a/tests/suite/process/crashers.rs
+++ b/tests/suite/process/crashers.rs
@@ -10,7 +10,7 @@
 
 const TASK: &str = "district-sort";
 const ENGINES: usize = 4;
-/// Time for a crashed engine to come back.
+/// Time until a crashed engine is back.
 const RESTART: Duration = Duration::from_millis(700);
 
 fn plan() -> Plan {
@@ -25,56 +25,62 @@
     Ok(sum)
 }
 
-async fn ask(fleet: &Fleet, workspace: &str, n: usize, prompt: &str) -> anyhow::Result<Heard> {
-    let mut heard = Heard::default();
+async fn send_prompt(
+    fleet: &Fleet,
+    workspace: &str,
+    n: usize,
+    prompt: &str,
+) -> anyhow::Result<Heard> {
+    let mut received = Heard::default();
     let caller = fleet.caller(workspace);
-    caller.listen(caller.entry(n), TASK, prompt, &mut heard, None).await?;
-    Ok(heard)
+    caller.listen(caller.entry(n), TASK, prompt, &mut received, None).await?;
+    Ok(received)
 }
 
-// A request takes down every engine that reads it, and its caller sends it again at one instance
-// after the other. The fleet loses two engines and no more; the caller is told at once that it is
-// refused for good, while others are served.
+// A request crashes every engine that runs it, and its client repeats it at one instance after the
+// other. The fleet loses two engines at most; the client is told at once that the request is
+// refused for good, and other clients are served.
 #[rstest]
 fn resent_crasher_costs_two_engines() {
     run(async {
-        let held = fleet(&plan()).await?;
+        let guard = fleet(&plan()).await?;
         for n in 0..6 {
-            let heard = ask(&held.fleet, "staatsbos", n, "a crash=now").await?;
-            let failure = heard.failure.unwrap_or_default();
+            let received = send_prompt(&guard.fleet, "staatsbos", n, "a crash=now").await?;
+            let failure = received.failure.unwrap_or_default();
             assert_eq!(failure["code"], 3004, "{failure}");
             sleep(RESTART).await;
         }
-        assert_eq!(crashes(&held.fleet).await?, 2);
-        let heard = ask(&held.fleet, "rival", 1, "a len=10").await?;
-        assert!(heard.is_whole(), "{heard:?}");
+        assert_eq!(crashes(&guard.fleet).await?, 2);
+        let received = send_prompt(&guard.fleet, "rival", 1, "a len=10").await?;
+        assert!(received.is_whole(), "{received:?}");
         Ok(())
     });
 }
 
-// Requests that wait for their first token beside the crasher lose their engine with it. They are
-// served elsewhere and nobody refuses them, now or when they are sent again.
+// Requests that wait for their first token on the same engine as the crashing request lose their
+// engine with it. They are served elsewhere and not refused, neither then nor when they are
+// repeated.
 #[rstest]
-fn neighbours_are_not_condemned() {
+fn neighbours_are_not_refused() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let fleet = &held.fleet;
-        let crasher = ask(fleet, "staatsbos", 0, "a crash=now");
+        let guard = fleet(&plan()).await?;
+        let fleet = &guard.fleet;
+        let crasher = send_prompt(fleet, "staatsbos", 0, "a crash=now");
         let prompts: Vec<String> = (0..8).map(|n| format!("neighbour {n} len=20")).collect();
-        let beside = prompts.iter().enumerate().map(|(n, p)| ask(fleet, "rival", n, p));
-        let (crashed, served) = futures::join!(crasher, futures::future::join_all(beside));
+        let neighbours = prompts.iter().enumerate().map(|(n, p)| send_prompt(fleet, "rival", n, p));
+        let (crashed, served) = futures::join!(crasher, futures::future::join_all(neighbours));
         assert_eq!(crashed?.failure.unwrap_or_default()["code"], 3004);
-        for heard in served {
-            let heard = heard?;
-            let code = heard.failure.as_ref().map(|f| f["code"].clone());
-            assert_ne!(code, Some(3004.into()), "{heard:?}");
-            assert!(heard.in_order());
+        for received in served {
+            let received = received?;
+            let code = received.failure.as_ref().map(|f| f["code"].clone());
+            assert_ne!(code, Some(3004.into()), "{received:?}");
+            assert!(received.in_order());
         }
         assert_eq!(crashes(fleet).await?, 2);
         sleep(RESTART).await;
         for (n, prompt) in prompts.iter().enumerate() {
-            let heard = ask(fleet, "rival", n, prompt).await?;
-            assert!(heard.is_whole(), "{prompt}: {heard:?}");
+            let received = send_prompt(fleet, "rival", n, prompt).await?;
+            assert!(received.is_whole(), "{prompt}: {received:?}");
         }
         Ok(())
     });
--- a/tests/suite/process/cuts.rs
+++ b/tests/suite/process/cuts.rs
@@ -1,4 +1,4 @@
-//! Processes that die or freeze, and links that stall or break, over the whole path.
+//! Processes that die or freeze, and links that stall or break, on the complete request path.
 
 use http::StatusCode;
 use nix::sys::signal::Signal;
@@ -11,181 +11,183 @@
 use crate::support::{fleet, run, until};
 
 const TASK: &str = "permit-draft";
-const LONG: &str = "a len=120";
-const LENGTH: usize = 120;
+const LONG_PROMPT: &str = "a len=120";
+const TOKEN_COUNT: usize = 120;
 
 fn plan() -> Plan {
     Plan::default().with_nodes(3).with_engines(2).with_relays().with_flag("stall", "700")
 }
 
-/// Hears the first tokens of a long answer at an entry.
-async fn begin(caller: &Caller, entry: usize) -> anyhow::Result<Heard> {
-    let mut heard = Heard::default();
-    caller.listen(caller.entry(entry), TASK, LONG, &mut heard, Some(10)).await?;
-    anyhow::ensure!(heard.failure.is_none(), "{heard:?}");
-    Ok(heard)
+/// Receives the first tokens of a long answer from an instance.
+async fn receive_first_tokens(caller: &Caller, entry: usize) -> anyhow::Result<Heard> {
+    let mut received = Heard::default();
+    caller.listen(caller.entry(entry), TASK, LONG_PROMPT, &mut received, Some(10)).await?;
+    anyhow::ensure!(received.failure.is_none(), "{received:?}");
+    Ok(received)
 }
 
-/// Returns the engine that runs something.
-async fn busy(fleet: &Fleet) -> anyhow::Result<String> {
-    let mut found = None;
+/// Waits until an engine runs a generation and returns its name.
+async fn busy_engine(fleet: &Fleet) -> anyhow::Result<String> {
+    let mut engine = None;
     let runs = async || {
         for n in 0..2 {
             let name = format!("engine-{n}");
             if fleet.log(&name).await.is_ok_and(|log| log["running"] != 0) {
-                found = Some(name);
+                engine = Some(name);
             }
         }
-        Ok(found.is_some())
+        Ok(engine.is_some())
     };
-    until("an engine runs something", runs).await?;
-    found.ok_or_else(|| anyhow::anyhow!("no engine runs anything"))
+    until("an engine runs a generation", runs).await?;
+    engine.ok_or_else(|| anyhow::anyhow!("no engine runs a generation"))
 }
 
-/// Waits until an instance is in mid-answer: some tokens reached its caller.
-async fn flowing(fleet: &Fleet) -> anyhow::Result<()> {
+/// Waits until `node-0` has sent some tokens to its client.
+async fn until_streaming(fleet: &Fleet) -> anyhow::Result<()> {
     let tokens = async || fleet.counter("node-0", "nutmeggrade_tokens_total ").await;
-    until("tokens flow", async || Ok(tokens().await? >= 10.0)).await
+    until("tokens reach the client", async || Ok(tokens().await? >= 10.0)).await
 }
 
-fn assert_whole(heard: &Heard) {
-    assert!(heard.is_whole(), "{heard:?}");
-    assert_eq!(heard.tokens.len(), LENGTH);
+fn assert_complete(received: &Heard) {
+    assert!(received.is_whole(), "{received:?}");
+    assert_eq!(received.tokens.len(), TOKEN_COUNT);
 }
 
-// An instance dies in the middle of an answer. Its caller sees the connection break, asks another
-// instance with the last event id, and the rest of the same answer follows.
+// An instance dies in the middle of an answer. Its client loses the connection, resumes at another
+// instance with the last event id, and gets the rest of the same answer.
 #[rstest]
 fn instance_killed_mid_stream() {
     run(async {
-        let mut held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
+        let mut guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
+        let listening = caller.listen(caller.entry(0), TASK, LONG_PROMPT, &mut received, None);
         let killing = async {
-            flowing(&held.fleet).await?;
-            held.fleet.process("node-0")?.kill()
+            until_streaming(&guard.fleet).await?;
+            guard.fleet.process("node-0")?.kill()
         };
         let (listened, killed) = tokio::join!(listening, killing);
         killed?;
         listened?;
-        assert!(!heard.done && heard.last.is_some() && heard.in_order(), "{heard:?}");
-        caller.listen(caller.entry(1), TASK, LONG, &mut heard, None).await?;
-        assert_whole(&heard);
+        assert!(!received.done && received.last.is_some() && received.in_order(), "{received:?}");
+        caller.listen(caller.entry(1), TASK, LONG_PROMPT, &mut received, None).await?;
+        assert_complete(&received);
         Ok(())
     });
 }
 
-// An instance freezes in the middle of an answer and wakes later. Its caller, who moved on, has the
-// whole answer once; the instance that wakes serves on.
+// An instance freezes in the middle of an answer and continues later. Its client resumed at another
+// instance and has the complete answer once; the frozen instance serves again after it continues.
 #[rstest]
 fn instance_frozen_mid_stream() {
     run(async {
-        let mut held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = begin(&caller, 0).await?;
-        held.fleet.process("node-0")?.signal(Signal::SIGSTOP)?;
-        caller.listen(caller.entry(1), TASK, LONG, &mut heard, None).await?;
-        held.fleet.process("node-0")?.signal(Signal::SIGCONT)?;
-        assert_whole(&heard);
-        let again = async || {
-            let mut heard = Heard::default();
-            let got = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None).await;
-            Ok(got.is_ok() && heard.is_whole())
+        let mut guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = receive_first_tokens(&caller, 0).await?;
+        guard.fleet.process("node-0")?.signal(Signal::SIGSTOP)?;
+        caller.listen(caller.entry(1), TASK, LONG_PROMPT, &mut received, None).await?;
+        guard.fleet.process("node-0")?.signal(Signal::SIGCONT)?;
+        assert_complete(&received);
+        let is_served = async || {
+            let mut received = Heard::default();
+            let result =
+                caller.listen(caller.entry(0), TASK, LONG_PROMPT, &mut received, None).await;
+            Ok(result.is_ok() && received.is_whole())
         };
-        until("it serves again", again).await
+        until("it serves again", is_served).await
     });
 }
 
-// An engine dies before it brought a token. The caller waits a little longer and gets a whole answer
-// from the other engine.
+// An engine dies before its first token. The client waits a little longer and gets a complete
+// answer from the other engine.
 #[rstest]
 fn engine_killed_before_first_token() {
     run(async {
-        let mut held = fleet(&plan()).await?;
+        let mut guard = fleet(&plan()).await?;
         for n in 0..2 {
-            held.fleet.fault(&format!("engine-{n}"), &json!({ "slow": 60 })).await?;
+            guard.fleet.fault(&format!("engine-{n}"), &json!({ "slow": 60 })).await?;
         }
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
+        let listening = caller.listen(caller.entry(0), TASK, LONG_PROMPT, &mut received, None);
         let killing = async {
-            let name = busy(&held.fleet).await?;
-            held.fleet.process(&name)?.kill()?;
+            let name = busy_engine(&guard.fleet).await?;
+            guard.fleet.process(&name)?.kill()?;
             let other = if name == "engine-0" { "engine-1" } else { "engine-0" };
-            held.fleet.fault(other, &json!({ "slow": 1 })).await
+            guard.fleet.fault(other, &json!({ "slow": 1 })).await
         };
         let (listened, killed) = tokio::join!(listening, killing);
         killed?;
         listened?;
-        assert_whole(&heard);
+        assert_complete(&received);
         Ok(())
     });
 }
 
-// An engine dies in the middle of an answer. No other engine can go on from there, so the caller is
-// told at once with a number, and gets no word of another generation.
+// An engine dies in the middle of an answer. No other engine can continue the generation, so the
+// client gets an error code at once, and no token of another generation.
 #[rstest]
 fn engine_killed_after_first_token() {
     run(async {
-        let mut held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
+        let mut guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
+        let listening = caller.listen(caller.entry(0), TASK, LONG_PROMPT, &mut received, None);
         let killing = async {
-            flowing(&held.fleet).await?;
-            let name = busy(&held.fleet).await?;
-            held.fleet.process(&name)?.kill()
+            until_streaming(&guard.fleet).await?;
+            let name = busy_engine(&guard.fleet).await?;
+            guard.fleet.process(&name)?.kill()
         };
         let (listened, killed) = tokio::join!(listening, killing);
         killed?;
         listened?;
-        let failure: Failure = serde_json::from_value(heard.failure.clone().unwrap_or_default())?;
+        let failure: Failure =
+            serde_json::from_value(received.failure.clone().unwrap_or_default())?;
         assert_eq!((failure.code, failure.run), (Code::StreamLost, Run::Ran));
-        assert!(heard.in_order() && !heard.done, "{heard:?}");
+        assert!(received.in_order() && !received.done, "{received:?}");
         Ok(())
     });
 }
 
-// The link to an engine stalls without closing in the middle of an answer, and comes back. The
-// stream pauses and goes on, nothing twice and nothing missing.
+// The link to an engine stalls without closing in the middle of an answer, and recovers. The stream
+// pauses and continues without repeats and gaps.
 #[rstest]
 fn engine_link_stalls_mid_stream() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        let listening = caller.listen(caller.entry(0), TASK, LONG, &mut heard, None);
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
+        let listening = caller.listen(caller.entry(0), TASK, LONG_PROMPT, &mut received, None);
         let stalling = async {
-            flowing(&held.fleet).await?;
-            let name = busy(&held.fleet).await?;
-            held.fleet.link(&name)?.set(Link::Stalled);
+            until_streaming(&guard.fleet).await?;
+            let name = busy_engine(&guard.fleet).await?;
+            guard.fleet.link(&name)?.set(Link::Stalled);
             let resumed = async || {
-                let text = held.fleet.metrics("node-0").await?;
+                let text = guard.fleet.metrics("node-0").await?;
                 Ok(!text.contains("nutmeggrade_resumes_total 0"))
             };
-            until("the stall is noticed", resumed).await?;
-            held.fleet.link(&name)?.set(Link::Open);
+            until("the stream is resumed", resumed).await?;
+            guard.fleet.link(&name)?.set(Link::Open);
             anyhow::Ok(())
         };
         let (listened, stalled) = tokio::join!(listening, stalling);
         stalled?;
         listened?;
-        assert_whole(&heard);
+        assert_complete(&received);
         Ok(())
     });
 }
 
-// Every connection to both engines is cut after so many bytes, in the middle of an event as well as
-// between two. Each answer still is whole, taken up again as often as needed.
+// Every connection to both engines is cut after a number of bytes, within an event or between two.
+// Each answer is complete, resumed as often as needed.
 fn answers_cut_after(bytes: u64) {
     run(async {
-        let held = fleet(&plan()).await?;
+        let guard = fleet(&plan()).await?;
         for n in 0..2 {
-            held.fleet.link(&format!("engine-{n}"))?.set(Link::CutAnswer(bytes));
+            guard.fleet.link(&format!("engine-{n}"))?.set(Link::CutAnswer(bytes));
         }
-        let heard = held.fleet.caller("staatsbos").stream(0, TASK, LONG).await?;
-        assert_whole(&heard);
+        let received = guard.fleet.caller("staatsbos").stream(0, TASK, LONG_PROMPT).await?;
+        assert_complete(&received);
         Ok(())
     });
 }
@@ -198,22 +200,22 @@
     }
 }
 
-// The link to a plain service is cut at some byte of the call or of its answer. If the call may not
-// be repeated, what the caller is told agrees with what the service ran, and a retry with the same
+// The link to a plain service is cut at some byte of the call or of its answer. For a call that may
+// not be repeated, the reported outcome agrees with what the service ran, and a retry with the same
 // key never runs it again.
 fn call_is_cut(link: Link) {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        held.fleet.link("service-0")?.set(link);
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        guard.fleet.link("service-0")?.set(link);
         let (_, answer) = caller.operation(0, "issue-permit", Some("k1"), "plot-1").await?;
-        let log = held.fleet.log("service-0").await?;
+        let log = guard.fleet.log("service-0").await?;
         let ran = log.get("issue-permit/plot-1").is_some();
         let failure: Failure = serde_json::from_value(answer)?;
         assert!(failure.run != Run::NotRun || !ran, "{failure}: it ran");
-        held.fleet.link("service-0")?.set(Link::Open);
+        guard.fleet.link("service-0")?.set(Link::Open);
         let (status, answer) = caller.operation(1, "issue-permit", Some("k1"), "plot-1").await?;
-        let log = held.fleet.log("service-0").await?;
+        let log = guard.fleet.log("service-0").await?;
         let runs = log.get("issue-permit/plot-1").and_then(serde_json::Value::as_u64);
         assert!(runs.unwrap_or(0) <= 1, "ran {runs:?} times");
         assert!(status != StatusCode::OK || runs == Some(1), "{answer}");
@@ -234,24 +236,24 @@
     }
 }
 
-// The platform can be reached, but no answer comes back any more. Streams go on and idempotent calls
-// are served; a call that may not be repeated is refused and does not run, but nobody can tell of an
-// earlier attempt with its key, so the refusal doesn't say "not run".
+// The platform accepts connections and no longer responds. Streams continue and idempotent calls
+// are served. A call that may not be repeated is refused and does not run, but the refusal does not
+// say "not run", because an earlier attempt with its key may have run.
 #[rstest]
 fn platform_link_stalls() {
     run(async {
-        let held = fleet(&plan().with_flag("platform-wait", "300")).await?;
-        let caller = held.fleet.caller("staatsbos");
-        held.fleet.link("platform")?.set(Link::Stalled);
-        let heard = caller.stream(0, TASK, LONG).await?;
-        assert_whole(&heard);
+        let guard = fleet(&plan().with_flag("platform-wait", "300")).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        guard.fleet.link("platform")?.set(Link::Stalled);
+        let received = caller.stream(0, TASK, LONG_PROMPT).await?;
+        assert_complete(&received);
         let (status, _) = caller.operation(1, "lookup-permit", None, "plot-1").await?;
         assert_eq!(status, StatusCode::OK);
         let (_, answer) = caller.operation(2, "issue-permit", Some("k"), "plot-1").await?;
         let failure: Failure = serde_json::from_value(answer)?;
         assert_eq!((failure.code, failure.run), (Code::PlatformDown, Run::Unknown));
-        held.fleet.link("platform")?.set(Link::Open);
-        let log = held.fleet.log("service-0").await?;
+        guard.fleet.link("platform")?.set(Link::Open);
+        let log = guard.fleet.log("service-0").await?;
         assert!(log.get("issue-permit/plot-1").is_none(), "{log}");
         Ok(())
     });
--- a/tests/suite/process/early_signals.rs
+++ b/tests/suite/process/early_signals.rs
@@ -1,4 +1,4 @@
-//! Signals that come just after a start.
+//! Signals that arrive during the start of an instance.
 
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -12,7 +12,8 @@
 
 use crate::support::{run, until};
 
-/// A relay that waits for its settings: they come from a pipe that nobody has written to yet.
+/// A relay that blocks during its start, because its settings are read from a pipe without a
+/// writer.
 struct Starting {
     process: Process,
     pipe: PathBuf,
@@ -43,14 +44,14 @@
         Ok(Self { process, pipe, log, settings })
     }
 
-    /// Sends a signal while the process reads its settings, and only then gives it all of them.
+    /// Sends a signal while the process reads its settings, and then writes all settings.
     async fn signal(&mut self, signal: Signal) -> anyhow::Result<()> {
         let (pipe, settings) = (self.pipe.clone(), self.settings.clone());
-        // Opening the pipe returns once the process has opened it too.
+        // Opening the pipe blocks until the process has opened it too.
         let writer =
             tokio::task::spawn_blocking(move || std::fs::File::options().write(true).open(pipe));
         let mut writer = writer.await??;
-        // Later readers must find a file, and not wait for a writer.
+        // Later reads need a regular file, or they would block without a writer.
         std::fs::remove_file(&self.pipe)?;
         std::fs::write(&self.pipe, &settings)?;
         self.process.signal(signal)?;
@@ -64,8 +65,9 @@
     }
 }
 
-// The settings file changes just after a start, and the signal that says so comes before the instance
-// stands. It reads its settings again and serves; it does not end, which would look like a crash.
+// The settings file changes just after a start, and SIGHUP arrives before the instance is up. The
+// instance has to reload its settings and serve; if the signal ended it, that would look like a
+// crash.
 #[test]
 fn hangup_during_the_start_is_a_reload() {
     run(async {
@@ -78,14 +80,14 @@
     });
 }
 
-// An instance is stopped before it stands. It ends as planned, with success.
+// SIGTERM arrives before the instance is up. The instance stops as planned, with exit code 0.
 #[test]
 fn stop_during_the_start_is_a_planned_one() {
     run(async {
         let mut starting = Starting::new("stop").await?;
         starting.signal(Signal::SIGTERM).await?;
         starting.until_logged("event=stopped").await?;
-        until("ended", async || Ok(starting.process.ended()?.is_some())).await?;
+        until("the process has ended", async || Ok(starting.process.ended()?.is_some())).await?;
         assert!(starting.process.ended()?.is_some_and(|status| status.success()));
         Ok(())
     });
--- a/tests/suite/process/membership.rs
+++ b/tests/suite/process/membership.rs
@@ -1,4 +1,4 @@
-//! Instances and endpoints that come and go.
+//! Instances and endpoints that join and leave.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     plan.with_flag("fence", "1000").with_flag("silence", "500").with_flag("beacon", "100")
 }
 
-async fn registered(fleet: &Fleet, name: &str, wanted: bool) -> anyhow::Result<()> {
+async fn until_registered(fleet: &Fleet, name: &str, wanted: bool) -> anyhow::Result<()> {
     let start = Instant::now();
     let key = format!("instances/{name}");
     while fleet.client().read(&key).await?.is_some() != wanted {
@@ -30,35 +30,35 @@
     Ok(())
 }
 
-// An instance dies for good. Its entry must not stay for ever, or each change that operators make
-// would be reported as not in force.
+// An instance dies and does not come back. Its entry has to be removed, or each change of the
+// operators would be reported as not in force.
 #[rstest]
 fn dead_instance_is_forgotten() {
     run(async {
-        let mut held = fleet(&plan()).await?;
-        held.fleet.process("node-1")?.kill()?;
-        registered(&held.fleet, "node-1", false).await?;
+        let mut guard = fleet(&plan()).await?;
+        guard.fleet.process("node-1")?.kill()?;
+        until_registered(&guard.fleet, "node-1", false).await?;
         let words = ["domain", "out", "gooi", "--who", "anna", "--why", "switch work"];
-        let (code, output) = held.fleet.operate(&words).await?;
+        let (code, output) = guard.fleet.operate(&words).await?;
         assert_eq!(code, 0, "{output}");
         Ok(())
     });
 }
 
-// An instance that hung for a while was taken for gone, and is there again.
+// An instance that was frozen and removed as dead registers again.
 #[rstest]
 fn frozen_instance_comes_back() {
     run(async {
-        let mut held = fleet(&plan()).await?;
-        held.fleet.process("node-2")?.signal(Signal::SIGSTOP)?;
-        registered(&held.fleet, "node-2", false).await?;
-        held.fleet.process("node-2")?.signal(Signal::SIGCONT)?;
-        registered(&held.fleet, "node-2", true).await?;
-        held.fleet.ready().await
+        let mut guard = fleet(&plan()).await?;
+        guard.fleet.process("node-2")?.signal(Signal::SIGSTOP)?;
+        until_registered(&guard.fleet, "node-2", false).await?;
+        guard.fleet.process("node-2")?.signal(Signal::SIGCONT)?;
+        until_registered(&guard.fleet, "node-2", true).await?;
+        guard.fleet.ready().await
     });
 }
 
-async fn sees_as_leaving(fleet: &Fleet, engine: &str) -> anyhow::Result<()> {
+async fn until_seen_as_leaving(fleet: &Fleet, engine: &str) -> anyhow::Result<()> {
     let start = Instant::now();
     for name in fleet.nodes.keys() {
         loop {
@@ -75,40 +75,40 @@
     Ok(())
 }
 
-// An engine is about to go, and the platform's lagging list still shows it as live. What it gets now
-// is cut off when it goes.
+// An engine is about to leave, and the lagging endpoint list of the platform still shows it as
+// live. Requests that it gets would be cut off when it leaves.
 #[rstest]
 fn leaving_engine_gets_nothing_though_the_list_lags() {
     run(async {
-        let held = fleet(&plan()).await?;
-        held.fleet.fault("engine-0", &json!({ "leaving": true })).await?;
-        sees_as_leaving(&held.fleet, "engine-0").await?;
-        let caller = held.fleet.caller("staatsbos");
+        let guard = fleet(&plan()).await?;
+        guard.fleet.fault("engine-0", &json!({ "leaving": true })).await?;
+        until_seen_as_leaving(&guard.fleet, "engine-0").await?;
+        let caller = guard.fleet.caller("staatsbos");
         for n in 0..6 {
-            let heard = caller.stream(n, "district-sort", "a len=5").await?;
-            assert!(heard.is_whole(), "{heard:?}");
+            let received = caller.stream(n, "district-sort", "a len=5").await?;
+            assert!(received.is_whole(), "{received:?}");
         }
-        let log = held.fleet.log("engine-0").await?;
+        let log = guard.fleet.log("engine-0").await?;
         assert_eq!(log["runs"], json!({}));
         Ok(())
     });
 }
 
-// An instance in a domain that operators took out is no place for callers either.
+// An instance in a failure domain that is out of service must not be listed for clients either.
 #[rstest]
 fn entries_of_an_out_domain_are_not_named() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let out = held.fleet.nodes["node-0"].callers;
-        let go = |place| ["domain", place, "veluwe", "--who", "anna", "--why", "switch work"];
-        assert_eq!(held.fleet.operate(&go("out")).await?.0, 0);
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let address = guard.fleet.nodes["node-0"].callers;
+        let command = |place| ["domain", place, "veluwe", "--who", "anna", "--why", "switch work"];
+        assert_eq!(guard.fleet.operate(&command("out")).await?.0, 0);
         for n in 0..3 {
             let entries = caller.ask_entries(n).await?;
-            assert!(entries.len() == 2 && !entries.contains(&out), "{entries:?}");
+            assert!(entries.len() == 2 && !entries.contains(&address), "{entries:?}");
         }
-        assert_eq!(held.fleet.operate(&go("in")).await?.0, 0);
-        assert!(caller.ask_entries(1).await?.contains(&out));
+        assert_eq!(guard.fleet.operate(&command("in")).await?.0, 0);
+        assert!(caller.ask_entries(1).await?.contains(&address));
         Ok(())
     });
 }
--- a/tests/suite/process/planned_stop.rs
+++ b/tests/suite/process/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut nobody off.
+//! Planned stops complete or hand over the work in progress.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,13 +13,14 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use super::raw::Raw;
+use super::raw::RawConnection;
 use crate::support::{fleet, run, until};
 
-/// Two for each instance, so that every restart meets some that kept its address.
-const CLIENTS: usize = 14;
+/// Two for each instance, so that every restart affects clients that use the address of the stopped
+/// instance.
+const CLIENT_COUNT: usize = 14;
 
-/// A fleet that stops within a second or two.
+/// Returns a fleet whose instances stop within a second or two.
 fn plan(keep_ms: &str, drain_ms: &str) -> Plan {
     Plan::default()
         .with_nodes(3)
@@ -30,82 +31,82 @@
         .with_flag("drain", drain_ms)
 }
 
-/// What the clients of a rolling restart share.
+/// State that the clients share with a rolling restart.
 #[derive(Default)]
-struct Shared {
-    over: AtomicBool,
+struct RestartState {
+    is_finished: AtomicBool,
     alive: Mutex<BTreeMap<String, SocketAddr>>,
 }
 
-impl Shared {
-    fn see(&self, fleet: &Fleet) {
+impl RestartState {
+    fn update(&self, fleet: &Fleet) {
         let alive = fleet.nodes.iter().map(|(name, node)| (name.clone(), node.callers)).collect();
         *self.alive.lock().unwrap_or_else(PoisonError::into_inner) = alive;
     }
 
-    /// Returns an instance that is not the one being restarted.
-    fn any(&self, n: usize) -> anyhow::Result<SocketAddr> {
+    /// Returns the client address of an instance that is not being restarted.
+    fn pick_address(&self, n: usize) -> anyhow::Result<SocketAddr> {
         let alive = self.alive.lock().unwrap_or_else(PoisonError::into_inner);
         let found = alive.values().nth(n % alive.len().max(1)).copied();
         found.ok_or_else(|| anyhow::anyhow!("no instance"))
     }
 
-    fn leave(&self, name: &str) {
+    fn exclude(&self, name: &str) {
         self.alive.lock().unwrap_or_else(PoisonError::into_inner).remove(name);
     }
 }
 
-/// Uses the system without a pause; fails at the first refusal, broken stream or lost call.
-async fn use_it(shared: &Shared, n: usize) -> anyhow::Result<u64> {
-    let mut client = Client::new("staatsbos", shared.any(n)?);
+/// Sends requests without a pause; fails at the first refusal, broken stream or lost call.
+async fn run_client(state: &RestartState, n: usize) -> anyhow::Result<u64> {
+    let mut client = Client::new("staatsbos", state.pick_address(n)?);
     let mut served = 0;
-    while !shared.over.load(Ordering::Relaxed) {
+    while !state.is_finished.load(Ordering::Relaxed) {
         if client.is_stale() {
-            client.restart(shared.any(n)?);
+            client.restart(state.pick_address(n)?);
         }
         client.keep_fresh().await?;
-        let heard = client.stream("permit-draft", "a len=30").await?;
-        anyhow::ensure!(heard.is_whole(), "broken stream: {heard:?}");
+        let received = client.stream("permit-draft", "a len=30").await?;
+        anyhow::ensure!(received.is_whole(), "broken stream: {received:?}");
         client.keep_fresh().await?;
         let subject = format!("plot-{n}-{served}");
         let (status, answer) = client.operation("issue-permit", Some(&subject), &subject).await?;
         anyhow::ensure!(status == StatusCode::OK, "lost call: {status} {answer}");
         client.keep_fresh().await?;
         let (status, answer) = client.operation("lookup-permit", None, &subject).await?;
-        anyhow::ensure!(status == StatusCode::OK, "lost look-up: {status} {answer}");
+        anyhow::ensure!(status == StatusCode::OK, "lost lookup: {status} {answer}");
         served += 1;
     }
     Ok(served)
 }
 
-// Operators replace all seven instances one after the other while households use the system. Whoever
-// kept an address, as the answer of `/v1/entries` allows, would be refused by an instance that
-// closes at once, and answers that run would break off.
+// Operators restart all seven instances one after the other under load. Clients may cache an
+// address, as the answer of `/v1/entries` allows. If an instance closed at once, they would be
+// refused, and answers in progress would break.
 #[rstest]
 fn rolling_restart_loses_nothing() {
     run(async {
-        let mut held = fleet(&plan("1000", "60000").with_nodes(7).with_engines(3)).await?;
-        let shared = Shared::default();
-        shared.see(&held.fleet);
-        let clients = futures_of(&shared);
+        let mut guard = fleet(&plan("1000", "60000").with_nodes(7).with_engines(3)).await?;
+        let state = RestartState::default();
+        state.update(&guard.fleet);
+        let clients = run_clients(&state);
         let restart = async {
             for n in 0..7 {
                 let name = format!("node-{n}");
-                shared.leave(&name);
-                let status = held.fleet.stop_node(&name).await?;
+                state.exclude(&name);
+                let status = guard.fleet.stop_node(&name).await?;
                 anyhow::ensure!(status.success(), "{name} ended with {status}");
-                held.fleet.start_node(n)?;
-                held.fleet.ready().await?;
-                shared.see(&held.fleet);
+                guard.fleet.start_node(n)?;
+                guard.fleet.ready().await?;
+                state.update(&guard.fleet);
             }
-            shared.over.store(true, Ordering::Relaxed);
+            state.is_finished.store(true, Ordering::Relaxed);
             anyhow::Ok(())
         };
         let (served, restarted) = tokio::join!(clients, restart);
         restarted?;
         let served = served?;
         assert!(served.iter().all(|n| *n > 0), "{served:?}");
-        let log = held.fleet.log("service-0").await?;
+        let log = guard.fleet.log("service-0").await?;
         let issued = log.as_object().into_iter().flatten();
         let issued: Vec<_> = issued.filter(|(k, _)| k.starts_with("issue-permit/")).collect();
         assert_eq!(issued.len() as u64, served.iter().sum::<u64>());
@@ -114,110 +115,112 @@
     });
 }
 
-async fn futures_of(shared: &Shared) -> anyhow::Result<Vec<u64>> {
-    let clients = futures::future::try_join_all((0..CLIENTS).map(|n| use_it(shared, n)));
+async fn run_clients(state: &RestartState) -> anyhow::Result<Vec<u64>> {
+    let clients = futures::future::try_join_all((0..CLIENT_COUNT).map(|n| run_client(state, n)));
     let served = clients.await;
-    // A client that failed ends the test once the restart in hand is through.
-    shared.over.store(true, Ordering::Relaxed);
+    // If a client fails, the test ends after the restart of the current instance.
+    state.is_finished.store(true, Ordering::Relaxed);
     served
 }
 
-// An answer runs for longer than an instance may take to stop. Its caller is told where to go on,
-// and gets the rest of the same answer there.
+// An answer takes longer than the time that an instance may take to stop. Its client is told where
+// to resume, and gets the rest of the same answer there.
 #[rstest]
 fn long_stream_is_told_where_to_resume() {
     run(async {
-        let mut held = fleet(&plan("0", "0")).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        let entry = held.fleet.nodes["node-0"].callers;
-        held.fleet.process("node-0")?.signal(Signal::SIGTERM)?;
-        caller.listen(entry, "permit-draft", "a len=400", &mut heard, None).await?;
-        assert!(!heard.done, "{heard:?}");
-        let moved = heard.moved.take().expect("told where to go on");
+        let mut guard = fleet(&plan("0", "0")).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
+        let entry = guard.fleet.nodes["node-0"].callers;
+        guard.fleet.process("node-0")?.signal(Signal::SIGTERM)?;
+        caller.listen(entry, "permit-draft", "a len=400", &mut received, None).await?;
+        assert!(!received.done, "{received:?}");
+        let moved = received.moved.take().expect("a notice where to resume");
         let next = moved["entries"][0].as_str().expect("an address").parse()?;
         assert_ne!(next, entry);
-        caller.listen(next, "permit-draft", "a len=400", &mut heard, None).await?;
-        assert!(heard.is_whole(), "{heard:?}");
-        assert_eq!(heard.tokens.len(), 400);
-        assert!(held.fleet.ended("node-0").await?.success());
+        caller.listen(next, "permit-draft", "a len=400", &mut received, None).await?;
+        assert!(received.is_whole(), "{received:?}");
+        assert_eq!(received.tokens.len(), 400);
+        assert!(guard.fleet.ended("node-0").await?.success());
         Ok(())
     });
 }
 
-// A permit is being issued when its instance is stopped with no time to drain. The household would
-// not know whether it has its plot.
+// An instance is stopped with no time to drain while a call that may not be repeated runs. If the
+// call were cut off, its client would not know the outcome.
 #[rstest]
 fn running_call_is_answered() {
     run(async {
-        let mut held = fleet(&plan("0", "0")).await?;
-        held.fleet.fault("service-0", &json!({ "after_ms": 3_000 })).await?;
-        let caller = held.fleet.caller("staatsbos");
+        let mut guard = fleet(&plan("0", "0")).await?;
+        guard.fleet.fault("service-0", &json!({ "after_ms": 3_000 })).await?;
+        let caller = guard.fleet.caller("staatsbos");
         let call = caller.operation(0, "issue-permit", Some("k"), "plot-1");
         let stop = async {
             let ran = |log: &Value| log.get("issue-permit/plot-1").is_some();
-            until("the call runs", async || Ok(ran(&held.fleet.log("service-0").await?))).await?;
-            held.fleet.stop_node("node-0").await
+            until("the call runs", async || Ok(ran(&guard.fleet.log("service-0").await?))).await?;
+            guard.fleet.stop_node("node-0").await
         };
         let (answered, stopped) = tokio::join!(call, stop);
         assert_eq!(answered?.0, StatusCode::OK);
         assert!(stopped?.success());
-        assert_eq!(held.fleet.log("service-0").await?["issue-permit/plot-1"], 1);
+        assert_eq!(guard.fleet.log("service-0").await?["issue-permit/plot-1"], 1);
         Ok(())
     });
 }
 
-// An instance leaves. Its peers stop naming it at once, whoever kept its address is served, on a
-// connection that is not kept, and operators and probes still see it, until its streams are over.
+// An instance leaves. Its peers stop listing it at once. Clients with a cached address are served
+// on connections that are closed after the answer. Operators and probes can reach the instance
+// until its streams end.
 #[rstest]
 fn kept_entries_are_honoured() {
     run(async {
-        let mut held = fleet(&plan("3000", "60000")).await?;
-        let own = held.fleet.nodes["node-0"];
-        let peer = held.fleet.nodes["node-1"].callers;
-        let mut kept = Raw::connect(own.callers).await?;
-        held.fleet.process("node-0")?.signal(Signal::SIGTERM)?;
-        let address = own.callers.to_string();
-        let named = async || {
+        let mut guard = fleet(&plan("3000", "60000")).await?;
+        let node = guard.fleet.nodes["node-0"];
+        let peer = guard.fleet.nodes["node-1"].callers;
+        let mut connection = RawConnection::connect(node.callers).await?;
+        guard.fleet.process("node-0")?.signal(Signal::SIGTERM)?;
+        let address = node.callers.to_string();
+        let is_listed = async || {
             let (_, answer) = send(peer, Method::GET, "/v1/entries", &[], Vec::new()).await?;
             anyhow::Ok(String::from_utf8_lossy(&answer).contains(&address))
         };
-        until("peers stop naming it", async || Ok(!named().await?)).await?;
-        kept.write(b"GET /v1/entries HTTP/1.1\r\nhost: a\r\n\r\n").await?;
-        let answer = kept.read_to_end().await?;
+        until("peers stop listing it", async || Ok(!is_listed().await?)).await?;
+        connection.write(b"GET /v1/entries HTTP/1.1\r\nhost: a\r\n\r\n").await?;
+        let answer = connection.read_to_end().await?;
         assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
         assert!(answer.contains("connection: close"), "{answer}");
         assert!(!answer.contains(&address), "{answer}");
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
         let prompt = "a len=300";
-        caller.listen(own.callers, "permit-draft", prompt, &mut heard, Some(1)).await?;
-        let listening = caller.listen(own.callers, "permit-draft", prompt, &mut heard, None);
+        caller.listen(node.callers, "permit-draft", prompt, &mut received, Some(1)).await?;
+        let listening = caller.listen(node.callers, "permit-draft", prompt, &mut received, None);
         let watching = async {
-            let refuses = async || Ok(Raw::connect(own.callers).await.is_err());
-            until("it takes nothing new", refuses).await?;
-            let (status, answer) = send(own.admin, Method::GET, "/ready", &[], Vec::new()).await?;
+            let refuses = async || Ok(RawConnection::connect(node.callers).await.is_err());
+            until("new connections are refused", refuses).await?;
+            let (status, answer) = send(node.admin, Method::GET, "/ready", &[], Vec::new()).await?;
             let failure: Failure = serde_json::from_slice(&answer)?;
             anyhow::Ok((status, failure.code))
         };
         let (listened, watched) = tokio::join!(listening, watching);
         listened?;
-        assert!(heard.is_whole(), "{heard:?}");
+        assert!(received.is_whole(), "{received:?}");
         assert_eq!(watched?, (StatusCode::SERVICE_UNAVAILABLE, Code::Leaving));
-        assert!(held.fleet.ended("node-0").await?.success());
+        assert!(guard.fleet.ended("node-0").await?.success());
         Ok(())
     });
 }
 
-// A supervisor sends SIGTERM to a process and to its group, so that it comes twice. The second one
-// must not cut anybody off. Ctrl-C twice is an engineer who will not wait: streams are told at once.
+// A supervisor sends SIGTERM to a process and to its group, so that the signal arrives twice. The
+// second one must not cut off any stream. A second SIGINT (Ctrl-C) ends the wait: streams are told
+// at once where to resume.
 #[rstest]
 fn repeated_signals() {
     run(async {
-        let mut held = fleet(&plan("1000", "60000")).await?;
-        let caller = held.fleet.caller("staatsbos");
+        let mut guard = fleet(&plan("1000", "60000")).await?;
+        let caller = guard.fleet.caller("staatsbos");
         let (mut first, mut second) = (Heard::default(), Heard::default());
-        let entries = [held.fleet.nodes["node-0"].callers, held.fleet.nodes["node-1"].callers];
+        let entries = [guard.fleet.nodes["node-0"].callers, guard.fleet.nodes["node-1"].callers];
         let prompt = "a len=150";
         let streams = async {
             tokio::try_join!(
@@ -228,17 +231,17 @@
         let signals = async {
             for name in ["node-0", "node-1"] {
                 let streams = async || {
-                    let text = held.fleet.metrics(name).await?;
+                    let text = guard.fleet.metrics(name).await?;
                     Ok(text.contains("nutmeggrade_streams 1"))
                 };
                 until("its stream is open", streams).await?;
             }
             for _ in 0..2 {
-                held.fleet.process("node-0")?.signal(Signal::SIGTERM)?;
-                held.fleet.process("node-1")?.signal(Signal::SIGINT)?;
+                guard.fleet.process("node-0")?.signal(Signal::SIGTERM)?;
+                guard.fleet.process("node-1")?.signal(Signal::SIGINT)?;
                 tokio::time::sleep(std::time::Duration::from_millis(200)).await;
             }
-            anyhow::Ok((held.fleet.ended("node-0").await?, held.fleet.ended("node-1").await?))
+            anyhow::Ok((guard.fleet.ended("node-0").await?, guard.fleet.ended("node-1").await?))
         };
         let (streamed, ended) = tokio::join!(streams, signals);
         streamed?;
--- a/tests/suite/process/streams.rs
+++ b/tests/suite/process/streams.rs
@@ -1,4 +1,4 @@
-//! Streams stay whole and in order while engines, links and instances fail.
+//! Streams stay complete and in order while engines, links and instances fail.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-async fn running(fleet: &Fleet) -> anyhow::Result<u64> {
+async fn running_count(fleet: &Fleet) -> anyhow::Result<u64> {
     let mut sum = 0;
     for name in ["engine-0", "engine-1"] {
         sum += fleet.log(name).await?["running"].as_u64().unwrap_or(0);
@@ -35,7 +35,7 @@
     Ok(sum)
 }
 
-async fn started(fleet: &Fleet) -> anyhow::Result<usize> {
+async fn started_count(fleet: &Fleet) -> anyhow::Result<usize> {
     let mut sum = 0;
     for name in ["engine-0", "engine-1"] {
         sum += fleet.log(name).await?["runs"].as_object().map_or(0, serde_json::Map::len);
@@ -45,16 +45,19 @@
 
 async fn until_running(fleet: &Fleet, wanted: u64) -> anyhow::Result<()> {
     let start = Instant::now();
-    while running(fleet).await? != wanted {
-        anyhow::ensure!(start.elapsed() < PATIENCE, "not {wanted} generations run");
+    while running_count(fleet).await? != wanted {
+        anyhow::ensure!(
+            start.elapsed() < PATIENCE,
+            "the number of generations never became {wanted}"
+        );
         sleep(PAUSE).await;
     }
     Ok(())
 }
 
-/// Waits until an instance has handed some tokens to callers, so that they are in mid-answer.
-async fn until_handed_over(fleet: &Fleet, node: &str, wanted: u64) -> anyhow::Result<()> {
-    until("tokens handed over", async || {
+/// Waits until an instance has sent a number of tokens to clients.
+async fn until_tokens_sent(fleet: &Fleet, node: &str, wanted: u64) -> anyhow::Result<()> {
+    until("tokens reach clients", async || {
         let text = fleet.metrics(node).await?;
         let line = text.lines().find_map(|l| l.strip_prefix("nutmeggrade_tokens_total "));
         Ok(line.and_then(|n| n.parse().ok()).is_some_and(|n: u64| n >= wanted))
@@ -64,24 +67,24 @@
 
 fn stays_whole(faults: &Value) {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
         let stream = caller.stream(0, TASK, "a len=120");
-        let (heard, set) = futures::join!(stream, async {
-            until_running(&held.fleet, 1).await?;
-            fault_engines(&held.fleet, faults).await
+        let (received, set) = futures::join!(stream, async {
+            until_running(&guard.fleet, 1).await?;
+            fault_engines(&guard.fleet, faults).await
         });
         set?;
-        let heard = heard?;
-        assert!(heard.is_whole(), "{heard:?}");
-        assert_eq!(heard.tokens.len(), 120);
-        assert_eq!(started(&held.fleet).await?, 1, "more than one generation");
+        let received = received?;
+        assert!(received.is_whole(), "{received:?}");
+        assert_eq!(received.tokens.len(), 120);
+        assert_eq!(started_count(&guard.fleet).await?, 1, "more than one generation");
         Ok(())
     });
 }
 
-// An engine's stream breaks, stands still without closing, repeats tokens, carries another
-// generation's tokens, or starts over when it is resumed. The caller sees each token once.
+// The stream of an engine breaks, stalls without closing, repeats tokens, carries tokens of another
+// generation, or starts over when it is resumed. The client gets each token once.
 cases!(stays_whole {
     cut: &json!({ "cut_after": 10 });
     cut_at_once: &json!({ "cut_after": 0 });
@@ -92,41 +95,41 @@
     cut_crossed_and_rewound: &json!({ "cut_after": 10, "cross": true, "rewind": true });
 });
 
-// An engine accepts a generation and never answers. Another one takes it over.
+// An engine accepts a generation and never responds. Another engine takes it over.
 #[rstest]
-fn engine_that_hangs_is_left() {
+fn hanging_engine_is_replaced() {
     run(async {
-        let held = fleet(&plan()).await?;
-        held.fleet.fault("engine-0", &json!({ "hang": true })).await?;
+        let guard = fleet(&plan()).await?;
+        guard.fleet.fault("engine-0", &json!({ "hang": true })).await?;
         for n in 0..4 {
-            let heard = held.fleet.caller("staatsbos").stream(n, TASK, "a len=5").await?;
-            assert!(heard.is_whole(), "{heard:?}");
+            let received = guard.fleet.caller("staatsbos").stream(n, TASK, "a len=5").await?;
+            assert!(received.is_whole(), "{received:?}");
         }
         Ok(())
     });
 }
 
-// An engine dies in the middle of an answer. The stream ends with a numbered error that says that it
-// ran; no token of another generation is put behind it.
+// An engine dies in the middle of an answer. The stream ends with an error code and the statement
+// that the request ran; no token of another generation is appended.
 #[rstest]
 fn dead_engine_ends_the_stream() {
     run(async {
-        let mut held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        let listen = caller.listen(caller.entry(0), TASK, "a len=4000", &mut heard, None);
+        let mut guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
+        let listen = caller.listen(caller.entry(0), TASK, "a len=4000", &mut received, None);
         let (ended, killed) = futures::join!(listen, async {
-            until_running(&held.fleet, 1).await?;
+            until_running(&guard.fleet, 1).await?;
             sleep(Duration::from_millis(300)).await;
             for name in ["engine-0", "engine-1"] {
-                held.fleet.process(name)?.kill()?;
+                guard.fleet.process(name)?.kill()?;
             }
             anyhow::Ok(())
         });
         killed?;
         ended?;
-        assert!(heard.in_order() && !heard.done, "{heard:?}");
-        let failure = heard.failure.unwrap_or_default();
+        assert!(received.in_order() && !received.done, "{received:?}");
+        let failure = received.failure.unwrap_or_default();
         assert_eq!((&failure["code"], &failure["run"]), (&json!(3003), &json!("ran")));
         Ok(())
     });
@@ -137,95 +140,95 @@
 #[rstest]
 fn resumes_after_the_last_token() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        caller.listen(caller.entry(0), TASK, "a len=9", &mut heard, Some(9)).await?;
-        assert!(!heard.done);
-        caller.listen(caller.entry(1), TASK, "a len=9", &mut heard, None).await?;
-        assert!(heard.is_whole() && heard.failure.is_none(), "{heard:?}");
-        assert_eq!(heard.tokens.len(), 9);
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
+        caller.listen(caller.entry(0), TASK, "a len=9", &mut received, Some(9)).await?;
+        assert!(!received.done);
+        caller.listen(caller.entry(1), TASK, "a len=9", &mut received, None).await?;
+        assert!(received.is_whole() && received.failure.is_none(), "{received:?}");
+        assert_eq!(received.tokens.len(), 9);
         Ok(())
     });
 }
 
-// A caller leaves and never comes back. Its generation would fill the engine's memory for thousands
-// of tokens; it is cancelled after a grace.
+// A client disconnects and does not come back. Its generation would occupy the memory of the engine
+// for thousands of tokens; it is cancelled after a grace period.
 #[rstest]
 fn generation_of_a_caller_that_left_is_cancelled() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        caller.listen(caller.entry(0), TASK, "a len=8000", &mut heard, Some(5)).await?;
-        assert_eq!(running(&held.fleet).await?, 1);
-        until_running(&held.fleet, 0).await
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
+        caller.listen(caller.entry(0), TASK, "a len=8000", &mut received, Some(5)).await?;
+        assert_eq!(running_count(&guard.fleet).await?, 1);
+        until_running(&guard.fleet, 0).await
     });
 }
 
-// A caller leaves before its first token, or from an answer that it can't resume.
+// A client disconnects before its first token, or from an answer that it can't resume.
 #[rstest]
 fn unresumable_generation_is_cancelled_at_once() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let entry = held.fleet.caller("staatsbos").entry(0);
+        let guard = fleet(&plan()).await?;
+        let entry = guard.fleet.caller("staatsbos").entry(0);
         let body = json!({ "model": MODEL, "prompt": "a len=8000" }).to_string().into_bytes();
         let headers = [("nutmeggrade-workspace", "staatsbos"), ("nutmeggrade-task", TASK)];
         let answer = send(entry, Method::POST, "/v1/completions", &headers, body);
         tokio::select! {
             _ = answer => anyhow::bail!("answered too soon"),
-            running = until_running(&held.fleet, 1) => running?,
+            running_count = until_running(&guard.fleet, 1) => running_count?,
         }
-        until_running(&held.fleet, 0).await
+        until_running(&guard.fleet, 0).await
     });
 }
 
-// A caller loses its connection and goes on at another instance. The first instance must not cancel
-// the generation under it.
+// A client loses its connection and resumes at another instance. The first instance must not cancel
+// the generation.
 #[rstest]
 fn resumed_generation_is_not_cancelled() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
         let prompt = "a len=1100";
-        caller.listen(caller.entry(0), TASK, prompt, &mut heard, Some(5)).await?;
-        caller.listen(caller.entry(1), TASK, prompt, &mut heard, None).await?;
-        assert!(heard.is_whole(), "{:?} {:?}", heard.tokens.len(), heard.failure);
-        assert_eq!(heard.tokens.len(), 1100);
+        caller.listen(caller.entry(0), TASK, prompt, &mut received, Some(5)).await?;
+        caller.listen(caller.entry(1), TASK, prompt, &mut received, None).await?;
+        assert!(received.is_whole(), "{:?} {:?}", received.tokens.len(), received.failure);
+        assert_eq!(received.tokens.len(), 1100);
         Ok(())
     });
 }
 
-// The instance is frozen or killed in the middle of an answer; the caller goes on at another.
+// The instance is killed in the middle of an answer; the client resumes at another one.
 #[rstest]
 fn killed_instance_loses_no_token() {
     run(async {
-        let mut held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
+        let mut guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
         let stream = caller.stream(0, TASK, "a len=150");
-        let (heard, killed) = futures::join!(stream, async {
-            until_handed_over(&held.fleet, "node-0", 10).await?;
-            held.fleet.process("node-0")?.signal(Signal::SIGKILL)
+        let (received, killed) = futures::join!(stream, async {
+            until_tokens_sent(&guard.fleet, "node-0", 10).await?;
+            guard.fleet.process("node-0")?.signal(Signal::SIGKILL)
         });
         killed?;
-        let heard = heard?;
-        assert!(heard.is_whole(), "{heard:?}");
-        assert_eq!(heard.tokens.len(), 150);
+        let received = received?;
+        assert!(received.is_whole(), "{received:?}");
+        assert_eq!(received.tokens.len(), 150);
         Ok(())
     });
 }
 
-// One workspace gets hold of another's event id. It gets nothing of the answer.
+// A workspace uses an event id of another workspace. It gets nothing of the answer.
 #[rstest]
 fn event_id_of_another_workspace_is_refused() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
-        caller.listen(caller.entry(0), TASK, "a len=300", &mut heard, Some(5)).await?;
-        let mut rival = Heard { last: heard.last, ..Heard::default() };
-        let caller = held.fleet.caller("rival");
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
+        caller.listen(caller.entry(0), TASK, "a len=300", &mut received, Some(5)).await?;
+        let mut rival = Heard { last: received.last, ..Heard::default() };
+        let caller = guard.fleet.caller("rival");
         caller.listen(caller.entry(1), TASK, "a len=300", &mut rival, None).await?;
         assert_eq!(rival.failure.unwrap_or_default()["code"], 1010);
         assert!(rival.tokens.is_empty());
--- a/tests/suite/process/traces.rs
+++ b/tests/suite/process/traces.rs
@@ -1,4 +1,4 @@
-//! Traces from files, replayed on real processes against their stated outcomes.
+//! Traces from files, replayed on real processes and compared with their expected outcomes.
 
 mod trace;
 
@@ -13,33 +13,35 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep_until};
 
-use self::trace::{Step, Trace, What};
+use self::trace::{Action, Step, Trace};
 use crate::support::{fleet, run};
 
-// A trace says what callers asked, when, and what failed meanwhile. Whatever the machine's speed, the
-// outcome is the stated one: so many whole streams, each call's code, and how often each call ran.
+// A trace lists requests, failures and their times. Its outcome must not depend on the speed of the
+// machine: the number of complete streams, the code of each call, and how often each call ran.
 fn replay(file: &str) {
     run(async {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces").join(file);
         let text = std::fs::read_to_string(path).context("read trace")?;
         let trace: Trace = serde_json::from_str(&text).context("decode trace")?;
-        let mut held = fleet(&trace.plan()).await?;
-        let caller = held.fleet.caller("replay");
-        let (asked, failed): (Vec<_>, Vec<_>) = trace.steps.iter().partition(|s| s.is_request());
+        let mut guard = fleet(&trace.plan()).await?;
+        let caller = guard.fleet.caller("replay");
+        let (requests, failures): (Vec<_>, Vec<_>) =
+            trace.steps.iter().partition(|s| s.is_request());
         let start = Instant::now();
-        let requests = try_join_all(asked.into_iter().map(|s| ask(&trace, &caller, s, start)));
-        let failures = async {
-            for step in failed {
+        let responses =
+            try_join_all(requests.into_iter().map(|s| send_request(&trace, &caller, s, start)));
+        let injection = async {
+            for step in failures {
                 sleep_until(start + Duration::from_millis(step.at_ms)).await;
-                fail(&mut held.fleet, &step.what).await?;
+                inject_failure(&mut guard.fleet, &step.action).await?;
             }
             anyhow::Ok(())
         };
-        let (whole, failures) = tokio::join!(requests, failures);
-        failures?;
-        let whole = whole?.into_iter().filter(|w| *w).count();
-        assert_eq!(whole, trace.outcome.streams_whole, "whole streams");
-        let log = held.fleet.log("service-0").await?;
+        let (complete, injection) = tokio::join!(responses, injection);
+        injection?;
+        let complete = complete?.into_iter().filter(|w| *w).count();
+        assert_eq!(complete, trace.outcome.streams_whole, "complete streams");
+        let log = guard.fleet.log("service-0").await?;
         for (subject, runs) in &trace.outcome.ran {
             let key = format!("{}/{subject}", trace.deployment().once);
             assert_eq!(log.get(&key).and_then(Value::as_u64), Some(*runs), "{key} in {log}");
@@ -55,29 +57,38 @@
     }
 }
 
-/// Asks what a step says; tells whether it was a whole stream.
-async fn ask(trace: &Trace, caller: &Caller, step: &Step, start: Instant) -> anyhow::Result<bool> {
+/// Sends the request of a step; returns whether it was a complete stream.
+async fn send_request(
+    trace: &Trace,
+    caller: &Caller,
+    step: &Step,
+    start: Instant,
+) -> anyhow::Result<bool> {
     sleep_until(start + Duration::from_millis(step.at_ms)).await;
-    let names = trace.deployment();
-    let at = |workspace: &str| caller.clone().with_workspace(workspace);
-    match &step.what {
-        What::Stream { workspace, entry, long, prompt } => {
-            let task = if *long { names.long } else { names.short };
-            let heard = at(workspace).stream(*entry, task, prompt).await?;
-            anyhow::ensure!(heard.in_order(), "{heard:?}");
-            Ok(heard.is_whole())
+    let deployment = trace.deployment();
+    let caller_of = |workspace: &str| caller.clone().with_workspace(workspace);
+    match &step.action {
+        Action::Stream { workspace, entry, long, prompt } => {
+            let task = if *long { deployment.long } else { deployment.short };
+            let received = caller_of(workspace).stream(*entry, task, prompt).await?;
+            anyhow::ensure!(received.in_order(), "{received:?}");
+            Ok(received.is_whole())
         }
-        What::Once { workspace, entry, key, subject, code } => {
-            let caller = at(workspace);
-            let got = caller.operation(*entry, names.once, Some(key), subject).await?;
-            let got = got.1.get("code").and_then(Value::as_u64).unwrap_or(0);
-            anyhow::ensure!(got == *code, "{subject}: code {got} in place of {code}");
+        Action::Once { workspace, entry, key, subject, code } => {
+            let caller = caller_of(workspace);
+            let received_code =
+                caller.operation(*entry, deployment.once, Some(key), subject).await?;
+            let received_code = received_code.1.get("code").and_then(Value::as_u64).unwrap_or(0);
+            anyhow::ensure!(
+                received_code == *code,
+                "{subject}: code {received_code}, expected {code}"
+            );
             Ok(false)
         }
-        What::Idempotent { workspace, entry, subject } => {
-            let caller = at(workspace);
+        Action::Idempotent { workspace, entry, subject } => {
+            let caller = caller_of(workspace);
             let (status, answer) =
-                caller.operation(*entry, names.idempotent, None, subject).await?;
+                caller.operation(*entry, deployment.idempotent, None, subject).await?;
             anyhow::ensure!(status == StatusCode::OK, "{subject}: {answer}");
             Ok(false)
         }
@@ -85,19 +96,20 @@
     }
 }
 
-async fn fail(fleet: &mut Fleet, what: &What) -> anyhow::Result<()> {
+async fn inject_failure(fleet: &mut Fleet, what: &Action) -> anyhow::Result<()> {
     match what {
-        What::Fault { process, faults } => fleet.fault(process, faults).await,
-        What::Domain { direction, name } => {
+        Action::Fault { process, faults } => fleet.fault(process, faults).await,
+        Action::Domain { direction, name } => {
             let words = ["domain", direction, name, "--who", "trace", "--why", "replay"];
-            // Whether it is in force everywhere is not asked here: an instance may be frozen.
+            // The exit code is not checked: the change can't be in force everywhere while an
+            // instance is frozen.
             let (code, text) = fleet.operate(&words).await?;
             anyhow::ensure!(text.contains("accepted"), "nutmegctl ended with {code}: {text}");
             Ok(())
         }
-        What::Freeze { process } => fleet.process(process)?.signal(Signal::SIGSTOP),
-        What::Wake { process } => fleet.process(process)?.signal(Signal::SIGCONT),
-        What::Kill { process } => fleet.process(process)?.kill(),
+        Action::Freeze { process } => fleet.process(process)?.signal(Signal::SIGSTOP),
+        Action::Wake { process } => fleet.process(process)?.signal(Signal::SIGCONT),
+        Action::Kill { process } => fleet.process(process)?.kill(),
         other => anyhow::bail!("not a failure: {other:?}"),
     }
 }
--- a/tests/suite/process/traces/trace.rs
+++ b/tests/suite/process/traces/trace.rs
@@ -1,4 +1,4 @@
-//! The form of a trace.
+//! File format of a trace.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// What was asked, what failed, and how it ends.
+/// A recorded sequence of requests and failures with its expected outcome.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trace {
     #[serde(rename = "told")]
-    _told: String,
-    deployment: Names,
+    _description: String,
+    deployment: DeploymentName,
     nodes: usize,
     engines: usize,
     pub steps: Vec<Step>,
@@ -21,32 +21,32 @@
 
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Names {
+enum DeploymentName {
     PermitDesk,
     Framing,
 }
 
-/// How a trace ends.
+/// Expected outcome of a trace.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outcome {
     pub streams_whole: usize,
-    /// How often the call of each subject ran.
+    /// Number of runs of the call for each subject.
     pub ran: BTreeMap<String, u64>,
 }
 
-/// One event, counted from the start.
+/// One event at a time since the start.
 #[derive(Debug, Deserialize)]
 pub struct Step {
     pub at_ms: u64,
     #[serde(flatten)]
-    pub what: What,
+    pub action: Action,
 }
 
-/// What happens.
+/// A request of a client or an injected failure.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case")]
-pub enum What {
+pub enum Action {
     Stream { workspace: String, entry: usize, long: bool, prompt: String },
     Once { workspace: String, entry: usize, key: String, subject: String, code: u64 },
     Idempotent { workspace: String, entry: usize, subject: String },
@@ -60,8 +60,8 @@
 impl Trace {
     pub fn deployment(&self) -> Deployment {
         match self.deployment {
-            Names::PermitDesk => Deployment::PERMIT_DESK,
-            Names::Framing => Deployment::FRAMING,
+            DeploymentName::PermitDesk => Deployment::PERMIT_DESK,
+            DeploymentName::Framing => Deployment::FRAMING,
         }
     }
 
@@ -73,6 +73,9 @@
 
 impl Step {
     pub fn is_request(&self) -> bool {
-        matches!(self.what, What::Stream { .. } | What::Once { .. } | What::Idempotent { .. })
+        matches!(
+            self.action,
+            Action::Stream { .. } | Action::Once { .. } | Action::Idempotent { .. }
+        )
     }
 }
--- a/tests/suite/process/whole_path.rs
+++ b/tests/suite/process/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request is served from end to end.
+//! Requests that are served from end to end.
 
 use nutmeggrade_fakes::fleet::{Heard, Plan};
 use rstest::rstest;
@@ -12,42 +12,43 @@
 #[rstest]
 fn streams_are_whole() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let heard = held.fleet.caller("staatsbos").stream(0, "permit-draft", "a len=60").await?;
-        assert!(heard.is_whole(), "{heard:?}");
-        assert_eq!(heard.tokens.len(), 60);
+        let guard = fleet(&plan()).await?;
+        let received =
+            guard.fleet.caller("staatsbos").stream(0, "permit-draft", "a len=60").await?;
+        assert!(received.is_whole(), "{received:?}");
+        assert_eq!(received.tokens.len(), 60);
         Ok(())
     });
 }
 
-// A caller's connection breaks in the middle of a long answer. It asks another instance with the id
-// of its last event, and the rest of the same answer follows, nothing twice and nothing missing.
+// The connection of a client breaks in the middle of a long answer. The client resumes at another
+// instance with its last event id and gets the rest of the same answer, without repeats and gaps.
 #[rstest]
 fn resumes_at_another_instance() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
-        let mut heard = Heard::default();
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
+        let mut received = Heard::default();
         let prompt = "a len=200";
-        caller.listen(caller.entry(0), "permit-draft", prompt, &mut heard, Some(20)).await?;
-        assert!(!heard.done);
-        caller.listen(caller.entry(1), "permit-draft", prompt, &mut heard, None).await?;
-        assert!(heard.is_whole(), "{heard:?}");
-        assert_eq!(heard.tokens.len(), 200);
+        caller.listen(caller.entry(0), "permit-draft", prompt, &mut received, Some(20)).await?;
+        assert!(!received.done);
+        caller.listen(caller.entry(1), "permit-draft", prompt, &mut received, None).await?;
+        assert!(received.is_whole(), "{received:?}");
+        assert_eq!(received.tokens.len(), 200);
         Ok(())
     });
 }
 
-// A household's client sends the same permit twice with one key, at two instances.
+// A client sends the same call twice with one idempotency key, at two instances.
 #[rstest]
 fn permit_is_issued_once() {
     run(async {
-        let held = fleet(&plan()).await?;
-        let caller = held.fleet.caller("staatsbos");
+        let guard = fleet(&plan()).await?;
+        let caller = guard.fleet.caller("staatsbos");
         let first = caller.operation(0, "issue-permit", Some("k1"), "plot-1").await?;
         let second = caller.operation(1, "issue-permit", Some("k1"), "plot-1").await?;
         assert_eq!(first, second);
-        let log = held.fleet.log("service-0").await?;
+        let log = guard.fleet.log("service-0").await?;
         assert_eq!(log["issue-permit/plot-1"], 1);
         Ok(())
     });
