--- a/tests/suite/operators/changes.rs
+++ b/tests/suite/operators/changes.rs
@@ -15,8 +15,8 @@
     Plan::default().with_nodes(2).with_engines(2)
 }
 
-async fn change(fleet: &Fleet, words: &[&str]) -> anyhow::Result<(i32, String)> {
-    fleet.operate(&[words, &REQUIRED_FLAGS].concat()).await
+async fn change(fleet: &Fleet, arguments: &[&str]) -> anyhow::Result<(i32, String)> {
+    fleet.operate(&[arguments, &REQUIRED_FLAGS].concat()).await
 }
 
 async fn versions(fleet: &Fleet) -> anyhow::Result<usize> {
@@ -92,15 +92,15 @@
     run(async {
         let mut guard = fleet(&plan()).await?;
         guard.fleet.process("node-1")?.signal(Signal::SIGSTOP)?;
-        let words = ["domain", "out", "veluwe", "--wait", "500"];
-        let (code, text) = change(&guard.fleet, &words).await?;
+        let arguments = ["domain", "out", "veluwe", "--wait", "500"];
+        let (code, text) = change(&guard.fleet, &arguments).await?;
         assert_eq!(code, 5, "{text}");
         assert!(text.contains("accepted version=2"), "{text}");
         assert!(text.contains("in_force instance=node-0 version=2"), "{text}");
         assert!(text.contains("not_in_force instance=node-1 version=2"), "{text}");
         guard.fleet.process("node-1")?.signal(Signal::SIGCONT)?;
-        let words = ["domain", "out", "veluwe", "--wait", "30000"];
-        let (code, text) = change(&guard.fleet, &words).await?;
+        let arguments = ["domain", "out", "veluwe", "--wait", "30000"];
+        let (code, text) = change(&guard.fleet, &arguments).await?;
         assert_eq!(code, 0, "{text}");
         assert!(text.contains("unchanged version=2"), "{text}");
         assert_eq!(versions(&guard.fleet).await?, 2);
--- a/tests/suite/operators/explain_logs.rs
+++ b/tests/suite/operators/explain_logs.rs
@@ -26,15 +26,15 @@
 }
 
 /// Checks that the last line names the cause and that the output contains some texts.
-fn assert_cause(lines: &[&str], cause: &str, words: &[&str]) {
+fn assert_cause(lines: &[&str], cause: &str, texts: &[&str]) {
     let output = explain(lines);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(0), "{text}{errors}");
     let last = text.lines().last().unwrap_or_default();
     assert!(last.starts_with(&format!("cause name={cause} ")), "{text}");
-    for word in words {
-        assert!(text.contains(word), "{word}: {text}");
+    for text_part in texts {
+        assert!(text.contains(text_part), "{text_part}: {text}");
     }
 }
 
--- a/tests/suite/operators/orders.rs
+++ b/tests/suite/operators/orders.rs
@@ -22,14 +22,21 @@
 /// Tolerance in milliseconds: wall clocks are read in two processes and may be adjusted meanwhile.
 const CLOCK_TOLERANCE_MS: i64 = 100;
 
-async fn run_order(fleet: &Fleet, who: &str, words: &[&str]) -> anyhow::Result<(i32, String)> {
+async fn run_order(
+    fleet: &Fleet,
+    who: &str,
+    order_arguments: &[&str],
+) -> anyhow::Result<(i32, String)> {
     let rest = ["--who", who, "--why", "new version", "--wait", "60000"];
-    fleet.operate(&[&["order"], words, &rest[..]].concat()).await
+    fleet.operate(&[&["order"], order_arguments, &rest[..]].concat()).await
 }
 
-async fn ensure_done(fleet: &Fleet, words: &[&str]) -> anyhow::Result<()> {
-    let (code, text) = run_order(fleet, "anna", words).await?;
-    anyhow::ensure!(code == 0 && text.contains("progress=done"), "{words:?}: {code} {text}");
+async fn ensure_done(fleet: &Fleet, order_arguments: &[&str]) -> anyhow::Result<()> {
+    let (code, text) = run_order(fleet, "anna", order_arguments).await?;
+    anyhow::ensure!(
+        code == 0 && text.contains("progress=done"),
+        "{order_arguments:?}: {code} {text}"
+    );
     Ok(())
 }
 
@@ -78,7 +85,7 @@
             guard.fleet.fault(engine, &json!({ "load_ms": LOAD_MS })).await?;
         }
         let [a, b, c] = engines.map(|e| ["load", e, "nutmeg-schrijvers@2"]);
-        let one = |words| ensure_done(&guard.fleet, words);
+        let one = |order_arguments| ensure_done(&guard.fleet, order_arguments);
         tokio::try_join!(one(&a), one(&b), one(&c))?;
         let mut starts = Vec::new();
         for engine in engines {
@@ -102,7 +109,7 @@
         let mut guard = fleet(&Plan::default().with_nodes(3).with_engines(1)).await?;
         let faults = json!({ "ignore_fence": true, "load_ms": 1_500 });
         guard.fleet.fault("engine-0", &faults).await?;
-        let words = ["load", "engine-0", "nutmeg-schrijvers@2"];
+        let order_arguments = ["load", "engine-0", "nutmeg-schrijvers@2"];
         let until_sent = async {
             loop {
                 if received_orders(&guard.fleet, "engine-0").await?.len() == 1 {
@@ -113,13 +120,13 @@
         };
         // The command only has to write the order, so it does not wait.
         let rest = ["--who", "anna", "--why", "x", "--wait", "0"];
-        let arguments = [&["order"], &words[..], &rest[..]].concat();
+        let arguments = [&["order"], &order_arguments[..], &rest[..]].concat();
         let command = guard.fleet.operate(&arguments);
         let (_, first) = tokio::try_join!(command, until_sent)?;
         let first = first.context("no order status")?;
         let owner = first.instance.to_string();
         guard.fleet.process(&owner)?.signal(Signal::SIGSTOP)?;
-        ensure_done(&guard.fleet, &words).await?;
+        ensure_done(&guard.fleet, &order_arguments).await?;
         let second = order_status(&guard.fleet, "engine-0").await?.context("no order status")?;
         assert!(second.instance != first.instance && second.epoch > first.epoch, "{second:?}");
         guard.fleet.process(&owner)?.signal(Signal::SIGCONT)?;
@@ -196,8 +203,8 @@
     run(async {
         let plan = Plan::default().with_nodes(1).with_engines(1);
         let guard = fleet(&plan).await?;
-        for words in [["load", "engine-7", "m"], ["load", "service-0", "m"]] {
-            let (code, text) = run_order(&guard.fleet, "anna", &words).await?;
+        for order_arguments in [["load", "engine-7", "m"], ["load", "service-0", "m"]] {
+            let (code, text) = run_order(&guard.fleet, "anna", &order_arguments).await?;
             assert!(code == 3 && text.contains("5011"), "{text}");
         }
         let (code, text) = run_order(&guard.fleet, "anna", &["load", "engine-0", "m@"]).await?;
--- a/tests/suite/operators/presets.rs
+++ b/tests/suite/operators/presets.rs
@@ -25,8 +25,9 @@
     run(async {
         let guard = fleet(&Plan::default().with_nodes(1).with_engines(2)).await?;
         let file = write_preset("engine-1")?;
-        for words in [vec!["preset", "put", "one", &file], vec!["preset", "use", "one"]] {
-            let (code, text) = guard.fleet.operate(&[&*words, &REQUIRED_FLAGS].concat()).await?;
+        for arguments in [vec!["preset", "put", "one", &file], vec!["preset", "use", "one"]] {
+            let (code, text) =
+                guard.fleet.operate(&[&*arguments, &REQUIRED_FLAGS].concat()).await?;
             assert_eq!(code, 0, "{text}");
         }
         let caller = guard.fleet.caller("staatsbos");
@@ -37,8 +38,8 @@
         let runs = guard.fleet.log("engine-0").await?["runs"].as_object().map(serde_json::Map::len);
         assert_eq!(runs, Some(0));
         let file = write_preset("engine-9")?;
-        let words = ["preset", "put", "other", &file];
-        let (code, text) = guard.fleet.operate(&[&words[..], &REQUIRED_FLAGS].concat()).await?;
+        let arguments = ["preset", "put", "other", &file];
+        let (code, text) = guard.fleet.operate(&[&arguments[..], &REQUIRED_FLAGS].concat()).await?;
         assert!(code == 3 && text.contains("5011"), "{text}");
         Ok(())
     });
--- a/tests/suite/operators/refusals.rs
+++ b/tests/suite/operators/refusals.rs
@@ -62,10 +62,10 @@
     run(async {
         let plan = Plan::default().with_nodes(1).with_engines(1).with_services(1);
         let guard = fleet(&plan).await?;
-        for (expected_code, expected_text, words) in CASES {
-            let (code, text) = guard.fleet.operate(words).await?;
-            assert_eq!(code, *expected_code, "{words:?}: {text}");
-            assert!(text.contains(expected_text), "{words:?}: {text}");
+        for (expected_code, expected_text, arguments) in CASES {
+            let (code, text) = guard.fleet.operate(arguments).await?;
+            assert_eq!(code, *expected_code, "{arguments:?}: {text}");
+            assert!(text.contains(expected_text), "{arguments:?}: {text}");
         }
         assert_eq!(guard.fleet.client().list(CONFIG_PREFIX).await?.objects.len(), 1);
         Ok(())
@@ -84,8 +84,8 @@
             guard.fleet.operate(&[&["preset", "use", "peak"], &why[..]].concat()).await?;
         assert!(code == 3 && text.contains("5003"), "{text}");
         let file = format!("{PERMIT_DESK_PRESETS}/peak.json");
-        let words = [&["preset", "put", "peak", &file], &why[..]].concat();
-        let (code, text) = guard.fleet.operate(&words).await?;
+        let arguments = [&["preset", "put", "peak", &file], &why[..]].concat();
+        let (code, text) = guard.fleet.operate(&arguments).await?;
         assert!(code == 0 && text.contains("accepted version=1"), "{text}");
         Ok(())
     });
@@ -94,9 +94,9 @@
 #[rstest]
 fn token_is_never_printed() {
     let token = "a-token-that-nobody-may-see";
-    for words in [["status", "--help"], ["status", "--wait"], ["status", "--json"]] {
+    for arguments in [["status", "--help"], ["status", "--wait"], ["status", "--json"]] {
         let mut command = program("nutmegctl");
-        command.args(words).env("NUTMEGGRADE_OPERATOR_TOKEN", token);
+        command.args(arguments).env("NUTMEGGRADE_OPERATOR_TOKEN", token);
         let output = command.output().expect("run nutmegctl");
         let text = [output.stdout, output.stderr].concat();
         assert!(!String::from_utf8_lossy(&text).contains(token));
@@ -107,11 +107,11 @@
 // with its own exit code; a crash would hide whether a change is in force.
 #[rstest]
 fn closed_pipe_is_no_failure() {
-    for words in [["status", "--help"], ["help", "--version"]] {
+    for arguments in [["status", "--help"], ["help", "--version"]] {
         let (reader, writer) = std::io::pipe().expect("pipe");
         drop(reader);
-        let status = program("nutmegctl").args(words).stdout(writer).status();
-        assert_eq!(status.expect("run nutmegctl").code(), Some(0), "{words:?}");
+        let status = program("nutmegctl").args(arguments).stdout(writer).status();
+        assert_eq!(status.expect("run nutmegctl").code(), Some(0), "{arguments:?}");
     }
 }
 
--- a/tests/suite/operators/settings.rs
+++ b/tests/suite/operators/settings.rs
@@ -10,15 +10,15 @@
 const VALID_FLAGS: [&str; 6] =
     ["--instance", "loket-1", "--domain", "veluwe", "--platform", "127.0.0.1:1"];
 
-fn start(words: &[&str]) -> Output {
+fn start(arguments: &[&str]) -> Output {
     let mut command = program("nutmeggrade");
-    command.args(words).env("NUTMEGGRADE_PEER_KEY", SECRET);
+    command.args(arguments).env("NUTMEGGRADE_PEER_KEY", SECRET);
     command.env("NUTMEGGRADE_OPERATOR_TOKEN", SECRET);
     command.output().expect("run nutmeggrade")
 }
 
-fn refuses(words: &[&str], expected: &[&str]) {
-    let output = start(&[&VALID_FLAGS[..], words].concat());
+fn refuses(arguments: &[&str], expected: &[&str]) {
+    let output = start(&[&VALID_FLAGS[..], arguments].concat());
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{errors}");
     assert!(output.stdout.is_empty(), "started: {errors}");
--- a/tests/suite/process/config.rs
+++ b/tests/suite/process/config.rs
@@ -136,9 +136,9 @@
                 tokio::spawn(async move { caller.stream(1, "district-sort", "a len=5").await })
             })
             .collect();
-        let words = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
+        let arguments = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
         let (code, output) =
-            guard.fleet.operate(&[&words[..], &["--wait", "2500"]].concat()).await?;
+            guard.fleet.operate(&[&arguments[..], &["--wait", "2500"]].concat()).await?;
         assert_eq!(code, 5, "{output}");
         assert!(output.contains("node-1"), "{output}");
         for peer in ["node-0", "node-2"] {
@@ -182,8 +182,8 @@
         let log = guard.fleet.log("service-0").await?;
         assert!(log.get("issue-permit/plot-1").is_none(), "{log}");
         guard.fleet.fault("platform", &json!({})).await?;
-        let words = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
-        let (code, output) = guard.fleet.operate(&words).await?;
+        let arguments = ["domain", "out", DOMAIN, "--who", "anna", "--why", "switch work"];
+        let (code, output) = guard.fleet.operate(&arguments).await?;
         assert_eq!(code, 0, "{output}");
         Ok(())
     });
@@ -201,8 +201,8 @@
             fleet.fault("platform", &json!({ "lose": 1 })).await?;
             let direction = if round % 2 == 0 { "out" } else { "in" };
             let change = |domain| async move {
-                let words = ["domain", direction, domain, "--who", domain, "--why", "race"];
-                fleet.operate(&words).await
+                let arguments = ["domain", direction, domain, "--who", domain, "--why", "race"];
+                fleet.operate(&arguments).await
             };
             let both = tokio::join!(change(DOMAIN), change("gooi"));
             for (code, output) in [both.0?, both.1?] {
--- a/tests/suite/process/membership.rs
+++ b/tests/suite/process/membership.rs
@@ -38,8 +38,8 @@
         let mut guard = fleet(&plan()).await?;
         guard.fleet.process("node-1")?.kill()?;
         until_registered(&guard.fleet, "node-1", false).await?;
-        let words = ["domain", "out", "gooi", "--who", "anna", "--why", "switch work"];
-        let (code, output) = guard.fleet.operate(&words).await?;
+        let arguments = ["domain", "out", "gooi", "--who", "anna", "--why", "switch work"];
+        let (code, output) = guard.fleet.operate(&arguments).await?;
         assert_eq!(code, 0, "{output}");
         Ok(())
     });
@@ -101,7 +101,8 @@
         let guard = fleet(&plan()).await?;
         let caller = guard.fleet.caller("staatsbos");
         let address = guard.fleet.nodes["node-0"].callers;
-        let command = |place| ["domain", place, "veluwe", "--who", "anna", "--why", "switch work"];
+        let command =
+            |direction| ["domain", direction, "veluwe", "--who", "anna", "--why", "switch work"];
         assert_eq!(guard.fleet.operate(&command("out")).await?.0, 0);
         for n in 0..3 {
             let entries = caller.ask_entries(n).await?;
--- a/tests/suite/process/traces.rs
+++ b/tests/suite/process/traces.rs
@@ -100,10 +100,10 @@
     match what {
         Action::Fault { process, faults } => fleet.fault(process, faults).await,
         Action::Domain { direction, name } => {
-            let words = ["domain", direction, name, "--who", "trace", "--why", "replay"];
+            let arguments = ["domain", direction, name, "--who", "trace", "--why", "replay"];
             // The exit code is not checked: the change can't be in force everywhere while an
             // instance is frozen.
-            let (code, text) = fleet.operate(&words).await?;
+            let (code, text) = fleet.operate(&arguments).await?;
             anyhow::ensure!(text.contains("accepted"), "nutmegctl ended with {code}: {text}");
             Ok(())
         }
--- a/tests/suite/relay/clients.rs
+++ b/tests/suite/relay/clients.rs
@@ -12,7 +12,7 @@
 fn forged_headers_and_key_are_not_forwarded() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let endpoint = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        let endpoint = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         let forged = "X-Nutmeggrade-Tenant-Name: rich\r\nX-Nutmeggrade-Expected-Instance: e-9\r\n\
              Kv-From: 10.0.0.1:1/x\r\nX-Nutmeggrade-Pin-Ms: 4000\r\nX-Kept: yes\r\n\
              Connection: X-Nutmeggrade-Attempt-Id, X-Dropped\r\nX-Dropped: 1\r\n";
@@ -37,7 +37,7 @@
 fn endpoints_hear_the_time_that_is_left() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let endpoint = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        let endpoint = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         RawClient::ask(site.client(), "once", "a1", "X-Nutmeggrade-Deadline-Ms: 7000\r\n").await?;
         let seen = endpoint.seen().remove(0);
         let left = seen.message.header("x-nutmeggrade-deadline-ms").unwrap_or_default();
@@ -51,7 +51,7 @@
 fn checks_route_and_key(route: &str, key: &str, status: u16) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let endpoint = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        let endpoint = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         let mut client = RawClient::connect(site.client()).await?;
         client.send(&request(route, "a1", key, "")).await?;
         assert_eq!(client.answer().await?.status, status);
@@ -71,7 +71,7 @@
 fn client_disconnect_reaches_endpoint(route: &str, service: &str) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let endpoint = site.endpoint(service, "e-1", Behaviour::Hang).await?;
+        let endpoint = site.add_endpoint(service, "e-1", Behaviour::Hang).await?;
         let mut client = RawClient::connect(site.client()).await?;
         client.send(&request(route, "a1", "key-1", PROMPT_HEADERS)).await?;
         until("the endpoint runs the request", async || Ok(endpoint.runs("a1") == 1)).await?;
@@ -93,7 +93,7 @@
         let site = Site::start(&RoutingPlan::default()).await?;
         let pause = std::time::Duration::from_millis(20);
         let behaviour = Behaviour::Stream { events: 100_000, pause };
-        let endpoint = site.endpoint("writers", "e-1", behaviour).await?;
+        let endpoint = site.add_endpoint("writers", "e-1", behaviour).await?;
         let mut client = RawClient::connect(site.client()).await?;
         client.send(&request("draft", "a1", "key-1", PROMPT_HEADERS)).await?;
         client.read_some(400).await?;
@@ -107,7 +107,7 @@
 fn kept_connection_serves_in_turn() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         let mut client = RawClient::connect(site.client()).await?;
         for number in 0..20 {
             let id = format!("a{number}");
@@ -126,7 +126,7 @@
 fn incomplete_heads_are_closed() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         let mut clients = Vec::new();
         for _ in 0..40 {
             let mut client = RawClient::connect(site.client()).await?;
--- a/tests/suite/relay/config.rs
+++ b/tests/suite/relay/config.rs
@@ -3,7 +3,7 @@
 use nutmeggrade_fakes::site::{Behaviour, Fault, RawClient, RoutingPlan, Store, request};
 
 use super::ask;
-use super::site::{Site, get_answer, instance};
+use super::site::{Site, get_answer, start_instance};
 use crate::support::{run, until};
 
 async fn status(site: &Site, route: &str, key: &str) -> anyhow::Result<u16> {
@@ -18,7 +18,7 @@
 fn versions_only_go_forward() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         assert_eq!(status(&site, "late", "key-1").await?, 404);
         let keys = vec!["key-2".to_owned()];
         let newer = RoutingPlan { version: 7, keys, has_late: true, ..RoutingPlan::default() };
@@ -27,7 +27,7 @@
         assert_eq!(status(&site, "late", "key-2").await?, 200);
         assert_eq!(status(&site, "once", "key-1").await?, 401);
         site.store.put("config", "main", RoutingPlan::default().content());
-        site.endpoint("desk", "e-2", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-2", Behaviour::Answer).await?;
         assert_eq!(status(&site, "once", "key-1").await?, 401);
         site.until_metric("config_version", 7).await
     });
@@ -38,9 +38,9 @@
 fn unreadable_version_changes_nothing() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         site.store.put("config", "main", serde_json::json!({ "version": 9, "routes": 4 }));
-        site.endpoint("desk", "e-2", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-2", Behaviour::Answer).await?;
         assert_eq!(status(&site, "once", "key-1").await?, 200);
         Ok(())
     });
@@ -73,7 +73,7 @@
         store.put("config", "main", RoutingPlan::default().content());
         let door = store.door().await?;
         door.set(Fault::Refuse);
-        let instance = instance("i-1", &door, "").await?;
+        let instance = start_instance("i-1", &door, "").await?;
         let addresses = instance.addresses();
         let answer = RawClient::ask(addresses.client, "once", "a1", "").await?;
         assert_eq!(answer.status, 503);
@@ -94,7 +94,7 @@
 fn outage_serves_known_routes_and_answers_503_for_others() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         site.door.set(Fault::Refuse);
         // A change ends a pending watch of the store.
         site.store.put("config", "other", serde_json::Value::Null);
--- a/tests/suite/relay/crashers.rs
+++ b/tests/suite/relay/crashers.rs
@@ -15,7 +15,7 @@
         let mut endpoints = Vec::new();
         for number in 0..8 {
             let name = format!("e-{number}");
-            endpoints.push(site.endpoint("desk", &name, Behaviour::Crash).await?);
+            endpoints.push(site.add_endpoint("desk", &name, Behaviour::Crash).await?);
         }
         let mut sent = 0;
         until("the request is held", async || {
--- a/tests/suite/relay/endpoints.rs
+++ b/tests/suite/relay/endpoints.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 use super::ask;
-use super::site::{Site, instance, metric};
+use super::site::{Site, metric, start_instance};
 use crate::support::{run, until};
 
 // An endpoint is marked as leaving. Once the instance has read this, it sends no new requests to
@@ -13,8 +13,8 @@
 fn leaving_endpoint_gets_nothing_new() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let leaving = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
-        site.endpoint("desk", "e-2", Behaviour::Answer).await?;
+        let leaving = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-2", Behaviour::Answer).await?;
         let entry = Entry::new("desk", leaving.address).with_leaving(true);
         site.store.put("servers", "e-1", entry.content());
         site.until_metric("endpoints", 1).await?;
@@ -32,7 +32,7 @@
 fn domain_that_is_out_gets_nothing() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let endpoint = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        let endpoint = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         site.store.put("evacuations", "veluwe", json!({}));
         site.until_metric("endpoints", 0).await?;
         assert_eq!(ask(&site, "once", "a1").await?.status, 503);
@@ -63,7 +63,7 @@
         {
             site.store.put("servers", &format!("foreign-{number}"), content);
         }
-        site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         site.until_metric("endpoints", 1).await?;
         assert_eq!(ask(&site, "once", "a1").await?.status, 200);
         Ok(())
@@ -76,8 +76,8 @@
 fn lapsed_entries_get_time_to_come_back() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let returning = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
-        site.endpoint("desk", "e-2", Behaviour::Answer).await?;
+        let returning = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-2", Behaviour::Answer).await?;
         site.door.set(Fault::Refuse);
         site.store.remove("servers", "e-1");
         site.store.remove("servers", "e-2");
@@ -102,7 +102,7 @@
 fn reused_address_runs_nothing() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let other = site.endpoint("desk", "e-other", Behaviour::Answer).await?;
+        let other = site.add_endpoint("desk", "e-other", Behaviour::Answer).await?;
         site.store.put("servers", "e-old", Entry::new("desk", other.address).content());
         site.until_metric("endpoints", 2).await?;
         for number in 0..12 {
@@ -126,17 +126,17 @@
         let site = Site::start(&plan).await?;
         let pause = std::time::Duration::from_millis(1);
         let behaviour = Behaviour::Stream { events: 1, pause };
-        let endpoint = site.endpoint("writers", "e-1", behaviour).await?;
+        let endpoint = site.add_endpoint("writers", "e-1", behaviour).await?;
         let cold = Entry { cold_ms: 60_000, ..Entry::new("writers", endpoint.address) };
         site.store.put("servers", "e-1", cold.content());
         until("the endpoint counts as cold", async || {
-            let asks = (0..30).map(|n| {
+            let requests = (0..30).map(|n| {
                 let id = format!("w{n}");
                 let site = &site;
                 async move { ask(site, "sort", &id).await }
             });
             let before = endpoint.seen().len();
-            let answers = futures::future::join_all(asks).await;
+            let answers = futures::future::join_all(requests).await;
             let served = endpoint.seen().len() - before;
             let refused =
                 answers.iter().filter(|a| a.as_ref().is_ok_and(|a| a.status == 503)).count();
@@ -157,7 +157,7 @@
             let address = format!("127.0.0.1:{}", 20_000 + n).parse()?;
             store.put("servers", &format!("e-{n:03}"), Entry::new("desk", address).content());
         }
-        let instance = instance("i-1", &store.door().await?, "").await?;
+        let instance = start_instance("i-1", &store.door().await?, "").await?;
         let metrics = instance.addresses().metrics;
         let listed = async || Ok(metric(metrics, "endpoints").await? == 300);
         until("all endpoints are listed", listed).await
@@ -185,7 +185,7 @@
         if is_history_gone {
             store.forget();
         }
-        let instance = instance("i-1", &store.door().await?, "").await?;
+        let instance = start_instance("i-1", &store.door().await?, "").await?;
         let metrics = instance.addresses().metrics;
         until("endpoints are listed", async || Ok(metric(metrics, "endpoints").await? > 0)).await?;
         assert_eq!(metric(metrics, "endpoints").await?, 9);
--- a/tests/suite/relay/fleet.rs
+++ b/tests/suite/relay/fleet.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use super::PROMPT_HEADERS;
-use super::site::{generation, get, instance, metric, settings};
+use super::site::{get, metric, settings, start_generation, start_instance};
 use crate::support::{run, until};
 
 async fn listed_instances(instance: &Instance) -> anyhow::Result<usize> {
@@ -46,11 +46,11 @@
 }
 
 /// Starts two instances and waits until each one lists the other.
-pub async fn pair() -> anyhow::Result<Pair> {
+pub async fn start_pair() -> anyhow::Result<Pair> {
     let store = Store::new();
     store.put("config", "main", RoutingPlan::default().content());
     let (first_door, other_door) = (store.door().await?, store.door().await?);
-    let first = instance("i-1", &first_door, "").await?;
+    let first = start_instance("i-1", &first_door, "").await?;
     let other = start_second(&first, &other_door).await?;
     until_listed(&other, 2).await?;
     Ok(Pair { store, first, first_door, other, other_door })
@@ -64,7 +64,7 @@
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
         let door = store.door().await?;
-        let first = instance("i-1", &door, "").await?;
+        let first = start_instance("i-1", &door, "").await?;
         let other = start_second(&first, &door).await?;
         until_listed(&first, 2).await?;
         until_listed(&other, 2).await?;
@@ -84,7 +84,7 @@
 #[test]
 fn refused_instance_gets_changes_from_its_peer() {
     run(async {
-        let Pair { store, other, other_door, first: _first, .. } = pair().await?;
+        let Pair { store, other, other_door, first: _first, .. } = start_pair().await?;
         other_door.set(Fault::Refuse);
         let endpoint = Endpoint::start("e-1", Behaviour::Answer, &Generations::default()).await?;
         let plan = RoutingPlan { version: 5, has_late: true, ..RoutingPlan::default() };
@@ -109,7 +109,7 @@
 #[test]
 fn silent_watch_is_noticed_by_a_peers_news() {
     run(async {
-        let Pair { store, other, other_door, first: _first, .. } = pair().await?;
+        let Pair { store, other, other_door, first: _first, .. } = start_pair().await?;
         other_door.set(Fault::Silent);
         store.put("config", "main", RoutingPlan { version: 3, ..Default::default() }.content());
         let metrics = other.addresses().metrics;
@@ -126,7 +126,7 @@
 #[test]
 fn removal_found_by_listing_reaches_peers() {
     run(async {
-        let Pair { store, other, other_door, first: _first, .. } = pair().await?;
+        let Pair { store, other, other_door, first: _first, .. } = start_pair().await?;
         let endpoint = Endpoint::start("e-1", Behaviour::Answer, &Generations::default()).await?;
         store.put("servers", "e-1", Entry::new("desk", endpoint.address).content());
         let metrics = other.addresses().metrics;
@@ -144,7 +144,7 @@
 #[test]
 fn hundreds_of_removals_reach_peers() {
     run(async {
-        let Pair { store, other, other_door, first, .. } = pair().await?;
+        let Pair { store, other, other_door, first, .. } = start_pair().await?;
         let name = |n: u16| format!("an-endpoint-with-a-long-name-{n:03}");
         for n in 0..400 {
             let address = format!("127.0.0.1:{}", 20_000 + n).parse()?;
@@ -175,7 +175,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let first = instance("i-1", &store.door().await?, "").await?;
+        let first = start_instance("i-1", &store.door().await?, "").await?;
         let members = start_eight_more(&first, &store).await?;
         for ((instance, door), version) in members.iter().zip(2..) {
             let Addresses { metrics, client, .. } = instance.addresses();
@@ -184,9 +184,9 @@
             let newest = async || Ok(metric(metrics, "config_version").await? == version);
             until("the newest version, from a peer", newest).await?;
             door.set(Fault::None);
-            let absent =
+            let is_unknown =
                 async || Ok(RawClient::ask(client, "nowhere", "a1", "").await?.status == 404);
-            until("the route is reported as unknown", absent).await?;
+            until("the route is reported as unknown", is_unknown).await?;
         }
         Ok(())
     });
@@ -221,7 +221,7 @@
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
         let door = store.door().await?;
-        let first = instance("i-1", &door, "").await?;
+        let first = start_instance("i-1", &door, "").await?;
         let mut members = start_eight_more(&first, &store).await?;
         members.push((first, door));
         let endpoint = Endpoint::start("e-1", Behaviour::Answer, &Generations::default()).await?;
@@ -275,7 +275,7 @@
 #[test]
 fn endpoint_that_is_gone_is_told_to_peers() {
     run(async {
-        let pair = pair().await?;
+        let pair = start_pair().await?;
         let endpoint = add_endpoint(&pair, "desk", Behaviour::Answer).await?;
         endpoint.kill();
         until_refused(&endpoint).await?;
@@ -291,7 +291,7 @@
 #[test]
 fn endpoint_that_died_under_a_request_is_told_to_peers() {
     run(async {
-        let pair = pair().await?;
+        let pair = start_pair().await?;
         let _endpoint = add_endpoint(&pair, "desk", Behaviour::Crash).await?;
         let answer = RawClient::ask(pair.first.addresses().client, "once", "a1", "").await?;
         assert_eq!(answer.status, 502);
@@ -303,10 +303,11 @@
 #[test]
 fn engine_that_died_under_a_stream_is_told_to_peers() {
     run(async {
-        let pair = pair().await?;
+        let pair = start_pair().await?;
         let stream = Behaviour::Stream { events: 1_000, pause: Duration::from_millis(15) };
         let engine = add_endpoint(&pair, "writers", stream).await?;
-        let mut client = generation(pair.first.addresses().client, "draft", "a1", &engine).await?;
+        let mut client =
+            start_generation(pair.first.addresses().client, "draft", "a1", &engine).await?;
         engine.kill();
         assert!(!client.answer().await.is_ok_and(|a| a.is_whole));
         until_notified(&pair.other, 1).await
@@ -317,7 +318,7 @@
 /// for as long as it does.
 fn breaking_endpoint_is_told_to_peers(service: &str, route: &str) {
     run(async {
-        let pair = pair().await?;
+        let pair = start_pair().await?;
         add_endpoint(&pair, service, Behaviour::Deaf).await?;
         let client = pair.first.addresses().client;
         let lost = RawClient::ask(client, route, "a1", PROMPT_HEADERS).await?;
@@ -338,7 +339,7 @@
 #[test]
 fn failing_endpoint_is_told_to_peers() {
     run(async {
-        let pair = pair().await?;
+        let pair = start_pair().await?;
         for (id, behaviour) in [("e-1", Behaviour::Fail), ("e-2", Behaviour::Answer)] {
             let endpoint = Endpoint::start(id, behaviour, &Generations::default()).await?;
             let entry = Entry::new("desk", endpoint.address);
@@ -375,7 +376,7 @@
 #[test]
 fn engine_that_stays_gone_is_told_again() {
     run(async {
-        let pair = pair().await?;
+        let pair = start_pair().await?;
         let engine = add_endpoint(&pair, "writers", Behaviour::Answer).await?;
         engine.kill();
         until_refused(&engine).await?;
@@ -397,7 +398,7 @@
 #[test]
 fn endpoint_that_is_missing_is_not_told_to_leave() {
     run(async {
-        let pair = pair().await?;
+        let pair = start_pair().await?;
         let endpoint = add_endpoint(&pair, "desk", Behaviour::Answer).await?;
         let instances = [&pair.first, &pair.other];
         let calls = async |instance: &Instance, end: &str| {
--- a/tests/suite/relay/framing.rs
+++ b/tests/suite/relay/framing.rs
@@ -15,7 +15,7 @@
 fn refused(headers: &str, body: &str, status: u16) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let endpoint = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        let endpoint = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         let mut client = RawClient::connect(site.client()).await?;
         client.send(&format!("{HEAD}{headers}\r\n{body}")).await?;
         assert_eq!(client.answer().await?.status, status);
@@ -45,7 +45,7 @@
 fn chunks_arrive_as_one_body() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let endpoint = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        let endpoint = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         let mut client = RawClient::connect(site.client()).await?;
         for id in ["a1", "a2"] {
             let head = HEAD.replace("a1", id);
--- a/tests/suite/relay/moves.rs
+++ b/tests/suite/relay/moves.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_fakes::site::{Behaviour, Endpoint, Entry, Fault, RawClient, RoutingPlan};
 
-use super::site::{Site, generation, metric};
+use super::site::{Site, metric, start_generation};
 use super::streams::events;
 use crate::support::{run, until};
 
@@ -16,7 +16,7 @@
     route: &str,
     engine: &Endpoint,
 ) -> anyhow::Result<RawClient> {
-    let client = generation(site.client(), route, "a1", engine).await?;
+    let client = start_generation(site.client(), route, "a1", engine).await?;
     engine.leave_in(Duration::from_millis(600));
     Ok(client)
 }
@@ -43,9 +43,9 @@
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let stream = Behaviour::Stream { events: 120, pause: PAUSE };
-        let first = site.endpoint("writers", "e-1", stream).await?;
+        let first = site.add_endpoint("writers", "e-1", stream).await?;
         let mut client = start_on_leaving(&site, route, &first).await?;
-        let second = site.endpoint("writers", "e-2", stream).await?;
+        let second = site.add_endpoint("writers", "e-2", stream).await?;
         leave(&site, &first);
         assert_complete(&mut client, 120).await?;
         let resumed = second.seen().into_iter().find(|s| s.id() == "a1");
@@ -71,7 +71,7 @@
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let stream = Behaviour::Stream { events: 60, pause: PAUSE };
-        let first = site.endpoint("writers", "e-1", stream).await?;
+        let first = site.add_endpoint("writers", "e-1", stream).await?;
         let mut client = start_on_leaving(&site, "draft", &first).await?;
         drain(&site, &first);
         let answer = client.answer().await?;
@@ -89,12 +89,12 @@
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let stream = Behaviour::Stream { events: 150, pause: PAUSE };
-        let first = site.endpoint("writers", "e-1", stream).await?;
+        let first = site.add_endpoint("writers", "e-1", stream).await?;
         let mut clients = Vec::new();
         for id in ["a1", "a2", "a3", "a4"] {
-            clients.push(generation(site.client(), "draft", id, &first).await?);
+            clients.push(start_generation(site.client(), "draft", id, &first).await?);
         }
-        site.endpoint("writers", "e-2", stream).await?;
+        site.add_endpoint("writers", "e-2", stream).await?;
         first.leave_in(Duration::from_secs(2));
         drain(&site, &first);
         for client in &mut clients {
@@ -114,12 +114,12 @@
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let stream = Behaviour::Stream { events: 150, pause: PAUSE };
-        let first = site.endpoint("writers", "e-1", stream).await?;
+        let first = site.add_endpoint("writers", "e-1", stream).await?;
         let mut clients = Vec::new();
         for id in ["a1", "a2", "a3"] {
-            clients.push(generation(site.client(), "draft", id, &first).await?);
+            clients.push(start_generation(site.client(), "draft", id, &first).await?);
         }
-        let second = site.endpoint("writers", "e-2", stream).await?;
+        let second = site.add_endpoint("writers", "e-2", stream).await?;
         first.leave_in(Duration::from_millis(100));
         drain(&site, &first);
         for client in &mut clients {
@@ -136,10 +136,10 @@
 /// Starts a generation on the first of three engines.
 async fn start_with_three(site: &Site) -> anyhow::Result<(RawClient, [Endpoint; 3])> {
     let stream = Behaviour::Stream { events: 400, pause: PAUSE };
-    let first = site.endpoint("writers", "e-1", stream).await?;
-    let client = generation(site.client(), "draft", "a1", &first).await?;
-    let second = site.endpoint("writers", "e-2", stream).await?;
-    let third = site.endpoint("writers", "e-3", stream).await?;
+    let first = site.add_endpoint("writers", "e-1", stream).await?;
+    let client = start_generation(site.client(), "draft", "a1", &first).await?;
+    let second = site.add_endpoint("writers", "e-2", stream).await?;
+    let third = site.add_endpoint("writers", "e-3", stream).await?;
     Ok((client, [first, second, third]))
 }
 
--- a/tests/suite/relay/outcomes.rs
+++ b/tests/suite/relay/outcomes.rs
@@ -13,8 +13,8 @@
 fn client_outcome(route: &str, behaviour: Behaviour, status: u16, runs: usize) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let first = site.endpoint("desk", "e-1", behaviour).await?;
-        let second = site.endpoint("desk", "e-2", behaviour).await?;
+        let first = site.add_endpoint("desk", "e-1", behaviour).await?;
+        let second = site.add_endpoint("desk", "e-2", behaviour).await?;
         let answer = ask(&site, route, "a1").await?;
         assert_eq!(answer.status, status, "{answer:?}");
         assert!(answer.is_whole, "{answer:?}");
@@ -56,8 +56,8 @@
 fn lookup_is_answered_by_the_second_endpoint() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        site.endpoint("desk", "e-1", Behaviour::Close).await?;
-        site.endpoint("desk", "e-2", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-1", Behaviour::Close).await?;
+        site.add_endpoint("desk", "e-2", Behaviour::Answer).await?;
         for number in 0..12 {
             let answer = ask(&site, "read", &format!("a{number}")).await?;
             assert_eq!(answer.status, 200, "{answer:?}");
@@ -73,11 +73,11 @@
 fn no_room_after_lost_answer_is_outcome_unknown() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let first = site.endpoint("desk", "e-1", Behaviour::Close).await?;
+        let first = site.add_endpoint("desk", "e-1", Behaviour::Close).await?;
         let mut client = RawClient::connect(site.client()).await?;
         client.send(&request("read", "a1", "key-1", "")).await?;
         until("the first endpoint runs the request", async || Ok(first.runs("a1") == 1)).await?;
-        site.endpoint("desk", "e-2", Behaviour::Shed).await?;
+        site.add_endpoint("desk", "e-2", Behaviour::Shed).await?;
         let answer = client.answer().await?;
         let header = |name| answer.message.header(name);
         assert_eq!(answer.status, 502);
@@ -94,7 +94,7 @@
     run(async {
         let plan = RoutingPlan { timeout_ms: 300, ..RoutingPlan::default() };
         let site = Site::start(&plan).await?;
-        let endpoint = site.endpoint("desk", "e-1", Behaviour::Hang).await?;
+        let endpoint = site.add_endpoint("desk", "e-1", Behaviour::Hang).await?;
         let answer = ask(&site, "once", "a1").await?;
         assert_eq!(answer.status, 504);
         assert_eq!(endpoint.runs("a1"), 1);
@@ -125,7 +125,7 @@
         let entry = nutmeggrade_fakes::site::Entry::new("desk", gone);
         site.store.put("servers", "e-gone", entry.content());
         site.until_metric("endpoints", 1).await?;
-        site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         for number in 0..8 {
             assert_eq!(ask(&site, "once", &format!("a{number}")).await?.status, 200);
         }
--- a/tests/suite/relay/rollouts.rs
+++ b/tests/suite/relay/rollouts.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use super::site::{Site, generation, rolling};
+use super::site::{Site, start_generation, start_rolling_instance};
 use super::streams::events;
 use super::{PROMPT_HEADERS, ask};
 use crate::support::{run, until};
@@ -75,10 +75,10 @@
 /// one endpoint.
 async fn start_rollout() -> anyhow::Result<(Site, Endpoint, Endpoint)> {
     let site = Site::start_rolling(&RoutingPlan::default()).await?;
-    let old = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+    let old = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
     put_rollout(&site, "desk", 9);
     until_state(&site, "desk", "in_progress v2").await?;
-    let new = site.versioned("desk", "e-2", "v2", Behaviour::Answer).await?;
+    let new = site.add_versioned_endpoint("desk", "e-2", "v2", Behaviour::Answer).await?;
     Ok((site, old, new))
 }
 
@@ -169,7 +169,7 @@
         load.stop().await?;
         new.set(Behaviour::Fail);
         let exposed_requests = new.seen().len();
-        site.instance = rolling("i-1", &site.door, 2).await?;
+        site.instance = start_rolling_instance("i-1", &site.door, 2).await?;
         site.until_metric("config_version", 1).await?;
         site.until_metric("endpoints", 1).await?;
         for number in 0..10 {
@@ -191,12 +191,12 @@
         let site = Site::start_rolling(&RoutingPlan::default()).await?;
         let long = Behaviour::Stream { events: 900, pause: PAUSE };
         let short = Behaviour::Stream { events: 12, pause: Duration::from_millis(1) };
-        let old = site.endpoint("writers", "e-1", long).await?;
+        let old = site.add_endpoint("writers", "e-1", long).await?;
         put_rollout(&site, "writers", 7);
         until_state(&site, "writers", "in_progress v2").await?;
-        let mut client = generation(site.client(), "draft", "a1", &old).await?;
+        let mut client = start_generation(site.client(), "draft", "a1", &old).await?;
         old.set(short);
-        let new = site.versioned("writers", "e-2", "v2", short).await?;
+        let new = site.add_versioned_endpoint("writers", "e-2", "v2", short).await?;
         let load = RequestLoad::start(&site, "sort");
         until("the generation moves", async || {
             let mut seen = new.seen().into_iter();
@@ -221,8 +221,8 @@
     run(async {
         let site = Site::start_rolling(&RoutingPlan::default()).await?;
         site.store.put("rollouts", "desk", content);
-        let first = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
-        let other = site.versioned("desk", "e-2", "v2", Behaviour::Answer).await?;
+        let first = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
+        let other = site.add_versioned_endpoint("desk", "e-2", "v2", Behaviour::Answer).await?;
         site.until_metric("endpoints", 2).await?;
         for number in 0..40 {
             assert_eq!(ask(&site, "once", &format!("a{number}")).await?.status, 200);
@@ -245,7 +245,7 @@
     run(async {
         let site = Site::start_rolling(&RoutingPlan::default()).await?;
         put_rollout(&site, "desk", 9);
-        site.versioned("desk", "e-2", "v2", Behaviour::Answer).await?;
+        site.add_versioned_endpoint("desk", "e-2", "v2", Behaviour::Answer).await?;
         site.until_metric("endpoints", 1).await?;
         assert_eq!(ask(&site, "once", "a1").await?.status, 200);
         until_state(&site, "desk", "completed v2").await?;
--- a/tests/suite/relay/site.rs
+++ b/tests/suite/relay/site.rs
@@ -25,7 +25,7 @@
         let store = Store::new();
         store.put("config", "main", plan.content());
         let door = store.door().await?;
-        let instance = instance("i-1", &door, "").await?;
+        let instance = start_instance("i-1", &door, "").await?;
         let site = Self { store, door, generations: Generations::default(), instance };
         site.until_metric("config_version", plan.version).await?;
         Ok(site)
@@ -36,14 +36,14 @@
         let store = Store::new();
         store.put("config", "main", plan.content());
         let door = store.door().await?;
-        let instance = rolling("i-1", &door, 1).await?;
+        let instance = start_rolling_instance("i-1", &door, 1).await?;
         let site = Self { store, door, generations: Generations::default(), instance };
         site.until_metric("config_version", plan.version).await?;
         Ok(site)
     }
 
     /// Starts an endpoint with a version, without waiting until the instance lists it.
-    pub async fn versioned(
+    pub async fn add_versioned_endpoint(
         &self,
         service: &str,
         id: &str,
@@ -57,7 +57,7 @@
     }
 
     /// Starts an endpoint and waits until the instance lists it.
-    pub async fn endpoint(
+    pub async fn add_endpoint(
         &self,
         service: &str,
         id: &str,
@@ -84,7 +84,7 @@
 }
 
 /// Requests a generation from an instance and waits until the engine runs it.
-pub async fn generation(
+pub async fn start_generation(
     client: SocketAddr,
     route: &str,
     id: &str,
@@ -97,14 +97,18 @@
 }
 
 /// Starts an incarnation of an instance that observes roll-outs.
-pub async fn rolling(name: &str, door: &Door, incarnation: u64) -> anyhow::Result<Instance> {
+pub async fn start_rolling_instance(
+    name: &str,
+    door: &Door,
+    incarnation: u64,
+) -> anyhow::Result<Instance> {
     let mut args = arguments(name, door, "", "127.0.0.1:0");
     args.extend(["--exposure-share=0.1".to_owned(), "--exposure-tolerance=50".to_owned()]);
     Instance::start(&load(&args)?, &LogBuffer::new(), incarnation).await
 }
 
 /// Starts an instance that reads the store at the address of `door`.
-pub async fn instance(name: &str, door: &Door, seeds: &str) -> anyhow::Result<Instance> {
+pub async fn start_instance(name: &str, door: &Door, seeds: &str) -> anyhow::Result<Instance> {
     let settings = settings(name, door, seeds, "127.0.0.1:0")?;
     Instance::start(&settings, &LogBuffer::new(), 1).await
 }
--- a/tests/suite/relay/stop.rs
+++ b/tests/suite/relay/stop.rs
@@ -18,8 +18,8 @@
         let site = Site::start(&RoutingPlan::default()).await?;
         let pause = Duration::from_millis(10);
         let engine =
-            site.endpoint("writers", "e-1", Behaviour::Stream { events: 90, pause }).await?;
-        site.endpoint("desk", "e-2", Behaviour::Answer).await?;
+            site.add_endpoint("writers", "e-1", Behaviour::Stream { events: 90, pause }).await?;
+        site.add_endpoint("desk", "e-2", Behaviour::Answer).await?;
         let addresses = site.instance.addresses();
         let mut stream = RawClient::connect(addresses.client).await?;
         stream.send(&request("draft", "a1", "key-1", PROMPT_HEADERS)).await?;
@@ -50,7 +50,7 @@
         let site = Site::start(&RoutingPlan::default()).await?;
         let pause = Duration::from_millis(10);
         let engine =
-            site.endpoint("writers", "e-1", Behaviour::Stream { events: 9, pause }).await?;
+            site.add_endpoint("writers", "e-1", Behaviour::Stream { events: 9, pause }).await?;
         let address = site.instance.addresses();
         let stopping = tokio::spawn(site.instance.stop());
         until("the instance is not ready", async || {
--- a/tests/suite/relay/store.rs
+++ b/tests/suite/relay/store.rs
@@ -3,8 +3,8 @@
 use nutmeggrade_fakes::site::{Behaviour, Endpoint, Entry, Fault, Generations, RoutingPlan, Store};
 use nutmeggrade_relay::Instance;
 
-use super::fleet::{Pair, pair};
-use super::site::{Site, get, instance, metric};
+use super::fleet::{Pair, start_pair};
+use super::site::{Site, get, metric, start_instance};
 use crate::support::{run, until};
 
 /// Gets all endpoints from an instance, as its peers do.
@@ -20,7 +20,7 @@
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
-        let instance = instance("i-1", &store.door().await?, "").await?;
+        let instance = start_instance("i-1", &store.door().await?, "").await?;
         let metrics = instance.addresses().metrics;
         let calls = async |kind: &str, reason: &str| {
             let labels = format!("kind=\"{kind}\",reason=\"{reason}\"");
@@ -43,7 +43,7 @@
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
         let door = store.door().await?;
-        let instance = instance("i-1", &door, "").await?;
+        let instance = start_instance("i-1", &door, "").await?;
         let metrics = instance.addresses().metrics;
         until("a configuration is in force", async || {
             Ok(metric(metrics, "config_version").await? > 0)
@@ -71,7 +71,7 @@
 #[test]
 fn outage_is_over_while_endpoints_change() {
     run(async {
-        let Pair { store, first, other, other_door, .. } = pair().await?;
+        let Pair { store, first, other, other_door, .. } = start_pair().await?;
         let may_lapse = async |instance: &Instance| {
             let endpoints = get_endpoints(instance).await?;
             Ok::<_, anyhow::Error>(endpoints["lapses"].clone())
@@ -125,7 +125,7 @@
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
         let door = store.door().await?;
-        let instance = instance("i-1", &door, "").await?;
+        let instance = start_instance("i-1", &door, "").await?;
         let may_lapse = async || {
             let endpoints = get_endpoints(&instance).await?;
             Ok::<_, anyhow::Error>(endpoints["lapses"].clone())
--- a/tests/suite/relay/streams.rs
+++ b/tests/suite/relay/streams.rs
@@ -20,7 +20,7 @@
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let stream = Behaviour::Stream { events: 30, pause: Duration::from_millis(1) };
-        site.endpoint("writers", "e-1", stream).await?;
+        site.add_endpoint("writers", "e-1", stream).await?;
         let answer = RawClient::ask(site.client(), "draft", "a1", PROMPT_HEADERS).await?;
         assert_eq!((answer.status, answer.is_whole), (200, true));
         assert_eq!(answer.message.header("x-nutmeggrade-server-signature"), Some("by.e-1"));
@@ -35,8 +35,9 @@
 fn cut_stream_does_not_look_complete() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let first = site.endpoint("writers", "e-1", Behaviour::StreamCut { events: 5 }).await?;
-        let second = site.endpoint("writers", "e-2", Behaviour::StreamCut { events: 5 }).await?;
+        let first = site.add_endpoint("writers", "e-1", Behaviour::StreamCut { events: 5 }).await?;
+        let second =
+            site.add_endpoint("writers", "e-2", Behaviour::StreamCut { events: 5 }).await?;
         let answer = RawClient::ask(site.client(), "draft", "a1", PROMPT_HEADERS).await?;
         assert!(!answer.is_whole);
         assert_eq!(events(&answer.message.body), [1, 2, 3, 4, 5]);
@@ -53,12 +54,12 @@
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let stream = Behaviour::Stream { events: 60, pause: Duration::from_millis(10) };
-        let first = site.endpoint("writers", "e-1", stream).await?;
+        let first = site.add_endpoint("writers", "e-1", stream).await?;
         let mut client = RawClient::connect(site.client()).await?;
         client.send(&request("sort", "a1", "key-1", PROMPT_HEADERS)).await?;
         until("the first engine has sent events", async || Ok(site.generations.most_made() > 5))
             .await?;
-        let second = site.endpoint("writers", "e-2", stream).await?;
+        let second = site.add_endpoint("writers", "e-2", stream).await?;
         first.kill();
         let answer = client.answer().await?;
         assert!(answer.is_whole);
@@ -77,7 +78,7 @@
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
         let stream = Behaviour::Stream { events: 9, pause: Duration::from_millis(1) };
-        site.endpoint("writers", "e-1", stream).await?;
+        site.add_endpoint("writers", "e-1", stream).await?;
         let headers = format!("{PROMPT_HEADERS}Last-Event-Id: 6\r\n");
         let answer = RawClient::ask(site.client(), "sort", "a1", &headers).await?;
         assert_eq!(events(&answer.message.body), [7, 8, 9]);
@@ -91,11 +92,11 @@
 async fn answer_after_broken_stream(route: &str) -> anyhow::Result<Answer> {
     let site = Site::start(&RoutingPlan::default()).await?;
     let service = if route == "sort" { "writers" } else { "desk" };
-    let first = site.endpoint(service, "e-1", Behaviour::StreamCut { events: 5 }).await?;
+    let first = site.add_endpoint(service, "e-1", Behaviour::StreamCut { events: 5 }).await?;
     let mut client = RawClient::connect(site.client()).await?;
     client.send(&request(route, "a1", "key-1", PROMPT_HEADERS)).await?;
     until("the first endpoint runs the request", async || Ok(first.runs("a1") == 1)).await?;
-    let second = site.endpoint(service, "e-2", Behaviour::Answer).await?;
+    let second = site.add_endpoint(service, "e-2", Behaviour::Answer).await?;
     let answer = client.answer().await?;
     drop(second);
     Ok(answer)
