--- a/tests/suite/relay/fleet.rs
+++ b/tests/suite/relay/fleet.rs
@@ -266,8 +266,8 @@
 
 async fn until_notified(instance: &Instance, times: u64) -> anyhow::Result<()> {
     let metrics = instance.addresses().metrics;
-    let notifications = async || Ok(metric(metrics, "told_gone_total").await? >= times);
-    until("the peer is notified that the endpoint is gone", notifications).await
+    let is_notified = async || Ok(metric(metrics, "told_gone_total").await? >= times);
+    until("the peer is notified that the endpoint is gone", is_notified).await
 }
 
 // An endpoint dies and its entry stays. One instance gets a refused connection; the other one is
