--- a/tests/suite/process/config_size.rs
+++ b/tests/suite/process/config_size.rs
@@ -60,7 +60,10 @@
         strip_old_presets(&platform, last).await?;
         strip_old_presets(&platform, last).await?;
         let read = async |version: u64| {
-            let object = platform.read(&Configuration::key(version)).await?.context("gone")?;
+            let object = platform
+                .read(&Configuration::key(version))
+                .await?
+                .context("version object is missing")?;
             anyhow::Ok(serde_json::from_value::<Configuration>(object.value.unwrap_or_default())?)
         };
         let old = read(2).await?;
--- a/tests/suite/process/planned_stop.rs
+++ b/tests/suite/process/planned_stop.rs
@@ -47,8 +47,8 @@
     /// Returns the client address of an instance that is not being restarted.
     fn pick_address(&self, n: usize) -> anyhow::Result<SocketAddr> {
         let alive = self.alive.lock().unwrap_or_else(PoisonError::into_inner);
-        let found = alive.values().nth(n % alive.len().max(1)).copied();
-        found.ok_or_else(|| anyhow::anyhow!("no instance"))
+        let address = alive.values().nth(n % alive.len().max(1)).copied();
+        address.ok_or_else(|| anyhow::anyhow!("no instance"))
     }
 
     fn exclude(&self, name: &str) {
--- a/tests/suite/relay/outcomes.rs
+++ b/tests/suite/relay/outcomes.rs
@@ -121,8 +121,8 @@
 fn refused_connection_is_no_send() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let gone = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let entry = nutmeggrade_fakes::site::Entry::new("desk", gone);
+        let closed_address = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+        let entry = nutmeggrade_fakes::site::Entry::new("desk", closed_address);
         site.store.put("servers", "e-gone", entry.content());
         site.until_metric("endpoints", 1).await?;
         site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
