--- a/tests/suite/operators.rs
+++ b/tests/suite/operators.rs
@@ -1,4 +1,4 @@
-//! Tests of operators' commands, settings, metrics and logs.
+//! Tests of operator commands, settings, logs and metrics.
 
 mod audit;
 mod changes;
@@ -15,8 +15,8 @@
 
 /// Returns a command for a program of the workspace, with an empty environment.
 fn program(name: &str) -> Command {
-    let executable = std::env::current_exe().expect("path of the test executable");
-    let folder: PathBuf = executable.ancestors().nth(2).expect("build folder").to_owned();
+    let test_binary = std::env::current_exe().expect("path of the test binary");
+    let folder: PathBuf = test_binary.ancestors().nth(2).expect("build folder").to_owned();
     let mut command = Command::new(folder.join(name));
     command.env_clear();
     command
--- a/tests/suite/operators/refusals.rs
+++ b/tests/suite/operators/refusals.rs
@@ -1,4 +1,4 @@
-//! What is refused before anything is written, and what only looks.
+//! Commands that are refused before anything is written, and commands that only read.
 
 use nutmeggrade_core::config::CONFIG_PREFIX;
 use nutmeggrade_fakes::fleet::Plan;
@@ -8,10 +8,11 @@
 use super::program;
 use crate::support::{fleet, run};
 
-const PERMIT_DESK: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../presets/permit-desk");
-const OTHER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../presets/cooperative/ordinary.json");
+const PERMIT_DESK_PRESETS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../presets/permit-desk");
+const COOPERATIVE_PRESET: &str =
+    concat!(env!("CARGO_MANIFEST_DIR"), "/../presets/cooperative/ordinary.json");
 
-/// Exit code, part of the output, and the words that bring it about.
+/// Exit code, part of the output, and the arguments of the command.
 const CASES: &[(i32, &str, &[&str])] = &[
     (2, "unknown command", &["domain", "sideways", "veluwe"]),
     (2, "6001", &["domain", "out", "veluwe", "--colour", "red"]),
@@ -29,7 +30,7 @@
     (
         0,
         "would_accept version=2",
-        &["preset", "put", "x", OTHER, "--who", "a", "--why", "b", "--dry-run"],
+        &["preset", "put", "x", COOPERATIVE_PRESET, "--who", "a", "--why", "b", "--dry-run"],
     ),
     (
         0,
@@ -54,37 +55,37 @@
     (0, "nutmegctl domain out NAME", &["domain", "out", "--help"]),
 ];
 
-// Operators mistype names, forget who and why, and try things out. Each gets its exit code and its
-// number, and none of it writes anything.
+// Operators mistype names, omit who and why, and use dry runs. Each command gets its exit code and
+// error code, and none of them writes anything.
 #[rstest]
-fn refusals_and_looks_write_nothing() {
+fn refusals_and_reads_write_nothing() {
     run(async {
         let plan = Plan::default().with_nodes(1).with_engines(1).with_services(1);
-        let held = fleet(&plan).await?;
-        for (expected, part, words) in CASES {
-            let (code, text) = held.fleet.run_nutmegctl(words).await?;
-            assert_eq!(code, *expected, "{words:?}: {text}");
-            assert!(text.contains(part), "{words:?}: {text}");
+        let guard = fleet(&plan).await?;
+        for (expected_code, expected_text, arguments) in CASES {
+            let (code, text) = guard.fleet.run_nutmegctl(arguments).await?;
+            assert_eq!(code, *expected_code, "{arguments:?}: {text}");
+            assert!(text.contains(expected_text), "{arguments:?}: {text}");
         }
-        assert_eq!(held.fleet.client().list(CONFIG_PREFIX).await?.objects.len(), 1);
+        assert_eq!(guard.fleet.client().list(CONFIG_PREFIX).await?.objects.len(), 1);
         Ok(())
     });
 }
 
-// The very first preset makes version 1; before it nothing else can be changed.
+// The first preset creates version 1; without a version nothing else can be changed.
 #[rstest]
 fn first_preset_makes_version_1() {
     run(async {
         let plan = Plan::default().with_nodes(0).with_engines(1).with_services(0);
-        let held = fleet(&plan).await?;
-        held.fleet.client().remove("config/000000000001", 1).await?;
+        let guard = fleet(&plan).await?;
+        guard.fleet.client().remove("config/000000000001", 1).await?;
         let why = ["--who", "anna", "--why", "start"];
         let (code, text) =
-            held.fleet.run_nutmegctl(&[&["preset", "use", "peak"], &why[..]].concat()).await?;
+            guard.fleet.run_nutmegctl(&[&["preset", "use", "peak"], &why[..]].concat()).await?;
         assert!(code == 3 && text.contains("5003"), "{text}");
-        let file = format!("{PERMIT_DESK}/peak.json");
-        let words = [&["preset", "put", "peak", &file], &why[..]].concat();
-        let (code, text) = held.fleet.run_nutmegctl(&words).await?;
+        let file = format!("{PERMIT_DESK_PRESETS}/peak.json");
+        let arguments = [&["preset", "put", "peak", &file], &why[..]].concat();
+        let (code, text) = guard.fleet.run_nutmegctl(&arguments).await?;
         assert!(code == 0 && text.contains("accepted version=1"), "{text}");
         Ok(())
     });
@@ -93,35 +94,35 @@
 #[rstest]
 fn token_is_never_printed() {
     let token = "a-token-that-nobody-may-see";
-    for words in [["status", "--help"], ["status", "--wait"], ["status", "--json"]] {
+    for arguments in [["status", "--help"], ["status", "--wait"], ["status", "--json"]] {
         let mut command = program("nutmegctl");
-        command.args(words).env("NUTMEGGRADE_OPERATOR_TOKEN", token);
+        command.args(arguments).env("NUTMEGGRADE_OPERATOR_TOKEN", token);
         let output = command.output().expect("run nutmegctl");
         let text = [output.stdout, output.stderr].concat();
         assert!(!String::from_utf8_lossy(&text).contains(token));
     }
 }
 
-// An operator pipes the output into `head`, which closes the pipe early. The command still comes to
-// its end with its own exit code; a crash there would hide whether a change is in force.
+// An operator pipes the output into `head`, which closes the pipe early. The command still ends
+// with its own exit code; a crash would hide whether a change is in force.
 #[rstest]
 fn closed_pipe_is_no_failure() {
-    for words in [["status", "--help"], ["help", "--version"]] {
+    for arguments in [["status", "--help"], ["help", "--version"]] {
         let (reader, writer) = std::io::pipe().expect("pipe");
         drop(reader);
-        let status = program("nutmegctl").args(words).stdout(writer).status();
-        assert_eq!(status.expect("run nutmegctl").code(), Some(0), "{words:?}");
+        let status = program("nutmegctl").args(arguments).stdout(writer).status();
+        assert_eq!(status.expect("run nutmegctl").code(), Some(0), "{arguments:?}");
     }
 }
 
-// An operator's token is old. The command says so with its code and ends, and does not call every
-// instance unreachable.
+// The token of an operator has expired. The command reports that with its code and ends, and does
+// not report every instance as unreachable.
 #[rstest]
 fn old_token_is_named() {
     run(async {
         let plan = Plan::default().with_nodes(1).with_engines(1).with_services(0);
-        let held = fleet(&plan).await?;
-        let platform = held.fleet.platform.to_string();
+        let guard = fleet(&plan).await?;
+        let platform = guard.fleet.platform.to_string();
         let mut command = program("nutmegctl");
         command.args(["status", "--platform", &platform]);
         command.env("NUTMEGGRADE_OPERATOR_TOKEN", "a-token-of-last-year");
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -1,4 +1,4 @@
-//! Tests with real processes: complete request paths, and injected failures.
+//! Tests of real processes: the complete request path with injected failures.
 
 mod bad_input;
 mod cold;
--- a/tests/suite/relay/endpoints.rs
+++ b/tests/suite/relay/endpoints.rs
@@ -1,20 +1,20 @@
-//! Endpoints that leave, vanish, lie or are cold.
+//! Endpoints that leave, disappear, have wrong entries or are cold.
 
 use nutmeggrade_fakes::site::{Behaviour, Entry, Fault, RoutingPlan, Store};
 use serde_json::json;
 
 use super::ask;
-use super::site::{Site, instance, metric};
+use super::site::{Site, metric, start_instance};
 use crate::support::{run, until};
 
-// An endpoint says that it leaves. From the moment at which the instance knows, nothing new goes to
-// it, however long it stays.
+// An endpoint is marked as leaving. Once the instance has read this, it sends no new requests to
+// the endpoint, however long the endpoint stays.
 #[test]
 fn leaving_endpoint_gets_nothing_new() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let leaving = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
-        site.endpoint("desk", "e-2", Behaviour::Answer).await?;
+        let leaving = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-2", Behaviour::Answer).await?;
         let entry = Entry::new("desk", leaving.address).with_leaving(true);
         site.store.put("servers", "e-1", entry.content());
         site.until_metric("endpoints", 1).await?;
@@ -27,12 +27,12 @@
     });
 }
 
-// A failure domain is taken out and brought back.
+// A failure domain is taken out of service and brought back.
 #[test]
 fn domain_that_is_out_gets_nothing() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let endpoint = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        let endpoint = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         site.store.put("evacuations", "veluwe", json!({}));
         site.until_metric("endpoints", 0).await?;
         assert_eq!(ask(&site, "once", "a1").await?.status, 503);
@@ -44,8 +44,8 @@
     });
 }
 
-// Another program writes into the endpoints' place. Its entries name nothing to use and disturb no
-// other.
+// Another program writes malformed entries among those of the endpoints. They are skipped, and the
+// other entries stay usable.
 #[test]
 fn foreign_entries_are_passed_over() {
     run(async {
@@ -63,45 +63,46 @@
         {
             site.store.put("servers", &format!("foreign-{number}"), content);
         }
-        site.endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
         site.until_metric("endpoints", 1).await?;
         assert_eq!(ask(&site, "once", "a1").await?.status, 200);
         Ok(())
     });
 }
 
-// Entries lapse while the store is away and are written again when it is back. Endpoints that live
-// must not lose their work for that; one that does not come back is gone.
+// Entries lapse while the store is unavailable and are written again when it is back. Endpoints
+// that live must stay in service meanwhile; one whose entry does not come back is removed.
 #[test]
 fn lapsed_entries_get_time_to_come_back() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let stays = site.endpoint("desk", "e-1", Behaviour::Answer).await?;
-        site.endpoint("desk", "e-2", Behaviour::Answer).await?;
+        let returning = site.add_endpoint("desk", "e-1", Behaviour::Answer).await?;
+        site.add_endpoint("desk", "e-2", Behaviour::Answer).await?;
         site.store_listener.set(Fault::Refuse);
         site.store.remove("servers", "e-1");
         site.store.remove("servers", "e-2");
-        let away = "store_calls_total{end=\"failed\",kind=\"endpoints\"}";
-        until("the store is missed", async || {
-            Ok(metric(site.instance.addresses().metrics, away).await? > 0)
+        let failed_calls = "store_calls_total{end=\"failed\",kind=\"endpoints\"}";
+        until("calls to the store fail", async || {
+            Ok(metric(site.instance.addresses().metrics, failed_calls).await? > 0)
         })
         .await?;
         site.store_listener.set(Fault::None);
-        site.store.put("servers", "e-1", Entry::new("desk", stays.address).content());
+        site.store.put("servers", "e-1", Entry::new("desk", returning.address).content());
         site.until_metric("endpoints", 1).await?;
         assert_eq!(ask(&site, "once", "a1").await?.status, 200);
         Ok(())
     });
 }
 
-// Another endpoint has got the address of one that is gone. It says so, and the request goes on to
-// one of its own service. While the store is away entries stay that are long stale; asked again and
-// again they use up what may be sent a second time.
+// The address of an endpoint that is gone is reused by another endpoint, which refuses misdirected
+// requests, so that each request is sent again to an endpoint of its own service. While the store
+// is unavailable, stale entries stay; if they were selected again and again, they would exhaust the
+// budget of repeated sends.
 #[test]
 fn reused_address_runs_nothing() {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
-        let other = site.endpoint("desk", "e-other", Behaviour::Answer).await?;
+        let other = site.add_endpoint("desk", "e-other", Behaviour::Answer).await?;
         site.store.put("servers", "e-old", Entry::new("desk", other.address).content());
         site.until_metric("endpoints", 2).await?;
         for number in 0..12 {
@@ -109,15 +110,15 @@
             assert_eq!(ask(&site, "once", &id).await?.status, 200);
             assert_eq!(other.runs(&id), 1);
         }
-        // The endpoint that was meant is gone, which one answer was enough to learn.
+        // One refusal is enough to stop using the stale entry.
         let misdirected = other.seen().iter().filter(|s| !s.ran).count();
         assert!(misdirected <= 1, "{misdirected}");
         Ok(())
     });
 }
 
-// An endpoint has just started and bears ten requests a second. Thirty come in the same moment, and
-// those that would come too late are refused.
+// A cold endpoint sustains ten requests per second. Thirty arrive at once, and those that could not
+// be served in time are refused.
 #[test]
 fn cold_endpoint_is_not_flooded() {
     run(async {
@@ -125,17 +126,17 @@
         let site = Site::start(&plan).await?;
         let pause = std::time::Duration::from_millis(1);
         let behaviour = Behaviour::Stream { events: 1, pause };
-        let endpoint = site.endpoint("writers", "e-1", behaviour).await?;
+        let endpoint = site.add_endpoint("writers", "e-1", behaviour).await?;
         let cold = Entry { cold_ms: 60_000, ..Entry::new("writers", endpoint.address) };
         site.store.put("servers", "e-1", cold.content());
         until("the endpoint counts as cold", async || {
-            let asks = (0..30).map(|n| {
+            let requests = (0..30).map(|n| {
                 let id = format!("w{n}");
                 let site = &site;
                 async move { ask(site, "sort", &id).await }
             });
             let before = endpoint.seen().len();
-            let answers = futures::future::join_all(asks).await;
+            let answers = futures::future::join_all(requests).await;
             let served = endpoint.seen().len() - before;
             let refused =
                 answers.iter().filter(|a| a.as_ref().is_ok_and(|a| a.status == 503)).count();
@@ -145,8 +146,8 @@
     });
 }
 
-// A deployment has some thousands of endpoints, and the store lists them in many pages. An instance that
-// gave up after some of them would never become ready.
+// A deployment has thousands of endpoints, and the store lists them in many pages. An instance that
+// stopped after some pages would never become ready.
 #[test]
 fn endpoints_of_a_hundred_pages_are_listed() {
     run(async {
@@ -156,16 +157,17 @@
             let address = format!("127.0.0.1:{}", 20_000 + n).parse()?;
             store.put("servers", &format!("e-{n:03}"), Entry::new("desk", address).content());
         }
-        let instance = instance("i-1", &store.open_listener().await?, "").await?;
+        let instance = start_instance("i-1", &store.open_listener().await?, "").await?;
         let metrics = instance.addresses().metrics;
         let listed = async || Ok(metric(metrics, "endpoints").await? == 300);
-        until("all endpoints are known", listed).await
+        until("all endpoints are listed", listed).await
     });
 }
 
-/// Starts an instance before a store whose further pages are as they were before the last changes: one
-/// endpoint of ten said that it leaves, one is gone and one has come. Waits until it knows all that.
-fn listed_though_it_lags(is_history_gone: bool) {
+/// Starts an instance with a store whose further pages show the state before the last changes: of
+/// ten endpoints one is marked as leaving and one is removed, and one endpoint is added. Waits for
+/// the listing and checks that it has all changes.
+fn listing_is_current_despite_lag(is_history_gone: bool) {
     run(async {
         let store = Store::new();
         store.put("config", "main", RoutingPlan::default().content());
@@ -183,17 +185,17 @@
         if is_history_gone {
             store.drop_history();
         }
-        let instance = instance("i-1", &store.open_listener().await?, "").await?;
+        let instance = start_instance("i-1", &store.open_listener().await?, "").await?;
         let metrics = instance.addresses().metrics;
-        until("listed", async || Ok(metric(metrics, "endpoints").await? > 0)).await?;
+        until("endpoints are listed", async || Ok(metric(metrics, "endpoints").await? > 0)).await?;
         assert_eq!(metric(metrics, "endpoints").await?, 9);
         Ok(())
     });
 }
 
-// An instance starts, and the store's further pages lag. What has changed since then is known as soon as
-// anything is: nothing goes to an endpoint that left before the start.
-cases! {listed_though_it_lags {
+// An instance starts while the further pages of the store lag behind. The first listing already has
+// the changes since then: no request goes to an endpoint that left before the start.
+cases! {listing_is_current_despite_lag {
     with_history: false;
     history_gone: true;
 }}
--- a/tests/suite/relay/site.rs
+++ b/tests/suite/relay/site.rs
@@ -1,4 +1,4 @@
-//! A deployment of one or several instances.
+//! A test deployment of one or several instances.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 };
 use nutmeggrade_relay::{Instance, LogBuffer, Settings};
 
-use super::PROMPT;
+use super::PROMPT_HEADERS;
 use crate::support::until;
 
-/// The platform, its endpoints and one instance.
+/// A store, endpoints and one instance.
 pub struct Site {
     pub store: Store,
     pub store_listener: StoreListener,
@@ -20,30 +20,30 @@
 }
 
 impl Site {
-    /// Starts an instance and waits until it has the plan in force.
+    /// Starts an instance and waits until the configuration of the plan is in force.
     pub async fn start(plan: &RoutingPlan) -> anyhow::Result<Self> {
         let store = Store::new();
         store.put("config", "main", plan.content());
         let store_listener = store.open_listener().await?;
-        let instance = instance("i-1", &store_listener, "").await?;
+        let instance = start_instance("i-1", &store_listener, "").await?;
         let site = Self { store, store_listener, generations: Generations::default(), instance };
         site.until_metric("config_version", plan.version).await?;
         Ok(site)
     }
 
-    /// Starts an instance that follows roll-outs.
+    /// Starts an instance that observes roll-outs and waits until the configuration is in force.
     pub async fn start_rolling(plan: &RoutingPlan) -> anyhow::Result<Self> {
         let store = Store::new();
         store.put("config", "main", plan.content());
         let store_listener = store.open_listener().await?;
-        let instance = rolling("i-1", &store_listener, 1).await?;
+        let instance = start_rolling_instance("i-1", &store_listener, 1).await?;
         let site = Self { store, store_listener, generations: Generations::default(), instance };
         site.until_metric("config_version", plan.version).await?;
         Ok(site)
     }
 
-    /// Starts an endpoint of a version, which the instance may not use yet.
-    pub async fn versioned(
+    /// Starts an endpoint with a version, without waiting until the instance lists it.
+    pub async fn add_versioned_endpoint(
         &self,
         service: &str,
         id: &str,
@@ -56,8 +56,8 @@
         Ok(endpoint)
     }
 
-    /// Starts an endpoint and waits until the instance knows it.
-    pub async fn endpoint(
+    /// Starts an endpoint and waits until the instance lists it.
+    pub async fn add_endpoint(
         &self,
         service: &str,
         id: &str,
@@ -70,12 +70,12 @@
         Ok(endpoint)
     }
 
-    /// Returns where clients connect.
+    /// Returns the address for clients.
     pub fn client(&self) -> SocketAddr {
         self.instance.addresses().client
     }
 
-    /// Waits until a metric has a value.
+    /// Waits until a metric of the instance has a value.
     pub async fn until_metric(&self, name: &str, value: u64) -> anyhow::Result<()> {
         let address = self.instance.addresses().metrics;
         let what = format!("{name} is {value}");
@@ -83,21 +83,21 @@
     }
 }
 
-/// Asks an instance for a generation and waits until the engine runs it.
-pub async fn generation(
+/// Requests a generation from an instance and waits until the engine runs it.
+pub async fn start_generation(
     client: SocketAddr,
     route: &str,
     id: &str,
     engine: &Endpoint,
 ) -> anyhow::Result<RawClient> {
     let mut client = RawClient::connect(client).await?;
-    client.send(&request(route, id, "key-1", PROMPT)).await?;
+    client.send(&request(route, id, "key-1", PROMPT_HEADERS)).await?;
     until("the generation runs", async || Ok(engine.runs(id) == 1)).await?;
     Ok(client)
 }
 
-/// Starts a life of an instance that follows roll-outs.
-pub async fn rolling(
+/// Starts an incarnation of an instance that observes roll-outs.
+pub async fn start_rolling_instance(
     name: &str,
     store_listener: &StoreListener,
     incarnation: u64,
@@ -107,8 +107,8 @@
     Instance::start(&load(&args)?, &LogBuffer::new(), incarnation).await
 }
 
-/// Starts an instance that reads the store through a listener.
-pub async fn instance(
+/// Starts an instance that reads the store at the address of `store_listener`.
+pub async fn start_instance(
     name: &str,
     store_listener: &StoreListener,
     seeds: &str,
@@ -117,7 +117,7 @@
     Instance::start(&settings, &LogBuffer::new(), 1).await
 }
 
-/// Makes the settings of an instance whose heartbeats come in at `beacon`.
+/// Returns the settings of an instance that receives heartbeats at `beacon`.
 pub fn settings(
     name: &str,
     store_listener: &StoreListener,
@@ -128,7 +128,7 @@
 }
 
 fn load(args: &[String]) -> anyhow::Result<Settings> {
-    Settings::load(args, None).map_err(|mistakes| anyhow::anyhow!("{mistakes:?}"))
+    Settings::load(args, None).map_err(|errors| anyhow::anyhow!("{errors:?}"))
 }
 
 fn arguments(name: &str, store_listener: &StoreListener, seeds: &str, beacon: &str) -> Vec<String> {
@@ -148,14 +148,14 @@
     args
 }
 
-/// Reads a gauge of an instance; 0 if it is not there.
+/// Returns the value of a metric, or 0 if it is missing.
 pub async fn metric(address: SocketAddr, name: &str) -> anyhow::Result<u64> {
     let text = get(address, "/metrics").await?;
     let line = text.lines().find_map(|l| l.strip_prefix(&format!("nutmeggrade_relay_{name} ")));
-    line.map_or(Ok(0), |value| value.trim().parse().context("metric"))
+    line.map_or(Ok(0), |value| value.trim().parse().context("parse metric"))
 }
 
-/// Gets a path and returns the body.
+/// Gets a path and returns the response body.
 pub async fn get(address: SocketAddr, path: &str) -> anyhow::Result<String> {
     Ok(get_answer(address, path).await?.1)
 }
@@ -165,5 +165,5 @@
     let mut client = RawClient::connect(address).await?;
     client.send(&format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")).await?;
     let answer = client.answer().await?;
-    Ok((answer.status, String::from_utf8(answer.message.body).context("text")?))
+    Ok((answer.status, String::from_utf8(answer.message.body).context("decode response body")?))
 }
