--- a/crates/nutmeggrade-relay/src/admin.rs
+++ b/crates/nutmeggrade-relay/src/admin.rs
@@ -28,7 +28,7 @@
 
 /// Timeout of a request's head, also on an idle connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time for which clients may cache the directory's answer: short enough that clients who
+/// Longest time for which clients may cache the directory's response: short enough that clients who
 /// refresh it leave a stopping instance well within its grace period.
 const MAX_ENTRY_AGE: Duration = Duration::from_secs(2);
 /// Delay after a failed accept, as when the process is out of file descriptors.
@@ -95,20 +95,20 @@
     add_route(route(node, OBJECTS_PATH, objects), node, ROLLOUTS_PATH, rollouts)
 }
 
-fn route(node: &Arc<Node>, path: &str, answer: fn(&Node, &str) -> Response) -> Router {
-    add_route(Router::new(), node, path, answer)
+fn route(node: &Arc<Node>, path: &str, handler: fn(&Node, &str) -> Response) -> Router {
+    add_route(Router::new(), node, path, handler)
 }
 
 fn add_route(
     router: Router,
     node: &Arc<Node>,
     path: &str,
-    answer: fn(&Node, &str) -> Response,
+    handler: fn(&Node, &str) -> Response,
 ) -> Router {
     let node = Arc::clone(node);
     router.get(path, move |request: Request| {
         let node = Arc::clone(&node);
-        async move { VizResult::Ok(answer(&node, request.uri().query().unwrap_or_default())) }
+        async move { VizResult::Ok(handler(&node, request.uri().query().unwrap_or_default())) }
     })
 }
 
@@ -118,16 +118,17 @@
 }
 
 fn list_entries(node: &Node, query: &str) -> Response {
-    let near = directory::read_domain(query);
+    let client_domain = directory::read_domain(query);
     let is_leaving = !node.is_ready();
-    let mut addresses = lock(&node.tables).fleet.entries(near.as_ref(), is_leaving, node.now());
+    let mut addresses =
+        lock(&node.tables).fleet.entries(client_domain.as_ref(), is_leaving, node.now());
     if addresses.is_empty() {
         // No instance is known to serve; this one's own address helps a client more than an empty
         // list.
-        addresses.push(node.seat.client);
+        addresses.push(node.own_addresses.client);
     }
-    let keep = MAX_ENTRY_AGE.min(node.settings().entry_keep);
-    respond(StatusCode::OK, directory::write(&addresses, keep))
+    let ttl = MAX_ENTRY_AGE.min(node.settings().entry_keep);
+    respond(StatusCode::OK, directory::write(&addresses, ttl))
 }
 
 fn objects(node: &Node, query: &str) -> Response {
@@ -168,8 +169,8 @@
     match node.metrics.text() {
         Ok(text) => {
             let mut response = Response::new(Body::Full(Full::new(text.into())));
-            let kind = HeaderValue::from_static("text/plain; version=0.0.4");
-            response.headers_mut().insert(header::CONTENT_TYPE, kind);
+            let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+            response.headers_mut().insert(header::CONTENT_TYPE, content_type);
             response
         }
         Err(error) => {
--- a/crates/nutmeggrade-relay/src/answer_body.rs
+++ b/crates/nutmeggrade-relay/src/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a client.
+//! The body of a response to a client.
 
 use std::fmt;
 use std::pin::Pin;
@@ -8,8 +8,8 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// Error of an answer that broke off. It closes the client's connection in the middle of the
-/// answer, so that the answer can't look complete.
+/// Error of a response that broke off. It closes the client's connection in the middle of the
+/// response, so that the response can't look complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TruncatedAnswer;
 
@@ -21,16 +21,16 @@
 
 impl std::error::Error for TruncatedAnswer {}
 
-/// Part of an answer that is sent in pieces.
+/// Part of a response that is sent in pieces.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Piece {
     /// Content.
     Bytes(Bytes),
-    /// Marks the answer as complete.
+    /// Marks the response as complete.
     End,
 }
 
-/// The body of an answer to a client.
+/// The body of a response to a client.
 #[derive(Debug)]
 pub enum AnswerBody {
     /// A complete body.
@@ -38,8 +38,8 @@
     /// A body in pieces, the last of which is [`Piece::End`].
     ///
     /// The sender may have to stop in the middle, and can't report this while the channel is full
-    /// because of a slow client. If a closed channel meant the end of the answer, the client would
-    /// take a truncated answer for a complete one.
+    /// because of a slow client. If a closed channel meant the end of the response, the client
+    /// would take a truncated response for a complete one.
     Pieces(mpsc::Receiver<Piece>),
 }
 
--- a/crates/nutmeggrade-relay/src/dial.rs
+++ b/crates/nutmeggrade-relay/src/connect.rs
@@ -19,7 +19,7 @@
 /// unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Idle time after which the kernel sends a keepalive probe, and the interval between probes. While
-/// an answer is awaited, nothing else detects a connection that has gone silent for good.
+/// a response is awaited, nothing else detects a half-open connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered keepalive probes after which the connection counts as broken.
 const KEEPALIVE_RETRIES: u32 = 3;
@@ -32,7 +32,7 @@
 ///
 /// Fails if the first attempt to complete was refused, or none completed in time. Nothing has been
 /// sent then.
-pub async fn dial(address: SocketAddr) -> io::Result<TcpStream> {
+pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let mut attempts: FuturesUnordered<_> = ATTEMPT_DELAYS
         .iter()
         .map(|wait| async move {
@@ -41,7 +41,7 @@
         })
         .collect();
     let first = async {
-        // A refusal is final; only silence is worth another attempt.
+        // A refused connection ends all attempts; the later ones only cover lost packets.
         attempts.next().await.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
     };
     let stream = timeout(CONNECT_TIMEOUT, first).await??;
--- a/crates/nutmeggrade-relay/src/fleet_sync.rs
+++ b/crates/nutmeggrade-relay/src/fleet_sync.rs
@@ -21,10 +21,10 @@
 
 /// Path at which an instance serves the objects that it has read.
 pub const OBJECTS_PATH: &str = "/known";
-/// Timeout of a request to a peer; peers answer in milliseconds.
+/// Timeout of a request to a peer; peers respond in milliseconds.
 const PEER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Largest answer that is accepted: a configuration of a megabyte and some thousand endpoints.
-const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Largest response that is accepted: a configuration of a megabyte and some thousand endpoints.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// All objects of one kind.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
     /// Failure domains that are evacuated.
     #[serde(rename = "Out")]
     Evacuated(BTreeSet<DomainId>),
-    /// Roll-outs of services to another version.
+    /// Rollouts of services to another version.
     Rollouts(Vec<StoredRollout>),
 }
 
@@ -61,8 +61,8 @@
 /// The store may refuse some instances and serve others. Without this, the refused ones would keep
 /// using removed routes, keys and endpoints, which shows as requests wrongly refused or served by
 /// those instances alone.
-pub async fn catch_up(node: &Node, kind: Kind, reach: SourceScope) -> bool {
-    let Some((peer, is_local)) = source(node, kind, reach) else { return false };
+pub async fn catch_up(node: &Node, kind: Kind, scope: SourceScope) -> bool {
+    let Some((peer, is_local)) = source(node, kind, scope) else { return false };
     let read =
         fetch(peer, kind).await.and_then(|snapshot| apply_peer_objects(node, kind, &snapshot));
     if let Err(error) = read {
@@ -79,12 +79,12 @@
 
 /// Returns a live peer that has read a higher revision, and whether it is in the same failure
 /// domain.
-fn source(node: &Node, kind: Kind, reach: SourceScope) -> Option<(SocketAddr, bool)> {
+fn source(node: &Node, kind: Kind, scope: SourceScope) -> Option<(SocketAddr, bool)> {
     let read = node.read_state.of(kind).read();
     let is_ahead = |revisions: &Revisions| revision(revisions, kind) > read;
     let random = usize::from(rand::random::<u16>());
     let (now, fleet) = (node.now(), &lock(&node.tables).fleet);
-    fleet.source(is_ahead, reach, random, now)
+    fleet.source(is_ahead, scope, random, now)
 }
 
 /// Returns the revision of one kind.
@@ -98,8 +98,11 @@
 }
 
 async fn fetch(peer: SocketAddr, kind: Kind) -> anyhow::Result<KindSnapshot> {
-    let limits =
-        CallLimits { connect: PEER_TIMEOUT, timeout: PEER_TIMEOUT, max_answer: MAX_ANSWER_BYTES };
+    let limits = CallLimits {
+        connect: PEER_TIMEOUT,
+        timeout: PEER_TIMEOUT,
+        max_response: MAX_RESPONSE_BYTES,
+    };
     let path = format!("{OBJECTS_PATH}?kind={}", kind.name());
     let (status, body) = short_call(peer, Method::GET, &path, Vec::new(), limits).await?;
     anyhow::ensure!(status == StatusCode::OK, "{status}");
--- a/crates/nutmeggrade-relay/src/front.rs
+++ b/crates/nutmeggrade-relay/src/front.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-use crate::dial::set_socket_options;
+use crate::connect::set_socket_options;
 use crate::node::{Node, Phase};
 
 /// Connections that may wait to be accepted; a few hundred clients may connect at once.
--- a/crates/nutmeggrade-relay/src/front/connection.rs
+++ b/crates/nutmeggrade-relay/src/front/connection.rs
@@ -26,7 +26,8 @@
     let limits = node.map().limits;
     let state = Arc::new(Mutex::new(ConnectionState::new(&limits, node.now())));
     let stream = HeadRecorder::new(stream, Arc::clone(&state), node.clock);
-    let service = service_fn(|request| answer(Arc::clone(node), Arc::clone(&state), request));
+    let service =
+        service_fn(|request| serve_request(Arc::clone(node), Arc::clone(&state), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
@@ -58,7 +59,7 @@
     }
 }
 
-async fn answer(
+async fn serve_request(
     node: Arc<Node>,
     state: Arc<Mutex<ConnectionState>>,
     request: Request<Incoming>,
--- a/crates/nutmeggrade-relay/src/lib.rs
+++ b/crates/nutmeggrade-relay/src/lib.rs
@@ -1,5 +1,5 @@
 //! Request-serving instance: accepts clients' requests, places each at an endpoint, and returns the
-//! answer byte for byte.
+//! response byte for byte.
 //!
 //! [`run`] starts everything. `relay/` handles one request, `watch/` keeps the view of the
 //! platform's store up to date, `peers` exchanges heartbeats, `front/` holds the clients'
@@ -9,7 +9,7 @@
 mod admin;
 mod answer_body;
 mod clock;
-mod dial;
+mod connect;
 mod engine_call;
 mod engine_watch;
 mod fleet_sync;
--- a/crates/nutmeggrade-relay/src/metrics.rs
+++ b/crates/nutmeggrade-relay/src/metrics.rs
@@ -8,7 +8,7 @@
     TextEncoder,
 };
 
-/// Bucket bounds of the time histograms, in seconds: from a fast call to the longest answers.
+/// Bucket bounds of the time histograms, in seconds: from a fast call to the longest responses.
 const TIME_BUCKETS: [f64; 12] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
 
 /// Metrics served at the metrics address.
@@ -21,14 +21,14 @@
     pub waiting: IntGauge,
     /// Time that requests waited for a free slot.
     pub waits: Histogram,
-    /// Time to the head of an answer, or to a stream's first event.
+    /// Time to the head of a response, or to a stream's first event.
     pub first: Histogram,
     /// Requests sent to endpoints, by outcome of the send.
     pub sends: IntCounterVec,
     /// Resends that the budget did not allow.
     pub over_budget: IntCounter,
     /// Reports of peers that an endpoint's address refuses connections.
-    pub told_gone: IntCounter,
+    pub unreachable_notices: IntCounter,
     /// Generations moved away from leaving endpoints, by outcome.
     pub moves: IntCounterVec,
     /// Open connections of clients.
@@ -45,9 +45,9 @@
     pub store_call_reasons: IntCounterVec,
     /// Bytes of messages between instances by kind and direction.
     pub peer_bytes: IntCounterVec,
-    /// Bytes of the store's answers by kind.
+    /// Bytes of the store's responses by kind.
     pub store_bytes: IntCounterVec,
-    /// Phase of each service's roll-out, as a number.
+    /// Phase of each service's rollout, as a number.
     pub rollout_phase: IntGaugeVec,
     /// Log lines dropped.
     pub dropped_lines: IntGauge,
@@ -74,7 +74,7 @@
             first: histogram("first_seconds", "time to an answer's head or first event")?,
             sends: counters("sends_total", "requests handed to endpoints", &["end"])?,
             over_budget: counter("over_budget_total", "second sends that were not allowed")?,
-            told_gone: counter("told_gone_total", "endpoints that peers found gone")?,
+            unreachable_notices: counter("told_gone_total", "endpoints that peers found gone")?,
             moves: counters("moves_total", "generations taken along", &["end"])?,
             connections: gauge("connections", "open connections of clients")?,
             config: gauge("config_version", "routing configuration in force")?,
--- a/crates/nutmeggrade-relay/src/node.rs
+++ b/crates/nutmeggrade-relay/src/node.rs
@@ -1,4 +1,4 @@
-//! State of one instance: its settings, tables, clients and counters.
+//! State of one instance: settings, tables, the store's client and metrics.
 
 mod endpoints;
 mod rollouts;
@@ -26,7 +26,7 @@
 use crate::watch::ReadState;
 
 /// Timeout of a call to the store, beyond the time for which the store holds a watch. The store
-/// answers in milliseconds, and within this time when it is slow.
+/// responds in milliseconds, and within this time when it is slow.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Capacity of the outbox; the socket takes each message in microseconds.
@@ -59,7 +59,7 @@
     /// Buffered log lines.
     pub logs: LogBuffer,
     /// Failure domain and addresses of this instance.
-    pub seat: InstanceAddresses,
+    pub own_addresses: InstanceAddresses,
     /// Distinguishes successive runs of an instance with the same name.
     pub incarnation: u64,
     /// Wakes the task that sends changed placements to the peers.
@@ -77,7 +77,7 @@
     map: RwLock<Arc<RouteMap>>,
     raw_map: RwLock<Bytes>,
     phase: watch::Sender<Phase>,
-    departures: watch::Sender<u64>,
+    routing_changes: watch::Sender<u64>,
     tickets: AtomicU64,
     ends_at: OnceLock<Moment>,
     outbox: mpsc::Sender<FleetMessage>,
@@ -88,12 +88,12 @@
     /// Creates the state of an instance that has read nothing.
     pub fn new(
         settings: &Settings,
-        seat: &InstanceAddresses,
+        own_addresses: &InstanceAddresses,
         logs: &LogBuffer,
         incarnation: u64,
     ) -> anyhow::Result<Self> {
         let dispatcher = Dispatcher::new(&settings.domain, rand::random());
-        let fleet = FleetView::new(&settings.instance, seat, &settings.seeds);
+        let fleet = FleetView::new(&settings.instance, own_addresses, &settings.seeds);
         let (outbox, outbox_receiver) = mpsc::channel(OUTBOX_CAPACITY);
         Ok(Self {
             clock: Clock::new(),
@@ -102,7 +102,7 @@
             store: Store::new(settings.platform, STORE_TIMEOUT),
             read_state: ReadState::new(),
             logs: logs.clone(),
-            seat: seat.clone(),
+            own_addresses: own_addresses.clone(),
             incarnation,
             placed: Notify::new(),
             failures_counted: Notify::new(),
@@ -113,7 +113,7 @@
             map: RwLock::default(),
             raw_map: RwLock::default(),
             phase: watch::Sender::new(Phase::Serving),
-            departures: watch::Sender::new(0),
+            routing_changes: watch::Sender::new(0),
             tickets: AtomicU64::new(1),
             ends_at: OnceLock::new(),
             outbox,
@@ -149,7 +149,7 @@
     /// Applies a routing configuration unless its version is older or the same; returns whether it
     /// did.
     ///
-    /// Answers may arrive out of order, and an instance must never go back to an older version.
+    /// Responses may arrive out of order, and an instance must never go back to an older version.
     pub fn set_map(&self, map: RouteMap, raw: Bytes) -> bool {
         let mut current = self.map.write().unwrap_or_else(PoisonError::into_inner);
         if map.version <= current.version {
@@ -201,9 +201,10 @@
         self.phase.subscribe()
     }
 
-    /// Subscribes to departures: the number changes whenever an endpoint leaves or is missing.
-    pub fn departures(&self) -> watch::Receiver<u64> {
-        self.departures.subscribe()
+    /// Subscribes to a counter that changes whenever streams may have to move: an endpoint leaves
+    /// or goes missing, or a rollout changes its phase.
+    pub fn routing_changes(&self) -> watch::Receiver<u64> {
+        self.routing_changes.subscribe()
     }
 
     /// Creates a unique ticket.
@@ -221,7 +222,7 @@
         taken
     }
 
-    /// Takes the receiver of the outbox; the first call gets it.
+    /// Takes the receiver of the outbox; later calls return `None`.
     pub fn take_outbox(&self) -> Option<mpsc::Receiver<FleetMessage>> {
         lock(&self.outbox_receiver).take()
     }
--- a/crates/nutmeggrade-relay/src/node/endpoints.rs
+++ b/crates/nutmeggrade-relay/src/node/endpoints.rs
@@ -54,13 +54,13 @@
             self.refresh();
         }
         if !changes.iter().all(|change| matches!(change, Change::Joined(_))) {
-            self.departures.send_modify(|n| *n += 1);
+            self.routing_changes.send_modify(|n| *n += 1);
         }
         changes.into_iter().filter_map(Change::left).collect()
     }
 
-    /// Makes the roll-out follower query the store when the first endpoint of a new version joins.
-    /// A watch that has gone silent would deliver the roll-out only after the version got its full
+    /// Makes the rollout follower query the store when the first endpoint of a new version joins. A
+    /// watch that has gone silent would deliver the rollout only after the version got its full
     /// share of requests.
     fn recheck_rollouts(&self, changes: &[Change]) {
         if !self.follows_rollouts() {
@@ -92,10 +92,10 @@
 
     /// Forwards endpoint changes to the peers if this instance is a reader and the changes fit into
     /// a datagram. Peers that miss them notice by the next heartbeat.
-    pub fn forward_changes(&self, news: EndpointUpdateBatch) {
+    pub fn forward_changes(&self, batch: EndpointUpdateBatch) {
         let is_reader = lock(&self.tables).fleet.is_reader(self.now());
-        if is_reader && news.changes.len() <= MAX_CHANGES_PER_DATAGRAM {
-            self.broadcast(FleetMessage::News(news));
+        if is_reader && batch.changes.len() <= MAX_CHANGES_PER_DATAGRAM {
+            self.broadcast(FleetMessage::News(batch));
         }
     }
 
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Marks endpoints as leaving that announced it themselves, which precedes the store's change.
+    /// Marks endpoints as leaving that announced this themselves, before the store reports it.
     pub fn note_leaving(&self, endpoints: &[EndpointId]) {
         self.change_registry(|registry, _| {
             endpoints.iter().filter_map(|id| registry.leave(id)).collect()
@@ -150,7 +150,7 @@
     /// Records endpoints whose addresses refuse connections according to a peer.
     pub fn note_unreachable(&self, endpoints: &[EndpointId]) {
         let now = self.now();
-        self.metrics.told_gone.inc_by(endpoints.len() as u64);
+        self.metrics.unreachable_notices.inc_by(endpoints.len() as u64);
         let mut tables = lock(&self.tables);
         for endpoint in endpoints {
             if tables.registry.get(endpoint).is_some() {
@@ -162,7 +162,7 @@
     /// Adds a peer's counts of successes and failures to the endpoints' health.
     pub fn add_peer_outcomes(&self, outcomes: &FleetOutcomes) {
         let now = self.now();
-        let is_local = outcomes.domain == self.seat.domain;
+        let is_local = outcomes.domain == self.own_addresses.domain;
         let mut tables = lock(&self.tables);
         for (endpoint, counted) in &outcomes.answers {
             if tables.registry.get(endpoint).is_some() {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Updates an endpoint's health after an answer or a failure.
+    /// Updates an endpoint's health after a response or a failure.
     pub fn update_health(&self, endpoint: &EndpointId, update: impl FnOnce(&mut Health, Moment)) {
         let now = self.now();
         update(lock(&self.tables).dispatcher.book.health_mut(endpoint), now);
--- a/crates/nutmeggrade-relay/src/node/rollouts.rs
+++ b/crates/nutmeggrade-relay/src/node/rollouts.rs
@@ -1,4 +1,4 @@
-//! Applies changes of roll-outs and reports them to the peers.
+//! Applies changes of rollouts and reports them to the peers.
 
 use nutmeggrade_core::peer::FleetMessage;
 use nutmeggrade_core::prelude::*;
@@ -9,12 +9,12 @@
 use crate::tables::lock;
 
 impl Node {
-    /// Returns whether this instance follows roll-outs.
+    /// Returns whether this instance follows rollouts.
     pub fn follows_rollouts(&self) -> bool {
         self.settings().exposure.is_some()
     }
 
-    /// Changes the roll-out table, and sends changed phases to all peers at once.
+    /// Changes the rollout table, and sends changed phases to all peers at once.
     pub fn change_rollouts(
         &self,
         change: impl FnOnce(&mut RolloutTable, Moment) -> Vec<RolloutNotice>,
@@ -27,7 +27,7 @@
         self.apply_phases(&changed);
     }
 
-    /// Applies roll-out notices of a peer.
+    /// Applies rollout notices of a peer.
     pub fn apply_rollout_notices(&self, notices: Vec<RolloutNotice>) {
         if notices.is_empty() || !self.follows_rollouts() {
             return;
@@ -52,7 +52,7 @@
         }
         if !changed.is_empty() {
             self.refresh();
-            self.departures.send_modify(|n| *n += 1);
+            self.routing_changes.send_modify(|n| *n += 1);
         }
     }
 }
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -27,8 +27,8 @@
 use crate::tables::lock;
 
 /// Minimum interval between two messages about placements; changes in between are batched. It is a
-/// tenth of the time that an engine needs to read a prompt, so that few placements are made without
-/// knowing of each other.
+/// tenth of the time that an engine needs to read a prompt, so that instances rarely place requests
+/// without each other's latest placements.
 const PLACEMENTS_INTERVAL: Duration = Duration::from_millis(15);
 /// Minimum interval between two messages about failing endpoints.
 const FAILURES_INTERVAL: Duration = Duration::from_millis(100);
@@ -148,7 +148,7 @@
             if answers.is_empty() {
                 continue;
             }
-            let domain = node.seat.domain.clone();
+            let domain = node.own_addresses.domain.clone();
             let message = FleetMessage::Outcomes(FleetOutcomes { domain, answers });
             self.send_to_all(node, message).await;
             sleep(FAILURES_INTERVAL).await;
@@ -184,9 +184,9 @@
         self.send_through(node, message, RelayOrder::LastHeard).await;
     }
 
-    async fn send_through(&self, node: &Node, message: FleetMessage, forwarders: RelayOrder) {
-        let audience = lock(&node.tables).fleet.broadcast_recipients(forwarders, node.now());
-        let BroadcastRecipients { direct, relays } = audience;
+    async fn send_through(&self, node: &Node, message: FleetMessage, relay_order: RelayOrder) {
+        let recipients = lock(&node.tables).fleet.broadcast_recipients(relay_order, node.now());
+        let BroadcastRecipients { direct, relays } = recipients;
         self.send_to(node, &message, &direct).await;
         for (relay, share) in relays {
             let message = FleetMessage::HandOn(Box::new(message.clone()), share);
@@ -235,7 +235,10 @@
         let tables = lock(&node.tables);
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed);
         let introduction = FleetBeacon::includes_introduction(sequence, rand::random::<f64>())
-            .then(|| Introduction { sender: node.seat.clone(), others: tables.fleet.others(now) });
+            .then(|| Introduction {
+                sender: node.own_addresses.clone(),
+                others: tables.fleet.others(now),
+            });
         FleetBeacon {
             instance: node.settings().instance.clone(),
             incarnation: node.incarnation,
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -17,7 +17,7 @@
 pub fn apply_message(node: &Node, message: FleetMessage) {
     match message {
         FleetMessage::Beacon(beacon) => apply_heartbeat(node, beacon),
-        FleetMessage::News(news) => apply_endpoint_news(node, &news),
+        FleetMessage::News(batch) => apply_endpoint_updates(node, &batch),
         FleetMessage::Leaving(endpoints) => node.note_leaving(&endpoints),
         FleetMessage::Gone(endpoints) => node.note_unreachable(&endpoints),
         FleetMessage::Met(others) => lock(&node.tables).fleet.add_contacts(&others, node.now()),
@@ -65,16 +65,16 @@
 ///
 /// If this instance has not read up to the revision that they start from, changes in between are
 /// missing, and the follower is woken instead.
-fn apply_endpoint_news(node: &Node, news: &EndpointUpdateBatch) {
+fn apply_endpoint_updates(node: &Node, batch: &EndpointUpdateBatch) {
     let state = node.read_state.of(Kind::Endpoints);
     let read = state.read();
-    if read >= news.revision {
+    if read >= batch.revision {
         return;
     }
-    if read < news.since || !state.is_loaded() {
-        state.note_peer_revision(news.revision);
+    if read < batch.since || !state.is_loaded() {
+        state.note_peer_revision(batch.revision);
         return;
     }
-    apply_endpoint_changes(node, &news.changes, news.lapses);
-    state.note(news.revision, news.revision);
+    apply_endpoint_changes(node, &batch.changes, batch.lapses);
+    state.note(batch.revision, batch.revision);
 }
--- a/crates/nutmeggrade-relay/src/probes.rs
+++ b/crates/nutmeggrade-relay/src/probes.rs
@@ -23,9 +23,9 @@
 /// Result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ProbeResult {
-    /// The endpoint answers, or the probe timed out, which proves no failure.
-    Answers,
-    /// The endpoint refuses the connection, or accepts and closes it without an answer.
+    /// The endpoint responds, or the probe timed out, which proves no failure.
+    Responds,
+    /// The endpoint refuses the connection, or accepts and closes it without a response.
     Fails,
 }
 
@@ -34,8 +34,8 @@
 ///
 /// A single failed connection doesn't show that the endpoint is down, and a link that is down for
 /// seconds breaks the first request of every instance, which for a generation means the whole
-/// answer. The first instance to lose a request there finds out which it is, so that the others
-/// lose none.
+/// response. The first instance to lose a request there determines which of the two it is, so that
+/// the others lose none.
 pub fn start(node: &Arc<Node>, endpoint: &EndpointInfo) {
     let is_reported = {
         let tables = lock(&node.tables);
@@ -63,7 +63,7 @@
             tables.dispatcher.book.health(&endpoint.id).and_then(Health::gone_notice_at)
         };
         // A peer probes it too.
-        if reported > last_reported || probe(node, endpoint).await == ProbeResult::Answers {
+        if reported > last_reported || probe(node, endpoint).await == ProbeResult::Responds {
             return;
         }
         node.announce_unreachable(&endpoint.id);
@@ -75,25 +75,25 @@
 
 async fn probe(node: &Node, endpoint: &EndpointInfo) -> ProbeResult {
     let map = node.map();
-    let Some(spec) = map.service(&endpoint.service) else { return ProbeResult::Answers };
+    let Some(spec) = map.service(&endpoint.service) else { return ProbeResult::Responds };
     let path = if spec.engine.is_some() { engine::REPORT_PATH } else { spec.health.as_str() };
     if path.is_empty() {
-        return ProbeResult::Answers;
+        return ProbeResult::Responds;
     }
-    // A late answer proves nothing: a probe may wait for a slot.
-    let answer = engine_call::ask(
+    // A late response proves nothing: a probe may wait for a slot.
+    let response = engine_call::call(
         endpoint.address,
         Method::GET,
         path,
         Vec::new(),
         engine_call::CONNECT_TIMEOUT,
     );
-    let Err(error) = answer.await else { return ProbeResult::Answers };
+    let Err(error) = response.await else { return ProbeResult::Responds };
     match error.downcast_ref::<CallError>() {
         Some(error) if error.is_refused() || !error.not_sent() => {
             tracing::info!(event = "check_broke", endpoint = %endpoint.id, %error);
             ProbeResult::Fails
         }
-        _ => ProbeResult::Answers,
+        _ => ProbeResult::Responds,
     }
 }
--- a/crates/nutmeggrade-relay/src/relay/admission.rs
+++ b/crates/nutmeggrade-relay/src/relay/admission.rs
@@ -22,7 +22,7 @@
 /// Timeout of a request whose client states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// `Retry-After` of a request that only has to go to another instance.
+/// `Retry-After` of a request that another instance can serve at once.
 const OTHER_INSTANCE_DELAY: Duration = Duration::from_millis(20);
 
 /// `Retry-After` of a request that is held because it is suspected of crashing endpoints.
--- a/crates/nutmeggrade-relay/src/relay/client_request.rs
+++ b/crates/nutmeggrade-relay/src/relay/client_request.rs
@@ -52,9 +52,9 @@
 }
 
 impl ClientRequest {
-    /// Returns what the request needs from an endpoint. A request without a key counts towards the
+    /// Creates the dispatcher's request. A client request without a key counts towards the
     /// workspace `anonymous`.
-    pub fn need(&self, ticket: Ticket, anonymous: &WorkspaceId) -> DispatchRequest {
+    pub fn dispatch_request(&self, ticket: Ticket, anonymous: &WorkspaceId) -> DispatchRequest {
         let prompt = self.prompt.as_ref();
         DispatchRequest {
             ticket,
--- a/crates/nutmeggrade-relay/src/relay/crash.rs
+++ b/crates/nutmeggrade-relay/src/relay/crash.rs
@@ -9,7 +9,7 @@
 use nutmeggrade_core::routing::{EndpointInfo, Prompt, WorkspaceKey};
 
 use super::client_request::ClientRequest;
-use crate::dial::dial;
+use crate::connect::connect;
 use crate::node::Node;
 use crate::probes;
 use crate::tables::lock;
@@ -56,7 +56,7 @@
         born: endpoint.born,
     };
     tokio::spawn(async move {
-        let Err(error) = dial(endpoint.address).await else {
+        let Err(error) = connect(endpoint.address).await else {
             probes::start(&node, &endpoint);
             return;
         };
--- a/crates/nutmeggrade-relay/src/relay/exchange.rs
+++ b/crates/nutmeggrade-relay/src/relay/exchange.rs
@@ -17,7 +17,7 @@
 
 use super::client_request::ClientRequest;
 use super::upstream::{AbortOnDrop, UpstreamBody};
-use crate::dial::dial;
+use crate::connect::connect;
 use crate::node::Node;
 use crate::tables::lock;
 
@@ -95,7 +95,7 @@
     options: &SendOptions,
     timeout: Duration,
 ) -> Result<EndpointResponse, SendError> {
-    let stream = dial(endpoint.address).await.map_err(|e| match e.kind() {
+    let stream = connect(endpoint.address).await.map_err(|e| match e.kind() {
         io::ErrorKind::ConnectionRefused => SendError::ConnectionRefused,
         _ => SendError::NotSent(e.to_string()),
     })?;
--- a/crates/nutmeggrade-relay/src/relay/handler.rs
+++ b/crates/nutmeggrade-relay/src/relay/handler.rs
@@ -1,4 +1,4 @@
-//! Sends a request to endpoints until one of them answers it or no further attempt is allowed.
+//! Sends a request to endpoints until one of them responds or no further attempt is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -60,7 +60,7 @@
     pub request: ClientRequest,
     /// Tracks the sends and whether the request may have run.
     pub attempt: Attempt,
-    need: DispatchRequest,
+    dispatch_request: DispatchRequest,
     unsent_attempts: u32,
     failed_response: Option<(Parts, Bytes)>,
     pending: PendingRequest,
@@ -97,16 +97,16 @@
 impl RequestHandler {
     fn new(node: &Arc<Node>, request: ClientRequest) -> Self {
         let settings = node.settings();
-        let mut need = request.need(node.ticket(), &node.keyless_workspace);
+        let mut dispatch_request = request.dispatch_request(node.ticket(), &node.keyless_workspace);
         let canary_share =
             lock(&node.tables).count_request(&request.service, &settings, request.arrived_at);
-        need.is_canary = canary_share > rand::random();
+        dispatch_request.is_canary = canary_share > rand::random();
         Self {
             node: Arc::clone(node),
             attempt: Attempt::new(request.route.kind, request.route.attempts),
             pending: PendingRequest::new(node, &request.id, request.arrived_at),
             request,
-            need,
+            dispatch_request,
             unsent_attempts: 0,
             failed_response: None,
         }
@@ -115,13 +115,14 @@
     async fn run(&mut self) -> Result<FinalResponse, Failure> {
         loop {
             let reservation =
-                match reservation::reserve(&self.node, &self.request, &self.need).await {
+                match reservation::reserve(&self.node, &self.request, &self.dispatch_request).await
+                {
                     Ok(reservation) => reservation,
                     Err(failure) => return self.finish_without_room(failure),
                 };
             match self.send(reservation).await? {
                 SendStep::Done(response) => return Ok(response),
-                SendStep::Retry => self.need.ticket = self.node.ticket(),
+                SendStep::Retry => self.dispatch_request.ticket = self.node.ticket(),
             }
         }
     }
@@ -138,7 +139,7 @@
     async fn send(&mut self, reservation: Reservation) -> Result<SendStep, Failure> {
         let endpoint = reservation.endpoint.clone();
         // A request that fails at a new version is not sent to that version again.
-        self.need.is_canary = false;
+        self.dispatch_request.is_canary = false;
         self.pending.endpoint = Some(endpoint.id.clone());
         self.attempt.send();
         let timeout = self.send_timeout();
@@ -238,7 +239,7 @@
             self.node.update_health(&endpoint, Health::failed);
             if self.claim_retry() {
                 self.failed_response = Some((head, body));
-                self.need.avoid.insert(endpoint);
+                self.dispatch_request.avoid.insert(endpoint);
                 return Ok(SendStep::Retry);
             }
         } else {
@@ -252,7 +253,7 @@
 
     /// Excludes the endpoint and retries after an unsent attempt, up to [`MAX_UNSENT_ATTEMPTS`].
     fn retry_unsent(&mut self, endpoint: &EndpointId, detail: &str) -> Result<SendStep, Failure> {
-        self.need.avoid.insert(endpoint.clone());
+        self.dispatch_request.avoid.insert(endpoint.clone());
         self.unsent_attempts += 1;
         if self.unsent_attempts < MAX_UNSENT_ATTEMPTS {
             return Ok(SendStep::Retry);
@@ -268,7 +269,7 @@
         detail: &str,
         code: Code,
     ) -> Result<SendStep, Failure> {
-        self.need.avoid.insert(endpoint.clone());
+        self.dispatch_request.avoid.insert(endpoint.clone());
         if self.claim_retry() {
             return Ok(SendStep::Retry);
         }
@@ -315,7 +316,7 @@
         Failure::new(Code::DeadlinePassed, "the time passed").with_run(self.attempt.run())
     }
 
-    /// Records an outcome for the roll-out of the endpoint's version.
+    /// Records an outcome for the rollout of the endpoint's version.
     fn record_outcome(&self, endpoint: &EndpointInfo, outcome: Outcome) {
         let now = self.node.now();
         lock(&self.node.tables).note_outcome(endpoint, &self.request.route.name, outcome, now);
--- a/crates/nutmeggrade-relay/src/relay/migration.rs
+++ b/crates/nutmeggrade-relay/src/relay/migration.rs
@@ -65,11 +65,11 @@
 /// would cut off most long responses. So the memory is copied while the generation runs; after the
 /// stop only the part that was produced since is copied, and the client sees no pause. Copies queue
 /// on the links of both engines: a generation that is stopped during another copy waits for that
-/// copy, and its client sees a pause. Copies from one engine are therefore serialized: a
-/// migration waits until the engine's link is free, copies its generation and stops it at once.
-/// Those copied first are safe even if the time is too short for all. New copies start for as long
-/// as the engine answers: the leave time that it states is old and often missing, and giving up too
-/// early loses a response.
+/// copy, and its client sees a pause. Copies from one engine are therefore serialized: a migration
+/// waits until the engine's link is free, copies its generation and stops it at once. Those copied
+/// first are safe even if the time is too short for all. New copies start for as long as the engine
+/// responds: the leave time that it states is old and often missing, and giving up too early loses
+/// a response.
 #[derive(Debug)]
 pub struct Migration {
     task: AbortOnDrop<MigrationOutcome>,
@@ -82,16 +82,17 @@
         let is_stopping = Arc::new(AtomicBool::new(false));
         let source = stream.reservation.endpoint.clone();
         let memory = stream.memory_tokens();
-        let mut need = stream.request.need(stream.node.ticket(), &stream.node.keyless_workspace);
-        need.avoid.insert(source.id.clone());
-        need.from = Some(source.domain.clone());
-        need.memory = need.memory.max(memory);
-        need.prompt = 0;
+        let mut dispatch_request =
+            stream.request.dispatch_request(stream.node.ticket(), &stream.node.keyless_workspace);
+        dispatch_request.avoid.insert(source.id.clone());
+        dispatch_request.from = Some(source.domain.clone());
+        dispatch_request.memory = dispatch_request.memory.max(memory);
+        dispatch_request.prompt = 0;
         let task = MigrationTask {
             node: Arc::clone(&stream.node),
             request_id: stream.request.id.clone(),
             source,
-            need,
+            dispatch_request,
             source_ticket: stream.reservation.ticket,
             memory_tokens: memory,
             is_stopping: Arc::clone(&is_stopping),
@@ -114,7 +115,7 @@
     node: Arc<Node>,
     request_id: RequestId,
     source: EndpointInfo,
-    need: DispatchRequest,
+    dispatch_request: DispatchRequest,
     source_ticket: Ticket,
     memory_tokens: u64,
     is_stopping: Arc<AtomicBool>,
@@ -205,23 +206,24 @@
                 FirstCopy::Failed
             }
             MoveOutcome::NoRoom(_) | MoveOutcome::Failed(_) => {
-                self.need.avoid.insert(target.endpoint.id.clone());
+                self.dispatch_request.avoid.insert(target.endpoint.id.clone());
                 FirstCopy::Failed
             }
         }
     }
 
     fn reserve_target(&mut self) -> Option<Reservation> {
-        self.need.ticket = self.node.ticket();
+        self.dispatch_request.ticket = self.node.ticket();
         let id = {
             let mut tables = lock(&self.node.tables);
             // An endpoint without a registry entry may be gone, so it is no target.
-            self.need.avoid.extend(tables.registry.missing().cloned());
-            let id = tables.dispatcher.choose_move_target(&self.need, self.node.now())?;
-            tables.dispatcher.place(&self.need, &id);
+            self.dispatch_request.avoid.extend(tables.registry.missing().cloned());
+            let id =
+                tables.dispatcher.choose_move_target(&self.dispatch_request, self.node.now())?;
+            tables.dispatcher.place(&self.dispatch_request, &id);
             id
         };
-        reservation::claim(&self.node, self.need.ticket, &id)
+        reservation::claim(&self.node, self.dispatch_request.ticket, &id)
     }
 
     /// Stops the generation and copies what it produced since the first copy.
@@ -252,7 +254,7 @@
 
     async fn request_copy(&self, target: &EndpointInfo, is_final: bool) -> MoveOutcome {
         let body = engine::write_move(&self.request_id, target.address, is_final);
-        let response = engine_call::ask(
+        let response = engine_call::call(
             self.source.address,
             engine::MOVE_METHOD,
             engine::MOVE_PATH,
--- a/crates/nutmeggrade-relay/src/relay/pending.rs
+++ b/crates/nutmeggrade-relay/src/relay/pending.rs
@@ -32,7 +32,7 @@
         self.endpoint.as_ref().map_or("-", |e| e.as_str())
     }
 
-    /// Marks the request as answered.
+    /// Marks the request as having a response.
     pub fn finish(&mut self) {
         self.is_finished = true;
     }
--- a/crates/nutmeggrade-relay/src/relay/reservation.rs
+++ b/crates/nutmeggrade-relay/src/relay/reservation.rs
@@ -41,14 +41,14 @@
 /// Removes a waiting request from the queue on drop, as when its client disconnects.
 struct QueueGuard<'a> {
     node: &'a Arc<Node>,
-    need: &'a DispatchRequest,
+    dispatch_request: &'a DispatchRequest,
     is_done: bool,
 }
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         if !self.is_done {
-            lock(&self.node.tables).give_up(self.need);
+            lock(&self.node.tables).cancel_wait(self.dispatch_request);
         }
     }
 }
@@ -61,7 +61,7 @@
 pub async fn reserve(
     node: &Arc<Node>,
     request: &ClientRequest,
-    need: &DispatchRequest,
+    dispatch_request: &DispatchRequest,
 ) -> Result<Reservation, Failure> {
     let started_at = node.now();
     let max_wait = request
@@ -69,11 +69,11 @@
         .target
         .mul_f64(MAX_WAIT_TARGETS)
         .min(request.time_left(started_at).mul_f64(MAX_WAIT_SHARE));
-    let offer = lock(&node.tables).offer(need, max_wait, started_at);
+    let offer = lock(&node.tables).offer(dispatch_request, max_wait, started_at);
     let mut receiver = offer.map_err(|delay| {
         Failure::new(Code::NoRoom, "no endpoint has room").with_retry_after(delay)
     })?;
-    let mut queue_guard = QueueGuard { node, need, is_done: false };
+    let mut queue_guard = QueueGuard { node, dispatch_request, is_done: false };
     let endpoint = tokio::select! {
         biased;
         chosen = &mut receiver => chosen.ok(),
@@ -83,12 +83,12 @@
     node.metrics.waits.observe(waited.as_secs_f64());
     queue_guard.is_done = true;
     let Some(id) = endpoint else {
-        let delay = lock(&node.tables).give_up(need);
+        let delay = lock(&node.tables).cancel_wait(dispatch_request);
         let detail = format!("no endpoint had room within {} ms", waited.as_millis());
         return Err(Failure::new(Code::NoRoom, &detail).with_retry_after(delay));
     };
-    let reservation = claim(node, need.ticket, &id);
-    log_placement(node, request, need, &id, reservation.as_ref(), waited);
+    let reservation = claim(node, dispatch_request.ticket, &id);
+    log_placement(node, request, dispatch_request, &id, reservation.as_ref(), waited);
     reservation.ok_or_else(|| {
         let delay = lock(&node.tables).dispatcher.draw_retry_delay();
         Failure::new(Code::NoRoom, "the chosen endpoint is gone").with_retry_after(delay)
@@ -101,7 +101,7 @@
 fn log_placement(
     node: &Node,
     request: &ClientRequest,
-    need: &DispatchRequest,
+    dispatch_request: &DispatchRequest,
     endpoint: &EndpointId,
     reservation: Option<&Reservation>,
     waited: Duration,
@@ -110,9 +110,9 @@
     let version =
         reservation.and_then(|r| r.endpoint.version.as_ref()).map_or("-", VersionId::as_str);
     tracing::info!(event = "placed", request = %request.id, endpoint = %endpoint, version,
-        canary = need.is_canary, waited_ms = waited.as_millis(), requests = load.requests,
-        memory = load.memory, prompt = need.prompt, config = node.map().version,
-        endpoints = node.revisions().endpoints);
+        canary = dispatch_request.is_canary, waited_ms = waited.as_millis(),
+        requests = load.requests, memory = load.memory, prompt = dispatch_request.prompt,
+        config = node.map().version, endpoints = node.revisions().endpoints);
 }
 
 /// Claims the room that is booked under a ticket; `None` if the endpoint was removed in the
--- a/crates/nutmeggrade-relay/src/relay/resume.rs
+++ b/crates/nutmeggrade-relay/src/relay/resume.rs
@@ -39,9 +39,11 @@
     if !stream.attempt.may_send() || !stream.node.take_resend(&stream.request.service) {
         return None;
     }
-    let mut need = stream.request.need(stream.node.ticket(), &stream.node.keyless_workspace);
-    need.avoid.insert(stream.reservation.endpoint.id.clone());
-    let reservation = reservation::reserve(&stream.node, &stream.request, &need).await.ok()?;
+    let mut dispatch_request =
+        stream.request.dispatch_request(stream.node.ticket(), &stream.node.keyless_workspace);
+    dispatch_request.avoid.insert(stream.reservation.endpoint.id.clone());
+    let reservation =
+        reservation::reserve(&stream.node, &stream.request, &dispatch_request).await.ok()?;
     stream.attempt.send();
     let options = SendOptions { position: stream.splitter.position(), resume: None };
     let upstream = open(stream, &reservation, &options).await?;
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -115,7 +115,7 @@
     }
 
     async fn forward(&mut self) -> TransferEnd {
-        let mut departures = self.node.departures();
+        let mut changes = self.node.routing_changes();
         let mut migration = self.migrate_if_leaving();
         let deadline = self.request.deadline;
         let clock = self.node.clock;
@@ -125,8 +125,8 @@
                 () = self.sender.closed() => return TransferEnd::ClientGone,
                 outcome = migration_outcome(&mut migration) => StreamEvent::MigrationEnded(outcome),
                 bytes = next_bytes(&mut self.upstream) => StreamEvent::Bytes(bytes),
-                () = next_departure(&mut departures), if migration.is_none() =>
-                    StreamEvent::Departure,
+                () = next_routing_change(&mut changes), if migration.is_none() =>
+                    StreamEvent::RoutingChanged,
                 () = clock.until(deadline) => return TransferEnd::DeadlinePassed,
             };
             match event {
@@ -153,7 +153,7 @@
                         return TransferEnd::UpstreamBroken;
                     }
                 }
-                StreamEvent::Departure => migration = self.migrate_if_leaving(),
+                StreamEvent::RoutingChanged => migration = self.migrate_if_leaving(),
                 StreamEvent::MigrationEnded(outcome) => {
                     migration = None;
                     if !self.finish_migration(outcome).await {
@@ -290,7 +290,7 @@
 
 enum StreamEvent {
     Bytes(Option<Result<Bytes, hyper::Error>>),
-    Departure,
+    RoutingChanged,
     MigrationEnded(MigrationOutcome),
 }
 
@@ -310,10 +310,10 @@
     }
 }
 
-/// Waits for the next departure of any endpoint.
-async fn next_departure(departures: &mut watch::Receiver<u64>) {
-    if departures.changed().await.is_err() {
-        // The instance is shutting down, so no further departure is reported.
+/// Waits until streams may have to move.
+async fn next_routing_change(changes: &mut watch::Receiver<u64>) {
+    if changes.changed().await.is_err() {
+        // The instance is shutting down, so no further change is reported.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/nutmeggrade-relay/src/reload.rs
+++ b/crates/nutmeggrade-relay/src/reload.rs
@@ -31,9 +31,9 @@
                     node.refresh();
                 }
             }
-            Err(mistakes) => {
-                let first = mistakes.first().map(ToString::to_string).unwrap_or_default();
-                tracing::error!(event = "reload_failed", mistakes = mistakes.len(), first);
+            Err(errors) => {
+                let first = errors.first().map(ToString::to_string).unwrap_or_default();
+                tracing::error!(event = "reload_failed", mistakes = errors.len(), first);
             }
         }
     }
--- a/crates/nutmeggrade-relay/src/rollouts.rs
+++ b/crates/nutmeggrade-relay/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! Decides how far roll-outs go, reports outcomes to the deciding instances, and writes the state
-//! of roll-outs to the store.
+//! Decides how far rollouts go, reports outcomes to the deciding instances, and writes the state of
+//! rollouts to the store.
 
 mod judging;
 mod reporting;
@@ -16,10 +16,10 @@
 use crate::node::Node;
 use crate::peers::Peers;
 
-/// Interval between two checks of the roll-outs.
+/// Interval between two checks of the rollouts.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Starts the tasks if roll-outs are followed.
+/// Starts the tasks if rollouts are followed.
 pub fn start(node: &Arc<Node>, peers: &Arc<Peers>) -> Vec<JoinHandle<()>> {
     if !node.follows_rollouts() {
         return Vec::new();
--- a/crates/nutmeggrade-relay/src/rollouts/judging.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/judging.rs
@@ -1,4 +1,4 @@
-//! Decides how far roll-outs go, on the one instance that is responsible.
+//! Decides how far rollouts go, on the one instance that is responsible.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::node::{Node, Phase};
 use crate::tables::{Tables, lock};
 
-/// Judges of the roll-outs that this instance decides.
+/// Judges of the rollouts that this instance decides.
 ///
 /// The first instance in the order of readers decides. For a moment two instances may both act as
 /// the first; as phases only advance, and the store accepts a state only at the revision that its
@@ -24,7 +24,7 @@
         Self::default()
     }
 
-    /// Decides the phase of each open roll-out if this instance is responsible.
+    /// Decides the phase of each open rollout if this instance is responsible.
     pub fn decide_all(&mut self, node: &Node) {
         let Some(bound) = node.settings().exposure else { return };
         let (now, map) = (node.now(), node.map());
@@ -57,46 +57,46 @@
         map: &RouteMap,
         now: Moment,
     ) -> Option<RolloutNotice> {
-        let surroundings = tables.surroundings(map, (service, &id.version), now);
+        let service_load = tables.service_load(map, (service, &id.version), now);
         let view = tables.rollouts.view(service, now)?;
         let members: Vec<InstanceId> = tables.fleet.members(now).cloned().collect();
-        let facts = RolloutInputs {
+        let inputs = RolloutInputs {
             age: view.age,
             duration: view.duration,
             phase: view.phase,
             tally: view.tally,
-            capacity: surroundings.capacity,
-            movable: surroundings.movable,
+            capacity: service_load.capacity,
+            movable: service_load.movable,
             has_quorum: tables.fleet.has_quorum(now),
-            is_clear: tables.rollouts.is_clear(service, surroundings.own_running, members.iter()),
+            is_clear: tables.rollouts.is_clear(service, service_load.own_running, members.iter()),
         };
         let judge =
             self.0.entry((service.clone(), id.clone())).or_insert_with(|| Judge::new(bound));
-        let ruling = judge.rule(&facts);
-        if ruling.phase != view.phase {
-            log_decision(service, id, &facts, &ruling);
+        let decision = judge.rule(&inputs);
+        if decision.phase != view.phase {
+            log_decision(service, id, &inputs, &decision);
         }
-        tables.rollouts.rule(service, &ruling, now)
+        tables.rollouts.rule(service, &decision, now)
     }
 }
 
 fn log_decision(
     service: &ServiceId,
     id: &RolloutId,
-    facts: &RolloutInputs,
-    ruling: &RolloutDecision,
+    inputs: &RolloutInputs,
+    decision: &RolloutDecision,
 ) {
-    let answers = facts.tally.all_routes();
-    let (route, complaint) = match &ruling.verdict {
+    let totals = inputs.tally.all_routes();
+    let (route, complaint) = match &decision.verdict {
         Verdict::Bad { route, complaint } => (route.as_str(), complaint.to_string()),
         _ => ("", String::new()),
     };
     tracing::info!(event = "rollout_decided", %service, version = %id.version,
-        phase = ruling.phase.as_str(), why = ruling.why, verdict = ruling.verdict.as_str(), route,
-        complaint, age_ms = facts.age.as_millis(), duration_ms = facts.duration.as_millis(),
-        requests = facts.tally.requests, exposed = facts.tally.exposed,
-        answers = answers.new.count(), failures = answers.new.failures,
-        old_answers = answers.old.count(), old_failures = answers.old.failures,
-        new_slots = facts.capacity.new_slots, old_slots = facts.capacity.old_slots,
-        running = facts.capacity.running);
+        phase = decision.phase.as_str(), why = decision.why, verdict = decision.verdict.as_str(),
+        route, complaint, age_ms = inputs.age.as_millis(),
+        duration_ms = inputs.duration.as_millis(), requests = inputs.tally.requests,
+        exposed = inputs.tally.exposed, answers = totals.new.count(),
+        failures = totals.new.failures, old_answers = totals.old.count(),
+        old_failures = totals.old.failures, new_slots = inputs.capacity.new_slots,
+        old_slots = inputs.capacity.old_slots, running = inputs.capacity.running);
 }
--- a/crates/nutmeggrade-relay/src/rollouts/reporting.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/reporting.rs
@@ -1,4 +1,4 @@
-//! Reports what this instance counted of roll-outs to the instances that judge them.
+//! Reports what this instance counted of rollouts to the instances that judge them.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::peers::Peers;
 use crate::tables::lock;
 
-/// Reports what this instance counted of roll-outs to the instances that judge them.
+/// Reports what this instance counted of rollouts to the instances that judge them.
 #[derive(Debug, Default)]
 pub struct Reporter(BTreeMap<ServiceId, LastReport>);
 
@@ -43,7 +43,7 @@
     let own = (&settings.instance, node.incarnation);
     let tables = &lock(&node.tables);
     let report = |(service, id): (&ServiceId, &RolloutId)| {
-        let running = tables.surroundings(&map, (service, &id.version), now).own_running;
+        let running = tables.service_load(&map, (service, &id.version), now).own_running;
         tables.rollouts.report(service, own, running)
     };
     tables.rollouts.open().filter_map(report).collect()
--- a/crates/nutmeggrade-relay/src/rollouts/writing.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/writing.rs
@@ -1,4 +1,4 @@
-//! Writes the state of roll-outs to the store, on the one instance that is responsible.
+//! Writes the state of rollouts to the store, on the one instance that is responsible.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,8 +38,8 @@
 }
 
 /// Writes one state, and applies the object that the store then holds. The condition on its
-/// revision keeps a write whose answer was lost, or which takes effect seconds later, from undoing
-/// another one.
+/// revision keeps a write whose response was lost, or which takes effect seconds later, from
+/// undoing another one.
 async fn write(node: &Node, change: &StateChange) {
     let StateChange { service, version, revision, state } = change;
     let status = rollout::write(version, *state);
--- a/crates/nutmeggrade-relay/src/settings.rs
+++ b/crates/nutmeggrade-relay/src/settings.rs
@@ -132,7 +132,7 @@
     pub cold_overrun: f64,
     /// Requests per second added to that limit.
     pub cold_tolerance: f64,
-    /// Limit of requests to a version that turns out bad; `None` where roll-outs are not followed.
+    /// Limit of requests to a version that turns out bad; `None` where rollouts are not followed.
     pub exposure: Option<ExposureBound>,
     /// Log filter.
     pub log: String,
@@ -140,13 +140,13 @@
 }
 
 impl Settings {
-    /// Reads flags, the settings file and environment variables, and reports all mistakes together.
+    /// Reads flags, the settings file and environment variables, and reports all errors together.
     ///
     /// A flag takes precedence over the file, and the file over a variable.
     ///
     /// # Errors
     ///
-    /// Fails with each mistake, its code, and the line if it comes from the file.
+    /// Fails with each error, its code, and the line if it comes from the file.
     pub fn load(args: &[String], path: Option<&PathBuf>) -> Result<Self, Vec<SettingError>> {
         let file = match path {
             Some(path) => SettingsFile::load(path, SPECS)?,
@@ -154,8 +154,8 @@
         };
         let variable = |name: &str| file.get(name).or_else(|| std::env::var(name).ok());
         let secret = |path: &str| std::fs::read_to_string(path).map_err(|e| e.to_string());
-        let values = Values::load(SPECS, args, variable, secret).map_err(|mistakes| {
-            mistakes.into_iter().map(|m| file.locate(m, SPECS)).collect::<Vec<_>>()
+        let values = Values::load(SPECS, args, variable, secret).map_err(|errors| {
+            errors.into_iter().map(|e| file.locate(e, SPECS)).collect::<Vec<_>>()
         })?;
         Self::new(values)
             .map_err(|e| vec![SettingError { code: Code::BadSetting, detail: format!("{e:#}") }])
@@ -175,7 +175,8 @@
         let address = |flag| values.address(flag).with_context(|| format!("--{flag}"));
         let beacon_address = address("beacon-address")?;
         // Ports are the same on all instances of a deployment, so seeds only name the IP addresses.
-        let beacon_of = |seed: SocketAddr| SocketAddr::new(seed.ip(), beacon_address.port());
+        let heartbeat_address =
+            |seed: SocketAddr| SocketAddr::new(seed.ip(), beacon_address.port());
         Ok(Self {
             instance: InstanceId::new(values.text("instance")).context("--instance")?,
             domain: DomainId::new(values.text("domain")).context("--domain")?,
@@ -186,7 +187,7 @@
             control_address: address("control-address")?,
             beacon_address,
             metrics_address: address("metrics-address")?,
-            seeds: values.addresses("seeds").into_iter().map(beacon_of).collect(),
+            seeds: values.addresses("seeds").into_iter().map(heartbeat_address).collect(),
             descriptors: usize::try_from(values.number("descriptors")).context("--descriptors")?,
             memory: usize::try_from(values.number("memory") << 20).context("--memory")?,
             grace: values.seconds("grace"),
--- a/crates/nutmeggrade-relay/src/settings/file.rs
+++ b/crates/nutmeggrade-relay/src/settings/file.rs
@@ -28,18 +28,18 @@
             vec![SettingError { code: Code::BadSetting, detail }]
         })?;
         let mut file = Self { path: path.to_owned(), lines: BTreeMap::new() };
-        let mut mistakes = Vec::new();
+        let mut errors = Vec::new();
         for (index, line) in text.lines().enumerate() {
             let line = line.trim();
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
             let number = index + 1;
-            if let Err(mistake) = file.parse_line(line, number, specs) {
-                mistakes.push(mistake);
+            if let Err(error) = file.parse_line(line, number, specs) {
+                errors.push(error);
             }
         }
-        if mistakes.is_empty() { Ok(file) } else { Err(mistakes) }
+        if errors.is_empty() { Ok(file) } else { Err(errors) }
     }
 
     fn parse_line(
@@ -68,15 +68,15 @@
         self.lines.get(name).map(|l| l.value.clone()).filter(|v| !v.is_empty())
     }
 
-    /// Adds the file and line number to a mistake in a value from the file.
-    pub fn locate(&self, mut mistake: SettingError, specs: &[Spec]) -> SettingError {
+    /// Adds the file and line number to an error in a value from the file.
+    pub fn locate(&self, mut error: SettingError, specs: &[Spec]) -> SettingError {
         let variables = specs.iter().map(Spec::variable);
         let line = variables
-            .filter(|v| mistake.detail.contains(&format!("({v})")))
+            .filter(|v| error.detail.contains(&format!("({v})")))
             .find_map(|v| self.lines.get(&v));
         if let Some(line) = line {
-            mistake.detail = format!("{}:{}: {}", self.path.display(), line.number, mistake.detail);
+            error.detail = format!("{}:{}: {}", self.path.display(), line.number, error.detail);
         }
-        mistake
+        error
     }
 }
--- a/crates/nutmeggrade-relay/src/short_call.rs
+++ b/crates/nutmeggrade-relay/src/short_call.rs
@@ -17,15 +17,15 @@
     pub connect: Duration,
     /// Timeout of the whole call.
     pub timeout: Duration,
-    /// Largest answer, in bytes.
-    pub max_answer: usize,
+    /// Largest response, in bytes.
+    pub max_response: usize,
 }
 
-/// Sends a request on a new connection and reads the whole answer.
+/// Sends a request on a new connection and reads the whole response.
 ///
 /// # Errors
 ///
-/// Fails if the answer is not complete within the limits.
+/// Fails if the response is not complete within the limits.
 pub async fn short_call(
     address: SocketAddr,
     method: Method,
@@ -43,7 +43,7 @@
     let exchange = async {
         let response = call(address, request, limits.connect).await?;
         let status = response.status();
-        Ok((status, body_bytes(response.into_body(), limits.max_answer).await?))
+        Ok((status, body_bytes(response.into_body(), limits.max_response).await?))
     };
     timeout(limits.timeout, exchange).await.context("no answer in time")?
 }
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -39,11 +39,11 @@
     pub dispatcher: Dispatcher,
     /// Peers.
     pub fleet: FleetView,
-    /// Durations of answers.
+    /// Durations of responses.
     pub pace: Pace,
     /// Requests that were running when an endpoint crashed.
     pub crashes: CrashLog,
-    /// Roll-outs of services to another version.
+    /// Rollouts of services to another version.
     pub rollouts: RolloutTable,
     resend_budgets: BTreeMap<ServiceId, ResendBudget>,
     cold_shares: BTreeMap<EndpointId, ColdShare>,
@@ -70,12 +70,12 @@
     /// the time after which to retry.
     pub fn offer(
         &mut self,
-        need: &DispatchRequest,
+        request: &DispatchRequest,
         max_wait: Duration,
         now: Moment,
     ) -> Result<oneshot::Receiver<EndpointId>, Duration> {
         let (sender, receiver) = oneshot::channel();
-        match self.dispatcher.offer(need, max_wait, now) {
+        match self.dispatcher.offer(request, max_wait, now) {
             DispatchDecision::Go(endpoint) => {
                 self.count_cold_request(&endpoint, now);
                 // The receiver still exists, so the send can't fail.
@@ -83,7 +83,7 @@
                 Ok(receiver)
             }
             DispatchDecision::Wait => {
-                self.waiters.insert(need.ticket, sender);
+                self.waiters.insert(request.ticket, sender);
                 Ok(receiver)
             }
             DispatchDecision::Refuse(wait) => Err(wait),
@@ -102,11 +102,11 @@
         }
     }
 
-    /// Removes a request that gave up waiting; returns the time after which it may retry.
-    pub fn give_up(&mut self, need: &DispatchRequest) -> Duration {
-        self.waiters.remove(&need.ticket);
-        self.dispatcher.book.end(need.ticket);
-        self.dispatcher.give_up(need)
+    /// Removes a waiting request from the queue; returns the time after which it may retry.
+    pub fn cancel_wait(&mut self, request: &DispatchRequest) -> Duration {
+        self.waiters.remove(&request.ticket);
+        self.dispatcher.book.end(request.ticket);
+        self.dispatcher.give_up(request)
     }
 
     /// Counts a request for a service; returns the share of requests that a new version gets at
@@ -159,7 +159,7 @@
     }
 
     /// Summarizes the endpoints of a service that is being rolled out.
-    pub fn surroundings(
+    pub fn service_load(
         &self,
         map: &RouteMap,
         (service, version): (&ServiceId, &VersionId),
@@ -182,7 +182,7 @@
             return;
         }
         let mut versions = self.registry.provisional_rules(self.rollouts.is_known(), now);
-        // Once its roll-out is decided, a service may use any version.
+        // Once its rollout is decided, a service may use any version.
         versions.retain(|service, _| !self.rollouts.is_decided(service));
         versions.extend(self.rollouts.rules(now));
         self.registry.set_versions(versions);
--- a/crates/nutmeggrade-relay/src/ticker.rs
+++ b/crates/nutmeggrade-relay/src/ticker.rs
@@ -47,7 +47,7 @@
     *live_before = live_now;
 }
 
-/// Drops roll-outs that were withdrawn and whose version has no endpoints left.
+/// Drops rollouts that were withdrawn and whose version has no endpoints left.
 fn prune_rollouts(node: &Node) {
     let tables = &mut *lock(&node.tables);
     let registry = &tables.registry;
--- a/crates/nutmeggrade-relay/src/watch/apply.rs
+++ b/crates/nutmeggrade-relay/src/watch/apply.rs
@@ -31,8 +31,8 @@
                 snapshot.objects.iter().filter_map(read_endpoint).collect();
             let left =
                 node.change_registry(|registry, now| registry.replace(&all, after_outage, now));
-            // Peers whose watches missed the removal learn it here; otherwise they would only
-            // notice at the end of their own hold time.
+            // Informs peers whose watches missed the removal; they would otherwise notice it only
+            // when their own hold time ends.
             node.broadcast_leaving(&left);
         }
         Kind::Evacuations => {
@@ -79,7 +79,7 @@
         changes(node, kind, snapshot, 0, after_outage);
         return;
     }
-    let all: Vec<EndpointUpdate> = snapshot.objects.iter().filter_map(to_news).collect();
+    let all: Vec<EndpointUpdate> = snapshot.objects.iter().filter_map(to_update).collect();
     apply_endpoint_changes(node, &all, after_outage);
 }
 
@@ -121,7 +121,7 @@
 }
 
 fn apply_endpoints(node: &Node, snapshot: &Snapshot, since: u64, lapses: bool) {
-    let changes: Vec<EndpointUpdate> = snapshot.objects.iter().filter_map(to_news).collect();
+    let changes: Vec<EndpointUpdate> = snapshot.objects.iter().filter_map(to_update).collect();
     if changes.is_empty() {
         return;
     }
@@ -147,22 +147,22 @@
 
 fn apply_change(
     registry: &mut Registry,
-    news: &EndpointUpdate,
+    update: &EndpointUpdate,
     lapses: bool,
     now: Moment,
 ) -> Option<Change> {
-    match &news.info {
+    match &update.info {
         Some(info) => registry.put(info, now),
         // The entry may have expired during an outage; a live endpoint writes it again at its next
         // heartbeat.
-        None if lapses => registry.mark_missing(&news.id, now),
-        None => registry.remove(&news.id),
+        None if lapses => registry.mark_missing(&update.id, now),
+        None => registry.remove(&update.id),
     }
 }
 
 /// Reads an endpoint's change from an object; `None` if its name is no endpoint's. Content that
 /// can't be read as an endpoint counts as a removed entry.
-fn to_news(object: &StoredObject) -> Option<EndpointUpdate> {
+fn to_update(object: &StoredObject) -> Option<EndpointUpdate> {
     let id = EndpointId::new(&object.name).ok()?;
     let info = if object.is_gone { None } else { read_endpoint(object) };
     Some(EndpointUpdate { id, info })
--- a/crates/nutmeggrade-relay/src/watch/follower.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower.rs
@@ -26,8 +26,8 @@
 /// Time for a peer's changes to arrive before they are requested. A peer sends them together with
 /// the heartbeat that announces them.
 const PEER_CHANGES_WAIT: Duration = Duration::from_millis(60);
-/// Time after a watch's hold time at which its answer is overdue. The store answers in
-/// milliseconds, and waiting as long as for a slow answer would use up the notice of engines that
+/// Time after a watch's hold time at which its response is overdue. The store responds in
+/// milliseconds, and waiting as long as for a slow response would use up the notice of engines that
 /// are leaving.
 const OVERDUE_AFTER: Duration = Duration::from_millis(250);
 /// Time between checks whether this instance has become a reader.
@@ -134,7 +134,7 @@
         }
         // A first listing contains nothing that peers who listed a moment earlier are missing;
         // announced as a change it would make each of them request it again. A later listing may
-        // imply removals. Most instances never list roll-outs themselves and have to learn that
+        // imply removals. Most instances never list rollouts themselves and have to learn that
         // there are none.
         let has_changes = !is_first || self.kind == Kind::Rollouts;
         let change_revision = if has_changes { snapshot.revision } else { snapshot.last_change() };
@@ -178,21 +178,21 @@
         }
     }
 
-    /// Watches from `since`, and marks the store as overdue if its answer is late.
+    /// Watches from `since`, and marks the store as overdue if its response is late.
     async fn watch_with_hold(&self, since: u64) -> Result<WatchResult, PlatformError> {
         let hold = self.hold_time();
         let store = StoreCalls::new(&self.node);
-        let answer = store.watch(self.kind, since, hold, self.watch_reason());
-        tokio::pin!(answer);
+        let response = store.watch(self.kind, since, hold, self.watch_reason());
+        tokio::pin!(response);
         if hold.is_zero() {
-            return answer.await;
+            return response.await;
         }
         tokio::select! {
-            result = &mut answer => return result,
+            result = &mut response => return result,
             () = sleep(hold + OVERDUE_AFTER) => {}
         }
         let _guard = OverdueGuard::set(&self.node, self.kind);
-        answer.await
+        response.await
     }
 
     fn watch_reason(&self) -> CallReason {
@@ -205,7 +205,7 @@
     }
 
     /// Waits for further changes, to batch them: endpoints that join or leave together change their
-    /// entries one after another, configurations come in quick succession, and each answer is
+    /// entries one after another, configurations come in quick succession, and each response is
     /// billed.
     async fn batch_changes(&self) {
         let is_first = lock(&self.node.tables).fleet.is_first_reader(self.node.now());
@@ -215,8 +215,8 @@
     /// Returns how long the store may hold a watch.
     fn hold_time(&self) -> Duration {
         let state = self.node.read_state.of(self.kind);
-        // The first call after a failure returns at once, since its answer shows that the store is
-        // back.
+        // The first call after a failure returns at once, since its response shows that the store
+        // is back.
         if state.is_behind() || state.is_unavailable() {
             return Duration::ZERO;
         }
--- a/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
@@ -37,7 +37,7 @@
     }
 
     /// Waits until a peer supplies the objects, or until this instance has to list them as a
-    /// reader. Roll-outs aren't needed right after the start.
+    /// reader. Rollouts aren't needed right after the start.
     pub(super) async fn await_objects(&mut self) {
         let node = Arc::clone(&self.node);
         let state = node.read_state.of(self.kind);
@@ -73,12 +73,12 @@
         let start = self.node.now();
         loop {
             let waited = self.node.now().since(start);
-            let reach = if waited < REMOTE_PEERS_AFTER {
+            let scope = if waited < REMOTE_PEERS_AFTER {
                 SourceScope::Near
             } else {
                 SourceScope::Everywhere
             };
-            if fleet_sync::catch_up(&self.node, self.kind, reach).await {
+            if fleet_sync::catch_up(&self.node, self.kind, scope).await {
                 return true;
             }
             if waited > PEERS_TIMEOUT {
--- a/crates/nutmeggrade-relay/src/watch/overdue_guard.rs
+++ b/crates/nutmeggrade-relay/src/watch/overdue_guard.rs
@@ -1,11 +1,11 @@
-//! Marks the store as overdue while an answer is late.
+//! Marks the store as overdue while a response is late.
 
 use nutmeggrade_wire::kinds::Kind;
 
 use crate::node::Node;
 use crate::watch::read_state::KindState;
 
-/// Marks an answer of the store as overdue until dropped.
+/// Marks a response of the store as overdue until dropped.
 #[derive(Debug)]
 pub struct OverdueGuard<'a>(&'a KindState);
 
@@ -15,7 +15,7 @@
         let state = node.read_state.of(kind);
         state.set_overdue(true);
         tracing::info!(event = "store_overdue", kind = kind.name());
-        node.read_state.answer_overdue.notify_one();
+        node.read_state.response_overdue.notify_one();
         Self(state)
     }
 }
--- a/crates/nutmeggrade-relay/src/watch/pacing.rs
+++ b/crates/nutmeggrade-relay/src/watch/pacing.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_wire::kinds::Kind;
 
-/// Hold time of a watch. A connection that has gone silent is noticed only once its answer is
+/// Hold time of a watch. A connection that has gone silent is noticed only once its response is
 /// overdue; peers' heartbeats reveal missed changes earlier.
 const WATCH_HOLD: Duration = Duration::from_secs(4);
 /// Hold time of the first reader's endpoint watch. While the store is unavailable, engines that are
@@ -15,7 +15,7 @@
 /// They only back up the first reader, and each watch that expires without a change is a billed
 /// call.
 const BACKUP_HOLD: Duration = Duration::from_secs(29);
-/// Hold time of the first reader's roll-out watch: roll-outs are rare and allow time.
+/// Hold time of the first reader's rollout watch: rollouts are rare and allow time.
 const FIRST_READER_ROLLOUTS_HOLD: Duration = Duration::from_secs(10);
 /// Time for which the first reader batches endpoint changes before its next watch. It is a small
 /// part of the two seconds during which a leaving endpoint may still get work.
--- a/crates/nutmeggrade-relay/src/watch/read_state.rs
+++ b/crates/nutmeggrade-relay/src/watch/read_state.rs
@@ -42,7 +42,7 @@
         lock(&self.range).read()
     }
 
-    /// Returns the revision of the last answer that contained changes, which peers compare.
+    /// Returns the revision of the last response that contained changes, which peers compare.
     pub fn change_revision(&self) -> u64 {
         lock(&self.range).news()
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Records an answer that covers revisions up to `read`; `change_revision` is the revision of
+    /// Records a response that covers revisions up to `read`; `change_revision` is the revision of
     /// the changes in it, or 0 if there were none.
     pub fn note(&self, read: u64, change_revision: u64) {
         lock(&self.range).note(read, change_revision);
@@ -105,17 +105,17 @@
         self.unavailable.load(Ordering::Relaxed)
     }
 
-    /// Records whether an answer is overdue.
+    /// Records whether a response is overdue.
     pub fn set_overdue(&self, is_overdue: bool) {
         self.overdue.store(is_overdue, Ordering::Relaxed);
     }
 
-    /// Returns whether an answer is overdue, so that the store is probably unavailable.
+    /// Returns whether a response is overdue, so that the store is probably unavailable.
     pub fn is_overdue(&self) -> bool {
         self.overdue.load(Ordering::Relaxed)
     }
 
-    /// Returns whether the last call succeeded and no answer is overdue.
+    /// Returns whether the last call succeeded and no response is overdue.
     pub fn is_available(&self) -> bool {
         !self.is_unavailable() && !self.is_overdue()
     }
@@ -124,8 +124,8 @@
 /// Read state of every kind of object.
 #[derive(Debug, Default)]
 pub struct ReadState {
-    /// Wakes the engine poller because an answer of the store is overdue.
-    pub answer_overdue: Notify,
+    /// Wakes the engine poller because a response of the store is overdue.
+    pub response_overdue: Notify,
     config: KindState,
     endpoints: KindState,
     evacuations: KindState,
--- a/crates/nutmeggrade-relay/src/watch/store_calls.rs
+++ b/crates/nutmeggrade-relay/src/watch/store_calls.rs
@@ -24,7 +24,7 @@
     Behind,
     /// Retries after a failed call.
     Retry,
-    /// Writes the state of a roll-out.
+    /// Writes the state of a rollout.
     Write,
 }
 
@@ -61,10 +61,10 @@
     pub async fn list(
         &self,
         kind: Kind,
-        may_lag: bool,
+        may_be_stale: bool,
         reason: CallReason,
     ) -> Result<Snapshot, PlatformError> {
-        let result = self.0.store.list(kind, may_lag).await;
+        let result = self.0.store.list(kind, may_be_stale).await;
         self.note(kind, reason, result.as_ref().ok());
         result
     }
