--- a/crates/nutmegctl/src/audit_trail.rs
+++ b/crates/nutmegctl/src/audit_trail.rs
@@ -6,7 +6,8 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::recent_changes::AcceptedChange;
 
-/// Sort key of a row: version in force, changes before entries, time, instance, incarnation, number.
+/// Sort key of a row: version in force, changes before entries, time, instance, incarnation,
+/// number.
 type RowKey = (u64, bool, u64, Option<InstanceId>, u64, u64);
 
 /// One row of the trail.
@@ -20,8 +21,8 @@
 
 /// Changes in version order, each followed by the audit entries of instances that had it in force.
 ///
-/// The instances' wall clocks differ, so an order by time could put a refusal before the change that
-/// caused it. Rows are therefore ordered by version first and by time within a version.
+/// The instances' wall clocks differ, so an order by time could put a refusal before the change
+/// that caused it. Rows are therefore ordered by version first and by time within a version.
 #[derive(Debug, Default)]
 pub struct AuditTrail {
     rows: BTreeMap<RowKey, Row>,
--- a/crates/nutmegctl/src/change.rs
+++ b/crates/nutmegctl/src/change.rs
@@ -92,7 +92,7 @@
         eprintln!("configuration head was not raised: {error}");
     }
     if let Err(error) = strip_old_presets(&platform, next.version).await {
-        eprintln!("old version was not removed: {error}");
+        eprintln!("presets of an old version were not removed: {error}");
     }
     push_to_instances(settings, &platform, &next).await
 }
--- a/crates/nutmegctl/src/cmd/order.rs
+++ b/crates/nutmegctl/src/cmd/order.rs
@@ -5,11 +5,11 @@
 use serde_json::Value;
 
 use crate::line::Line;
-use crate::order_change::{order_history, print_effect, read_effect, submit_order};
+use crate::order_change::{order_history, print_status, read_status, submit_order};
 use crate::platform::platform_client;
 use crate::settings::Settings;
 
-/// Prints the orders to an engine and their effect.
+/// Prints the orders to an engine and their status.
 pub async fn show(settings: &Settings, endpoint: &str) -> anyhow::Result<()> {
     let endpoint = EndpointId::new(endpoint)?;
     let platform = platform_client(settings)?;
@@ -18,8 +18,8 @@
         let line = line.with("who", order.who.as_str()).with("why", order.why.as_str());
         line.with("order", order.change.to_string()).print(settings);
     }
-    match read_effect(&platform, &endpoint).await? {
-        Some(effect) => print_effect(settings, "effect", &effect),
+    match read_status(&platform, &endpoint).await? {
+        Some(status) => print_status(settings, "effect", &status),
         None => Ok(()),
     }
 }
--- a/crates/nutmegctl/src/cmd/rollout.rs
+++ b/crates/nutmegctl/src/cmd/rollout.rs
@@ -9,7 +9,7 @@
 use crate::line::Line;
 use crate::settings::Settings;
 
-/// Lists the roll-outs of each instance of `--admin`.
+/// Lists the rollouts of each instance of `--admin`.
 pub async fn list(settings: &Settings) -> anyhow::Result<()> {
     if settings.admin.is_empty() {
         let detail = "--admin must list the control address of at least one instance";
--- a/crates/nutmegctl/src/logs/instance_logs.rs
+++ b/crates/nutmegctl/src/logs/instance_logs.rs
@@ -58,8 +58,8 @@
         matching
     }
 
-    /// Returns the restarts of instances that logged no stop before, as pairs of the last line before
-    /// the restart and the line of the start.
+    /// Returns the restarts of instances that logged no stop before, as pairs of the last line
+    /// before the restart and the line of the start.
     pub fn unclean_restarts(&self) -> Vec<(&Record, &Record)> {
         let pairs = self.instances.values().flat_map(|records| records.windows(2));
         let is_unclean = |last: &Record, next: &Record| {
--- a/crates/nutmegctl/src/order_change.rs
+++ b/crates/nutmegctl/src/order_change.rs
@@ -27,8 +27,8 @@
     listed.objects.into_iter().filter_map(|o| o.value).map(decode).collect()
 }
 
-/// Returns the recorded effect of the orders to an engine.
-pub async fn read_effect(
+/// Returns the recorded status of the orders to an engine.
+pub async fn read_status(
     platform: &HttpPlatform,
     endpoint: &EndpointId,
 ) -> anyhow::Result<Option<OrderStatus>> {
@@ -98,36 +98,36 @@
     settings: &Settings,
     platform: &HttpPlatform,
     endpoint: &EndpointId,
-    desired: &DesiredState,
+    desired_state: &DesiredState,
 ) -> anyhow::Result<()> {
     let started = Instant::now();
     loop {
-        let recorded = read_effect(platform, endpoint).await;
+        let recorded = read_status(platform, endpoint).await;
         let current = recorded.as_ref().ok().and_then(Option::as_ref);
-        let current = current.filter(|e| e.version >= desired.version);
-        if let Some(effect) = current.filter(|e| e.progress == Progress::Done) {
-            print_effect(settings, "done", effect)?;
+        let current = current.filter(|e| e.version >= desired_state.version);
+        if let Some(status) = current.filter(|e| e.progress == Progress::Done) {
+            print_status(settings, "done", status)?;
             return Ok(());
         }
         if started.elapsed() >= settings.wait {
-            let last_effect = current.map(serde_json::to_string).transpose()?;
-            let last_effect = last_effect.unwrap_or_else(|| "no owner has accepted it".to_owned());
-            let detail = format!("accepted, but not yet in effect: {last_effect}");
+            let last_status = current.map(serde_json::to_string).transpose()?;
+            let last_status = last_status.unwrap_or_else(|| "no owner has accepted it".to_owned());
+            let detail = format!("accepted, but not yet in effect: {last_status}");
             return Err(Failure::new(Code::NotInForce, &detail).into());
         }
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Prints the effect of the orders to an engine.
-pub fn print_effect(
+/// Prints the status of the orders to an engine.
+pub fn print_status(
     settings: &Settings,
     name: &'static str,
-    effect: &OrderStatus,
+    status: &OrderStatus,
 ) -> anyhow::Result<()> {
-    let line = Line::new(name).with("version", effect.version).with("epoch", effect.epoch);
-    let line = line.with("instance", effect.instance.as_str());
-    let line = line.with("progress", serde_json::to_value(effect.progress)?);
-    line.with("detail", effect.detail.as_str()).print(settings);
+    let line = Line::new(name).with("version", status.version).with("epoch", status.epoch);
+    let line = line.with("instance", status.instance.as_str());
+    let line = line.with("progress", serde_json::to_value(status.progress)?);
+    line.with("detail", status.detail.as_str()).print(settings);
     Ok(())
 }
