--- a/crates/nutmeggrade/src/engine_client.rs
+++ b/crates/nutmeggrade/src/engine_client.rs
@@ -119,7 +119,7 @@
         let error = anyhow::anyhow!("engine answered {status}");
         match status {
             s if s.is_success() => Ok(Tokens::new(response.into_body())),
-            // A gateway or a crashing engine may answer 500 or 502 after the work began.
+            // A gateway or a crashing engine may respond with 500 or 502 after the work began.
             s if s.is_client_error() || s == StatusCode::SERVICE_UNAVAILABLE => {
                 Err(StartError::NotRun(error))
             }
--- a/crates/nutmeggrade/src/front/entries.rs
+++ b/crates/nutmeggrade/src/front/entries.rs
@@ -14,12 +14,12 @@
 pub async fn get<P: Platform>(req: Request) -> Reply {
     let node = super::node::<P>(&req)?;
     let entries = list(&node);
-    let keep_ms = u64::try_from(node.settings.entry_keep.as_millis()).unwrap_or(u64::MAX);
+    let ttl_ms = u64::try_from(node.settings.entry_ttl.as_millis()).unwrap_or(u64::MAX);
     let listed: Vec<_> = entries
         .iter()
         .map(|e| json!({ "instance": e.instance, "domain": e.domain, "address": e.caller_address }))
         .collect();
-    Ok(super::json(&json!({ "entries": listed, "keep_ms": keep_ms })))
+    Ok(super::json(&json!({ "entries": listed, "keep_ms": ttl_ms })))
 }
 
 /// Returns the entries that callers may use, in the order in which to try them.
--- a/crates/nutmeggrade/src/generation/attempt.rs
+++ b/crates/nutmeggrade/src/generation/attempt.rs
@@ -96,8 +96,8 @@
     }
 }
 
-/// Sends the request. `None` means that the response head was lost: the session then asks the
-/// engine whether it has the generation.
+/// Sends the request. `None` means that the response head was lost: the session then queries the
+/// engine for the generation.
 async fn send_request<P: Platform>(
     node: &Arc<Node<P>>,
     caller: &Caller,
--- a/crates/nutmeggrade/src/generation/start.rs
+++ b/crates/nutmeggrade/src/generation/start.rs
@@ -33,17 +33,17 @@
     completion: &Completion,
     long: bool,
 ) -> Result<Session<P>, Failure> {
-    let mut ask = admission_request(node, caller, completion, long);
+    let mut generation_request = admission_request(node, caller, completion, long);
     let mut summary = AttemptSummary { count: 0, run: Run::NotRun, reason: String::new() };
     let mut suspect_guard = SuspectGuard::new(node, caller, completion);
     lock(&node.tables.retries).fresh();
     while summary.count < MAX_ATTEMPTS {
-        ask.ticket = node.ticket();
+        generation_request.ticket = node.ticket();
         let with_run_state = |f: Failure| f.with_run(summary.run);
         suspect_guard.wait_until_allowed(caller.deadline).await.map_err(with_run_state)?;
         let queued_at = node.now();
-        let admitted = admit(node, &ask).await;
-        node.record_admission(&caller.request, &ask, queued_at, &admitted);
+        let admitted = admit(node, &generation_request).await;
+        node.record_admission(&caller.request, &generation_request, queued_at, &admitted);
         let placement = admitted.map_err(with_run_state)?;
         let endpoint = placement.endpoint.clone();
         match attempt(node, caller, completion, placement, suspect_guard).await {
@@ -63,7 +63,7 @@
                 suspect_guard.release();
                 record_failure(node, caller, &endpoint, &failed);
                 summary.add(failed);
-                ask.avoid.insert(endpoint);
+                generation_request.avoid.insert(endpoint);
                 let can_retry = summary.count < MAX_ATTEMPTS;
                 if can_retry && !node.wait_for_retry(summary.count, caller.deadline).await {
                     break;
--- a/crates/nutmeggrade/src/orders/engine.rs
+++ b/crates/nutmeggrade/src/orders/engine.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResponse {
     /// Accepted; the engine's state shows its progress.
-    AcceptedChange,
+    Accepted,
     /// Refused because of an outdated fencing number.
     Outdated,
     /// Refused for another reason.
@@ -57,7 +57,7 @@
     let response =
         timeout(limit, call(address, request, limit)).await.context("order: timeout")??;
     Ok(match response.status() {
-        s if s.is_success() => OrderResponse::AcceptedChange,
+        s if s.is_success() => OrderResponse::Accepted,
         StatusCode::CONFLICT => OrderResponse::Outdated,
         s => OrderResponse::Refused(s),
     })
--- a/crates/nutmeggrade/src/orders/owner.rs
+++ b/crates/nutmeggrade/src/orders/owner.rs
@@ -32,7 +32,7 @@
 struct OwnedEngine {
     endpoint: EndpointId,
     address: SocketAddr,
-    desired: DesiredState,
+    desired_state: DesiredState,
     epoch: u64,
 }
 
@@ -63,7 +63,7 @@
     detail: &str,
 ) -> OrderStatus {
     let instance = node.entry.instance.clone();
-    let (version, epoch) = (owned.desired.version, owned.epoch);
+    let (version, epoch) = (owned.desired_state.version, owned.epoch);
     OrderStatus { version, epoch, instance, progress, detail: detail.to_owned() }
 }
 
@@ -76,10 +76,15 @@
     let rights = lock(&node.tables.rights);
     let orders = lock(&node.tables.orders);
     let now = node.now();
-    let to_owned_engine = |(endpoint, desired): (&EndpointId, &DesiredState)| {
+    let to_owned_engine = |(endpoint, desired_state): (&EndpointId, &DesiredState)| {
         let address = endpoints.get(endpoint)?.address;
         let epoch = rights.owner_epoch(endpoint, now)?;
-        Some(OwnedEngine { endpoint: endpoint.clone(), address, desired: desired.clone(), epoch })
+        Some(OwnedEngine {
+            endpoint: endpoint.clone(),
+            address,
+            desired_state: desired_state.clone(),
+            epoch,
+        })
     };
     orders.wanted().filter_map(to_owned_engine).collect()
 }
@@ -90,7 +95,7 @@
     written: &mut WrittenStatuses,
 ) -> anyhow::Result<()> {
     let state = fetch_state(owned.address, node.settings.connect).await?;
-    match next_step(&owned.desired, &state, owned.epoch) {
+    match next_step(&owned.desired_state, &state, owned.epoch) {
         NextStep::Busy => Ok(()),
         NextStep::Outdated => {
             let detail = format!("the engine has seen fence={}", state.fence);
@@ -113,7 +118,7 @@
     }
     weights::release(node, &owned.endpoint).await?;
     write(node, owned, done, written).await?;
-    let (version, epoch) = (owned.desired.version, owned.epoch);
+    let (version, epoch) = (owned.desired_state.version, owned.epoch);
     let detail = format!("endpoint={} version={version} fence={epoch}", owned.endpoint);
     node.audit(AuditEvent::OrderDone, &detail);
     Ok(())
@@ -144,7 +149,7 @@
     let audit_detail = format!("endpoint={} fence={} {order}", owned.endpoint, owned.epoch);
     node.audit(AuditEvent::OrderSent, &audit_detail);
     match send_order(owned.address, &fenced, node.settings.connect).await? {
-        OrderResponse::AcceptedChange => Ok(()),
+        OrderResponse::Accepted => Ok(()),
         OrderResponse::Outdated => {
             audit_refusal(node, owned, &detail);
             Ok(())
--- a/crates/nutmeggrade/src/server/stop.rs
+++ b/crates/nutmeggrade/src/server/stop.rs
@@ -49,11 +49,11 @@
 /// returns whether all of them ended.
 ///
 /// A peer that has not received the change lists this instance until it counts it as silent, and a
-/// caller uses a listed entry for the time `entry_keep`. An instance that stopped accepting earlier
+/// caller uses a listed entry for the time `entry_ttl`. An instance that stopped accepting earlier
 /// would refuse valid requests.
 async fn drain<P: Platform>(node: &Arc<Node<P>>, front: &mut JoinHandle<()>) -> bool {
     node.set_phase(Phase::Leaving);
-    sleep(node.settings.silence + node.settings.entry_keep).await;
+    sleep(node.settings.silence + node.settings.entry_ttl).await;
     node.set_phase(Phase::Draining);
     timeout(node.settings.drain, front).await.is_ok()
 }
--- a/crates/nutmeggrade/src/service/once.rs
+++ b/crates/nutmeggrade/src/service/once.rs
@@ -130,8 +130,8 @@
     match last_result {
         Some(AttemptResult::Answered(response)) => {
             let recorded = RecordedAnswer::new(response.status, &response.body);
-            let kept = recorded.with_content(response.content_type.as_deref());
-            (Progress::Done { answer: kept }, Ok(response))
+            let recorded = recorded.with_content(response.content_type.as_deref());
+            (Progress::Done { answer: recorded }, Ok(response))
         }
         Some(AttemptResult::Lost(reason)) => {
             let failure = Failure::new(Code::OutcomeUnknown, &reason).with_run(Run::Unknown);
--- a/crates/nutmeggrade/src/settings.rs
+++ b/crates/nutmeggrade/src/settings.rs
@@ -116,7 +116,7 @@
     /// Token that authenticates operators.
     pub operator_token: Secret,
     /// Time for which callers may cache an entry.
-    pub entry_keep: Duration,
+    pub entry_ttl: Duration,
     /// Maximum time for streams to finish during a planned stop.
     pub drain: Duration,
     /// Interval between heartbeats.
@@ -196,7 +196,7 @@
             admin_address: address("admin-address")?,
             peer_key: values.secret("peer-key"),
             operator_token: values.secret("operator-token"),
-            entry_keep: values.millis("entry-keep"),
+            entry_ttl: values.millis("entry-keep"),
             drain: values.millis("drain"),
             beacon: values.millis("beacon"),
             silence: values.millis("silence"),
