--- a/crates/nutmeggrade-relay/src/engine_watch.rs
+++ b/crates/nutmeggrade-relay/src/engine_watch.rs
@@ -21,12 +21,11 @@
 
 /// Polls for as long as the process runs.
 ///
-/// Engines are reclaimed during store outages too. Without polling, no instance learns of it and
-/// all generations there are lost, which shows as streams that break off without a departure in the
+/// Engines are reclaimed during store outages too. Without polling, no instance detects it and all
+/// generations there are lost, which shows as streams that break off without a departure in the
 /// logs. An engine's own report includes its departure; one instance polls each engine and informs
-/// the others. The first instance whose response of the store is overdue polls all engines at once:
-/// engines that leave at that moment would be gone before the other instances have learnt of the
-/// outage.
+/// the others. The first instance whose call to the store is overdue polls all engines at once:
+/// engines that leave at that moment would be gone before the other instances detect the outage.
 pub async fn run(node: Arc<Node>) {
     loop {
         tokio::select! {
--- a/crates/nutmeggrade-relay/src/relay/admission.rs
+++ b/crates/nutmeggrade-relay/src/relay/admission.rs
@@ -103,8 +103,8 @@
 /// Returns the failure for a route or key that the configuration lacks.
 ///
 /// While the store is unreachable the configuration may be out of date, and the route or key may
-/// have been added since. The failure then asks the client to retry, since a client gives up after
-/// a final one.
+/// have been added since. The failure then asks the client to retry, since clients don't retry
+/// after a final one.
 fn not_configured(node: &Node, code: Code, detail: &str) -> Failure {
     if node.read_state.is_config_unavailable() {
         return retry_later(node, Code::Outdated, detail);
--- a/crates/nutmeggrade-relay/src/relay/migration.rs
+++ b/crates/nutmeggrade-relay/src/relay/migration.rs
@@ -23,11 +23,11 @@
 use crate::tables::lock;
 
 /// Range of the random delay, in milliseconds, before each check whether the source engine's link
-/// is free. Instances learn of each other's copies within a few milliseconds, so two rarely start
-/// at the same time.
+/// is free. Announcements of copies arrive within a few milliseconds, so two rarely start at the
+/// same time.
 const LINK_CHECK_DELAY_MS: Range<u64> = 2..40;
-/// Time in which other instances learn of a copy before it starts. A migration that learns of
-/// another copy from the same engine in this time backs off.
+/// Time for the announcement of a copy to reach other instances before it starts. A migration that
+/// receives that of another copy from the same engine in this time backs off.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(8);
 /// Timeout of a copy: the largest generation, queued behind a few others on the target engine's
 /// link.
@@ -100,7 +100,8 @@
         Self { task: AbortOnDrop(tokio::spawn(task.run())), is_stopping }
     }
 
-    /// Returns whether the engine was told to stop the generation, so that its stream ends early.
+    /// Returns whether the engine was ordered to stop the generation, so that its stream ends
+    /// early.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
--- a/crates/nutmeggrade-relay/src/ticker.rs
+++ b/crates/nutmeggrade-relay/src/ticker.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Drops peers that fell silent together with their placements, and logs which ones did.
+/// Drops peers whose heartbeats stopped, with their placements, and logs them.
 fn expire_peers(node: &Node, live_before: &mut BTreeSet<InstanceId>) {
     let now = node.now();
     let mut tables = lock(&node.tables);
--- a/crates/nutmeggrade-relay/src/watch/follower.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower.rs
@@ -134,8 +134,8 @@
         }
         // A first listing contains nothing that peers who listed a moment earlier are missing;
         // announced as a change it would make each of them request it again. A later listing may
-        // imply removals. Most instances never list rollouts themselves and have to learn that
-        // there are none.
+        // imply removals. Most instances never list rollouts themselves, so the absence of rollouts
+        // is announced.
         let has_changes = !is_first || self.kind == Kind::Rollouts;
         let change_revision = if has_changes { snapshot.revision } else { snapshot.last_change() };
         state.note_listing(read, change_revision);
