--- a/crates/nutmeggrade-relay/src/relay/reservation.rs
+++ b/crates/nutmeggrade-relay/src/relay/reservation.rs
@@ -69,8 +69,8 @@
         .target
         .mul_f64(MAX_WAIT_TARGETS)
         .min(request.time_left(started_at).mul_f64(MAX_WAIT_SHARE));
-    let offer = lock(&node.tables).offer(dispatch_request, max_wait, started_at);
-    let mut receiver = offer.map_err(|delay| {
+    let placement = lock(&node.tables).request_placement(dispatch_request, max_wait, started_at);
+    let mut receiver = placement.map_err(|delay| {
         Failure::new(Code::NoRoom, "no endpoint has room").with_retry_after(delay)
     })?;
     let mut queue_guard = QueueGuard { node, dispatch_request, is_done: false };
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -68,7 +68,7 @@
 
     /// Places a request; the channel delivers its endpoint, also after a wait. A refusal returns
     /// the time after which to retry.
-    pub fn offer(
+    pub fn request_placement(
         &mut self,
         request: &DispatchRequest,
         max_wait: Duration,
--- a/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
@@ -12,7 +12,7 @@
 use crate::fleet_sync;
 use crate::tables::lock;
 
-/// Time after which every instance may ask peers of other failure domains.
+/// Time after which every instance may query peers of other failure domains.
 const REMOTE_PEERS_AFTER: Duration = Duration::from_millis(300);
 /// Time after which the store is called for changes that no peer has supplied.
 const PEERS_TIMEOUT: Duration = Duration::from_millis(600);
