--- a/crates/nutmeggrade-relay/src/relay/admission.rs
+++ b/crates/nutmeggrade-relay/src/relay/admission.rs
@@ -22,7 +22,7 @@
 /// Timeout of a request whose client states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// `Retry-After` of a request that only has to go to another instance.
+/// `Retry-After` of a request that another instance can serve at once.
 const OTHER_INSTANCE_DELAY: Duration = Duration::from_millis(20);
 
 /// `Retry-After` of a request that is held because it is suspected of crashing endpoints.
@@ -103,8 +103,8 @@
 /// Returns the failure for a route or key that the configuration lacks.
 ///
 /// While the store is unreachable the configuration may be out of date, and the route or key may
-/// have been added since. The failure then asks the client to retry, since a client gives up after
-/// a final one.
+/// have been added since. The failure then asks the client to retry, since clients don't retry
+/// after a final one.
 fn not_configured(node: &Node, code: Code, detail: &str) -> Failure {
     if node.read_state.is_config_unavailable() {
         return retry_later(node, Code::Outdated, detail);
