--- a/crates/nutmegctl/src/admin.rs
+++ b/crates/nutmegctl/src/admin.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Context;
 use http::{Method, Request, header};
-use nutmeggrade_core::peer::Entry;
+use nutmeggrade_core::peer::InstanceEntry;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::{HttpPlatform, Platform, body_bytes, call, json_body};
 use serde_json::Value;
@@ -19,7 +19,7 @@
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// Returns the instances that are registered at the platform.
-pub async fn list_instances(platform: &HttpPlatform) -> anyhow::Result<Vec<Entry>> {
+pub async fn list_instances(platform: &HttpPlatform) -> anyhow::Result<Vec<InstanceEntry>> {
     let listed = platform.list("instances/").await.map_err(|e| platform_down(&e))?;
     let decode = |value: Value| serde_json::from_value(value).context("decode instance");
     listed.objects.into_iter().filter_map(|o| o.value).map(decode).collect()
--- a/crates/nutmegctl/src/settings.rs
+++ b/crates/nutmegctl/src/settings.rs
@@ -4,39 +4,44 @@
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::{Kind, SettingError, Spec, Values};
+use nutmeggrade_core::settings::{SettingError, SettingKind, SettingSpec, SettingValues};
 
-const SPECS: &[Spec] = &[
-    Spec::new("platform", Kind::Address, "address of the platform's object API"),
-    Spec::new("operator-token", Kind::Secret, "token of the operators' requests"),
-    Spec::new("who", Kind::Text, "who makes the change").with_default(""),
-    Spec::new("why", Kind::Text, "why the change is made").with_default(""),
-    Spec::new(
+const SPECS: &[SettingSpec] = &[
+    SettingSpec::new("platform", SettingKind::Address, "address of the platform's object API"),
+    SettingSpec::new("operator-token", SettingKind::Secret, "token of the operators' requests"),
+    SettingSpec::new("who", SettingKind::Text, "who makes the change").with_default(""),
+    SettingSpec::new("why", SettingKind::Text, "why the change is made").with_default(""),
+    SettingSpec::new(
         "wait",
-        Kind::Number { unit: "ms", min: 0, max: 600_000 },
+        SettingKind::Number { unit: "ms", min: 0, max: 600_000 },
         "timeout for a change to be in force everywhere",
     )
     .with_default("10000"),
-    Spec::new("admin", Kind::Addresses, "instances to query while the platform is down")
-        .with_default(""),
-    Spec::new(
+    SettingSpec::new(
+        "admin",
+        SettingKind::Addresses,
+        "instances to query while the platform is down",
+    )
+    .with_default(""),
+    SettingSpec::new(
         "confirm",
-        Kind::Number { unit: "code", min: 0, max: 9_999 },
+        SettingKind::Number { unit: "code", min: 0, max: 9_999 },
         "overrides a refusal with this code (5011 or 5012)",
     )
     .with_default("0"),
-    Spec::new("dry-run", Kind::Switch, "validates a change and writes nothing")
+    SettingSpec::new("dry-run", SettingKind::Switch, "validates a change and writes nothing")
+        .with_default("false"),
+    SettingSpec::new("json", SettingKind::Switch, "prints one JSON object a line")
         .with_default("false"),
-    Spec::new("json", Kind::Switch, "prints one JSON object a line").with_default("false"),
-    Spec::new(
+    SettingSpec::new(
         "logs",
-        Kind::Text,
+        SettingKind::Text,
         "log files to explain a request from, separated by commas; -: standard input",
     )
     .with_default(""),
-    Spec::new(
+    SettingSpec::new(
         "rounds",
-        Kind::Number { unit: "1", min: 0, max: 1_000_000 },
+        SettingKind::Number { unit: "1", min: 0, max: 1_000_000 },
         "rounds of watch, 0: no limit",
     )
     .with_default("0"),
@@ -76,12 +81,12 @@
         let variable = |name: &str| std::env::var(name).ok();
         let file = |path: &str| std::fs::read_to_string(path).map_err(|e| e.to_string());
         // Reading logs requires neither the platform nor the operator token.
-        let has_logs = |v: &Values| !v.text("logs").is_empty();
+        let has_logs = |v: &SettingValues| !v.text("logs").is_empty();
         let optional = SPECS.iter().map(|s| s.with_optional(s.default.is_none()));
-        let lenient = Values::load(&optional.collect::<Vec<_>>(), args, variable, file);
+        let lenient = SettingValues::load(&optional.collect::<Vec<_>>(), args, variable, file);
         let values = match lenient {
             Ok(values) if needs_no_platform || has_logs(&values) => values,
-            _ => Values::load(SPECS, args, variable, file)?,
+            _ => SettingValues::load(SPECS, args, variable, file)?,
         };
         Ok(Self {
             platform: values.address("platform"),
@@ -100,9 +105,9 @@
 
     /// Returns the help text with all settings.
     pub fn usage(brief: &str) -> String {
-        let secrets = SPECS.iter().filter(|s| s.kind == Kind::Secret);
+        let secrets = SPECS.iter().filter(|s| s.kind == SettingKind::Secret);
         let secrets: Vec<String> = secrets.map(|s| format!("    {}", s.describe())).collect();
-        let flags = Values::options(SPECS).usage(brief);
+        let flags = SettingValues::options(SPECS).usage(brief);
         format!("{flags}\nSecrets:\n{}", secrets.join("\n"))
     }
 }
--- a/crates/nutmegctl/src/versioned.rs
+++ b/crates/nutmegctl/src/versioned.rs
@@ -98,5 +98,5 @@
 
 fn outcome_unknown(hint: &str) -> anyhow::Error {
     let detail = format!("whether it was accepted is not known; {hint}");
-    Failure::new(Code::ChangeUnknown, &detail).with_run(Run::Unknown).into()
+    Failure::new(Code::ChangeUnknown, &detail).with_run(RunStatus::Unknown).into()
 }
--- a/crates/nutmeggrade-core/src/config/known_names.rs
+++ b/crates/nutmeggrade-core/src/config/known_names.rs
@@ -7,7 +7,7 @@
 use crate::endpoint::Endpoint;
 use crate::failure::Failure;
 use crate::id::{DomainId, EndpointId};
-use crate::peer::Entry;
+use crate::peer::InstanceEntry;
 
 /// Failure domains and endpoints in the platform's lists.
 ///
@@ -24,7 +24,7 @@
 
 impl KnownNames {
     /// Collects the names from the platform's lists.
-    pub fn new(endpoints: &[Endpoint], instances: &[Entry]) -> Self {
+    pub fn new(endpoints: &[Endpoint], instances: &[InstanceEntry]) -> Self {
         let endpoint_domains = endpoints.iter().map(|e| e.domain.clone());
         let instance_domains = instances.iter().map(|e| e.domain.clone());
         Self {
--- a/crates/nutmeggrade-core/src/failure.rs
+++ b/crates/nutmeggrade-core/src/failure.rs
@@ -7,7 +7,7 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 
 use crate::code::Code;
-use crate::run::Run;
+use crate::run_status::RunStatus;
 
 /// Response header with the number of a failure's result code.
 pub const CODE_HEADER: &str = "nutmeggrade-code";
@@ -21,7 +21,7 @@
     /// Human-readable name of the code.
     pub name: String,
     /// Whether the request ran.
-    pub run: Run,
+    pub run: RunStatus,
     /// Human-readable description.
     pub detail: String,
     /// Time to wait before a retry; absent if a retry can't succeed.
@@ -36,7 +36,7 @@
         Self {
             code,
             name: code.name().to_owned(),
-            run: Run::NotRun,
+            run: RunStatus::NotRun,
             detail: detail.to_owned(),
             retry_after: None,
         }
@@ -44,7 +44,7 @@
 
     /// Sets whether the request ran.
     #[must_use]
-    pub fn with_run(mut self, run: Run) -> Self {
+    pub fn with_run(mut self, run: RunStatus) -> Self {
         self.run = run;
         self
     }
--- a/crates/nutmeggrade-core/src/lib.rs
+++ b/crates/nutmeggrade-core/src/lib.rs
@@ -19,6 +19,6 @@
 pub mod prelude;
 pub mod rollout;
 pub mod routing;
-pub mod run;
+pub mod run_status;
 pub mod secret;
 pub mod settings;
--- a/crates/nutmeggrade-core/src/peer.rs
+++ b/crates/nutmeggrade-core/src/peer.rs
@@ -9,7 +9,7 @@
 mod sync;
 
 pub use assignment::{ASSIGNMENT_KEY, Assignment};
-pub use beacon::{Beacon, Echo, Entry};
+pub use beacon::{Beacon, Echo, InstanceEntry};
 pub use envelope::{EnvelopeError, MAX_FRAME_BYTES, WIRE_VERSION, open, seal};
 pub use fleet_beacon::{Contacts, FleetBeacon, InstanceAddresses, Introduction, Revisions};
 pub use fleet_message::{
--- a/crates/nutmeggrade-core/src/peer/beacon.rs
+++ b/crates/nutmeggrade-core/src/peer/beacon.rs
@@ -12,7 +12,7 @@
 
 /// Identity and addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct InstanceEntry {
     /// The instance.
     pub instance: InstanceId,
     /// Distinguishes restarts of an instance under the same name; higher is newer.
@@ -65,7 +65,7 @@
     pub incarnation: u64,
     /// The sender's addresses; sent periodically, as peers usually have them from the platform.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub entry: Option<Entry>,
+    pub entry: Option<InstanceEntry>,
     /// Sequence number of the heartbeat; receivers drop older and repeated ones.
     pub sequence: u64,
     /// Version of the configuration that the sender has in force.
--- a/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
@@ -7,7 +7,7 @@
 
 use crate::id::{DomainId, EndpointId, InstanceId};
 use crate::rollout::RolloutNotice;
-use crate::routing::Placed;
+use crate::routing::PlacedLoad;
 
 /// Failure domain and addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -93,7 +93,7 @@
     pub revisions: Revisions,
     /// The sender's load at each endpoint.
     #[serde(rename = "p")]
-    pub placed: BTreeMap<EndpointId, Placed>,
+    pub placed: BTreeMap<EndpointId, PlacedLoad>,
     /// Roll-outs in the sender's state.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub rollouts: Vec<RolloutNotice>,
--- a/crates/nutmeggrade-core/src/peer/fleet_message.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_message.rs
@@ -7,7 +7,7 @@
 use super::{Contacts, FleetBeacon};
 use crate::id::{DomainId, EndpointId, InstanceId};
 use crate::rollout::{RolloutNotice, RolloutReport};
-use crate::routing::{EndpointInfo, Placed};
+use crate::routing::{EndpointInfo, PlacedLoad};
 
 /// An endpoint's new entry, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
     /// The sender.
     pub instance: InstanceId,
     /// The sender's total load at each of these endpoints; zeros if it has none.
-    pub placed: BTreeMap<EndpointId, Placed>,
+    pub placed: BTreeMap<EndpointId, PlacedLoad>,
 }
 
 /// Fingerprint of a request's content, independent of the sender.
--- a/crates/nutmeggrade-core/src/peer/sync.rs
+++ b/crates/nutmeggrade-core/src/peer/sync.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Assignment, Entry};
+use super::{Assignment, InstanceEntry};
 use crate::config::Configuration;
 use crate::endpoint::Endpoint;
 
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
     /// The requesting instance; the peer adds it to its members.
-    pub entry: Entry,
+    pub entry: InstanceEntry,
     /// The requested state.
     pub topic: SyncTopic,
 }
@@ -38,7 +38,7 @@
     /// The newest assignment that the peer has.
     pub assignment: Option<Assignment>,
     /// Instances in service.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<InstanceEntry>,
     /// Endpoints from the platform's last list.
     pub endpoints: Vec<Endpoint>,
 }
--- a/crates/nutmeggrade-core/src/prelude.rs
+++ b/crates/nutmeggrade-core/src/prelude.rs
@@ -9,5 +9,5 @@
     ServiceId, TaskId, VersionId, WorkspaceId,
 };
 pub use crate::moment::Moment;
-pub use crate::run::Run;
+pub use crate::run_status::RunStatus;
 pub use crate::secret::Secret;
--- a/crates/nutmeggrade-core/src/routing/placed.rs
+++ b/crates/nutmeggrade-core/src/routing/placed_load.rs
@@ -7,7 +7,7 @@
 /// Requests of one or more instances at an endpoint, and the capacity that they use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u64, u64, u64)", into = "(u32, u64, u64, u64)")]
-pub struct Placed {
+pub struct PlacedLoad {
     /// Number of requests.
     pub requests: u32,
     /// Expected final memory use of the requests, in tokens.
@@ -18,19 +18,19 @@
     pub moving: u64,
 }
 
-impl From<(u32, u64, u64, u64)> for Placed {
+impl From<(u32, u64, u64, u64)> for PlacedLoad {
     fn from((requests, memory, reading, moving): (u32, u64, u64, u64)) -> Self {
         Self { requests, memory, reading, moving }
     }
 }
 
-impl From<Placed> for (u32, u64, u64, u64) {
-    fn from(placed: Placed) -> Self {
+impl From<PlacedLoad> for (u32, u64, u64, u64) {
+    fn from(placed: PlacedLoad) -> Self {
         (placed.requests, placed.memory, placed.reading, placed.moving)
     }
 }
 
-impl AddAssign for Placed {
+impl AddAssign for PlacedLoad {
     fn add_assign(&mut self, rhs: Self) {
         self.requests = self.requests.saturating_add(rhs.requests);
         self.memory = self.memory.saturating_add(rhs.memory);
@@ -39,7 +39,7 @@
     }
 }
 
-impl SubAssign for Placed {
+impl SubAssign for PlacedLoad {
     fn sub_assign(&mut self, rhs: Self) {
         self.requests = self.requests.saturating_sub(rhs.requests);
         self.memory = self.memory.saturating_sub(rhs.memory);
--- a/crates/nutmeggrade-core/src/run.rs
+++ b/crates/nutmeggrade-core/src/run_status.rs
@@ -5,7 +5,7 @@
 /// Whether the work of a request was started at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Run {
+pub enum RunStatus {
     /// Proven not to have run; this attempt can't run later either.
     NotRun,
     /// Ran, completely or partly.
@@ -14,7 +14,7 @@
     Unknown,
 }
 
-impl Run {
+impl RunStatus {
     /// Returns the name used on the wire.
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/nutmeggrade-core/src/settings.rs
+++ b/crates/nutmeggrade-core/src/settings.rs
@@ -5,5 +5,5 @@
 mod values;
 
 pub use origin::Origin;
-pub use spec::{Kind, Spec, VARIABLE_PREFIX};
-pub use values::{SettingError, Values};
+pub use spec::{SettingKind, SettingSpec, VARIABLE_PREFIX};
+pub use values::{SettingError, SettingValues};
--- a/crates/nutmeggrade-core/src/settings/spec.rs
+++ b/crates/nutmeggrade-core/src/settings/spec.rs
@@ -5,7 +5,7 @@
 
 /// Type of a setting's values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum SettingKind {
     /// Any text.
     Text,
     /// An id, see [`crate::id`].
@@ -40,11 +40,11 @@
 
 /// Specification of a setting: its flag, type and default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Spec {
+pub struct SettingSpec {
     /// Flag without dashes; the variable's name is derived from it.
     pub flag: &'static str,
     /// Type of its values.
-    pub kind: Kind,
+    pub kind: SettingKind,
     /// Value if neither flag nor variable is given; `None` makes the setting required unless it is
     /// `optional`.
     pub default: Option<&'static str>,
@@ -54,9 +54,9 @@
     pub help: &'static str,
 }
 
-impl Spec {
+impl SettingSpec {
     /// Creates a required setting.
-    pub const fn new(flag: &'static str, kind: Kind, help: &'static str) -> Self {
+    pub const fn new(flag: &'static str, kind: SettingKind, help: &'static str) -> Self {
         Self { flag, kind, default: None, optional: false, help }
     }
 
@@ -83,14 +83,16 @@
     pub fn describe(&self) -> String {
         let default = self.default.map_or("required".to_owned(), |d| format!("default {d:?}"));
         let kind = match self.kind {
-            Kind::Text => "text".to_owned(),
-            Kind::Name => "id".to_owned(),
-            Kind::Address => "ip:port".to_owned(),
-            Kind::Addresses => "ip:port,...".to_owned(),
-            Kind::Switch => "true or false".to_owned(),
-            Kind::Number { unit, min, max } => format!("{unit}, {min} to {max}"),
-            Kind::Decimal { unit, min, max } => format!("{unit}, {min} to {max}, fractions too"),
-            Kind::Secret => "secret, variable or file only".to_owned(),
+            SettingKind::Text => "text".to_owned(),
+            SettingKind::Name => "id".to_owned(),
+            SettingKind::Address => "ip:port".to_owned(),
+            SettingKind::Addresses => "ip:port,...".to_owned(),
+            SettingKind::Switch => "true or false".to_owned(),
+            SettingKind::Number { unit, min, max } => format!("{unit}, {min} to {max}"),
+            SettingKind::Decimal { unit, min, max } => {
+                format!("{unit}, {min} to {max}, fractions too")
+            }
+            SettingKind::Secret => "secret, variable or file only".to_owned(),
         };
         format!("{} [{}; {kind}; {default}]", self.help, self.variable())
     }
--- a/crates/nutmeggrade-core/src/settings/values.rs
+++ b/crates/nutmeggrade-core/src/settings/values.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{Kind, Origin, Spec};
+use super::{Origin, SettingKind, SettingSpec};
 use crate::code::Code;
 use crate::id::InstanceId;
 use crate::secret::{MIN_SECRET_LEN, Secret};
@@ -27,23 +27,23 @@
 
 #[derive(Debug, Clone)]
 struct Value {
-    spec: Spec,
+    spec: SettingSpec,
     text: String,
     origin: Origin,
 }
 
 /// All settings of a process, parsed and validated.
 #[derive(Debug, Clone)]
-pub struct Values {
+pub struct SettingValues {
     values: BTreeMap<&'static str, Value>,
 }
 
-impl Values {
+impl SettingValues {
     /// Parses and validates flags and variables; returns all mistakes at once.
     ///
     /// `variable` looks up an environment variable and `file` reads a secret's file.
     pub fn load(
-        specs: &[Spec],
+        specs: &[SettingSpec],
         args: &[String],
         variable: impl Fn(&str) -> Option<String>,
         file: impl Fn(&str) -> Result<String, String>,
@@ -63,8 +63,8 @@
         let mut values = BTreeMap::new();
         for spec in specs {
             let flag = match spec.kind {
-                Kind::Secret => None,
-                Kind::Switch => matches.opt_present(spec.flag).then(|| "true".to_owned()),
+                SettingKind::Secret => None,
+                SettingKind::Switch => matches.opt_present(spec.flag).then(|| "true".to_owned()),
                 _ => matches.opt_str(spec.flag),
             };
             match resolve(spec, flag, &variable, &file)
@@ -81,10 +81,10 @@
     }
 
     /// Creates the command-line parser; its usage text lists every setting.
-    pub fn options(specs: &[Spec]) -> getopts::Options {
+    pub fn options(specs: &[SettingSpec]) -> getopts::Options {
         let mut options = getopts::Options::new();
-        for spec in specs.iter().filter(|s| s.kind != Kind::Secret) {
-            if spec.kind == Kind::Switch {
+        for spec in specs.iter().filter(|s| s.kind != SettingKind::Secret) {
+            if spec.kind == SettingKind::Switch {
                 options.optflag("", spec.flag, &spec.describe());
             } else {
                 options.optopt("", spec.flag, &spec.describe(), "VALUE");
@@ -141,7 +141,8 @@
     /// Returns one line per setting with its value and origin; secrets are hidden.
     pub fn lines(&self) -> Vec<String> {
         let format_line = |v: &Value| {
-            let text = if v.spec.kind == Kind::Secret { "(hidden)" } else { v.text.as_str() };
+            let text =
+                if v.spec.kind == SettingKind::Secret { "(hidden)" } else { v.text.as_str() };
             format!("{}={text} origin={}", v.spec.flag, v.origin)
         };
         self.values.values().map(format_line).collect()
@@ -149,7 +150,7 @@
 }
 
 fn resolve(
-    spec: &Spec,
+    spec: &SettingSpec,
     flag: Option<String>,
     variable: &impl Fn(&str) -> Option<String>,
     file: &impl Fn(&str) -> Result<String, String>,
@@ -161,7 +162,7 @@
     if let Some(text) = variable(&name) {
         return Ok(Some(Value { spec: *spec, text, origin: Origin::Variable }));
     }
-    if spec.kind == Kind::Secret
+    if spec.kind == SettingKind::Secret
         && let Some(path) = variable(&format!("{name}_FILE"))
     {
         return match file(&path) {
@@ -181,36 +182,36 @@
         return Ok(None);
     }
     let detail = match spec.kind {
-        Kind::Secret => format!("{name} or {name}_FILE must be set"),
+        SettingKind::Secret => format!("{name} or {name}_FILE must be set"),
         _ => format!("--{} or {name} must be set", spec.flag),
     };
     Err(SettingError { code: Code::SettingMissing, detail })
 }
 
-fn validate(value: Option<&Value>, spec: &Spec) -> Result<(), SettingError> {
+fn validate(value: Option<&Value>, spec: &SettingSpec) -> Result<(), SettingError> {
     let Some(value) = value else { return Ok(()) };
     let text = value.text.as_str();
     let setting = format!("--{} ({})", spec.flag, spec.variable());
     let invalid = |detail: String| Err(SettingError { code: Code::BadSetting, detail });
     match spec.kind {
-        Kind::Name => match InstanceId::new(text) {
+        SettingKind::Name => match InstanceId::new(text) {
             Ok(_) => Ok(()),
             Err(e) => invalid(format!("{setting}: {e}")),
         },
-        Kind::Address => match text.parse::<SocketAddr>() {
+        SettingKind::Address => match text.parse::<SocketAddr>() {
             Ok(_) => Ok(()),
             Err(_) => invalid(format!("{setting}: {text:?} is not ip:port")),
         },
-        Kind::Addresses => {
+        SettingKind::Addresses => {
             let addresses = text.split(',').map(str::trim).filter(|a| !a.is_empty());
             match addresses.into_iter().find(|a| a.parse::<SocketAddr>().is_err()) {
                 Some(a) => invalid(format!("{setting}: {a:?} is not ip:port")),
                 None => Ok(()),
             }
         }
-        Kind::Switch if text == "true" || text == "false" => Ok(()),
-        Kind::Switch => invalid(format!("{setting}: {text:?} is neither true nor false")),
-        Kind::Number { unit, min, max } => match text.parse::<u64>() {
+        SettingKind::Switch if text == "true" || text == "false" => Ok(()),
+        SettingKind::Switch => invalid(format!("{setting}: {text:?} is neither true nor false")),
+        SettingKind::Number { unit, min, max } => match text.parse::<u64>() {
             Ok(n) if (min..=max).contains(&n) => Ok(()),
             Ok(n) => {
                 let detail = format!("{setting}: {n} {unit} is not in {min} to {max}");
@@ -218,7 +219,7 @@
             }
             Err(_) => invalid(format!("{setting}: {text:?} is not a whole number of {unit}")),
         },
-        Kind::Decimal { unit, min, max } => match text.parse::<f64>() {
+        SettingKind::Decimal { unit, min, max } => match text.parse::<f64>() {
             Ok(n) if (min as f64..=max as f64).contains(&n) => Ok(()),
             Ok(n) => {
                 let detail = format!("{setting}: {n} {unit} is not in {min} to {max}");
@@ -226,10 +227,10 @@
             }
             Err(_) => invalid(format!("{setting}: {text:?} is not a number of {unit}")),
         },
-        Kind::Secret if text.len() < MIN_SECRET_LEN => {
+        SettingKind::Secret if text.len() < MIN_SECRET_LEN => {
             let detail = format!("{} is shorter than {MIN_SECRET_LEN} bytes", spec.variable());
             Err(SettingError { code: Code::SettingRange, detail })
         }
-        Kind::Text | Kind::Secret => Ok(()),
+        SettingKind::Text | SettingKind::Secret => Ok(()),
     }
 }
--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -14,7 +14,7 @@
     open, seal,
 };
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::routing::Placed;
+use nutmeggrade_core::routing::PlacedLoad;
 use nutmeggrade_policy::dispatch::LoadTable;
 use nutmeggrade_state::fleet_view::{FleetView, HEARTBEAT_INTERVAL, RelayOrder};
 
@@ -43,8 +43,8 @@
     Ok(InstanceAddresses { domain, client: at(80), beacon: at(90), control: at(70) })
 }
 
-fn placed(number: u32) -> anyhow::Result<BTreeMap<EndpointId, Placed>> {
-    let one = Placed { requests: 1, memory: 3_500, reading: 0, moving: 0 };
+fn placed(number: u32) -> anyhow::Result<BTreeMap<EndpointId, PlacedLoad>> {
+    let one = PlacedLoad { requests: 1, memory: 3_500, reading: 0, moving: 0 };
     let place = |n| Ok((EndpointId::new(&format!("engine-{}", (number * 7 + n) % 97))?, one));
     (0..PLACES).map(place).collect()
 }
--- a/crates/nutmeggrade-fakes/src/rollout/instance.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/instance.rs
@@ -7,7 +7,9 @@
 use nutmeggrade_core::routing::EndpointInfo;
 use nutmeggrade_policy::rollout::{Judge, RolloutInputs, canary_endpoints};
 use nutmeggrade_state::registry::{Registered, Registry};
-use nutmeggrade_state::rollout::{EndpointLoad, LastReport, RolloutTable, ServiceLoad, Standing};
+use nutmeggrade_state::rollout::{
+    EndpointLoad, LastReport, RolloutTable, ServiceLoad, VersionRole,
+};
 
 use super::endpoints::Endpoints;
 use super::plan::Plan;
@@ -84,16 +86,16 @@
     /// Lists the endpoints that a request may go to; `draw` is between 0 and 1.
     pub fn candidates(&self, draw: f64, now: Moment) -> Vec<usize> {
         let share = self.table.share(&self.service, now);
-        let standing = |e: &Registered| self.registry.standing(&e.info);
+        let role = |e: &Registered| self.registry.role(&e.info);
         let usable: Vec<&Registered> = self.registry.usable().collect();
-        let is_canary = |e: &&&Registered| standing(e) == Standing::Canary && e.is_warm(now);
+        let is_canary = |e: &&&Registered| role(e) == VersionRole::Canary && e.is_warm(now);
         let canaries: Vec<&Registered> = usable.iter().filter(is_canary).copied().collect();
         let number = |e: &Registered| Endpoints::number(&e.info.id);
         if draw < share && !canaries.is_empty() {
             let count = canary_endpoints(canaries.len(), share);
             return canaries.into_iter().take(count).filter_map(number).collect();
         }
-        let serving = usable.into_iter().filter(|e| standing(e) == Standing::Serving);
+        let serving = usable.into_iter().filter(|e| role(e) == VersionRole::Serving);
         serving.filter_map(number).collect()
     }
 
--- a/crates/nutmeggrade-policy/src/dispatch.rs
+++ b/crates/nutmeggrade-policy/src/dispatch.rs
@@ -15,5 +15,5 @@
 pub use failure_rate::FailureRate;
 pub use health::Health;
 pub use load_table::{LoadChanges, LoadTable};
-pub use nutmeggrade_core::routing::Placed;
+pub use nutmeggrade_core::routing::PlacedLoad;
 pub use room::{failure_rate_penalty, fits, score};
--- a/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::lane_key::LaneKey;
-use super::{Candidate, DispatchRequest, LoadTable, Placed, failure_rate_penalty, fits, score};
+use super::{Candidate, DispatchRequest, LoadTable, PlacedLoad, failure_rate_penalty, fits, score};
 use crate::queue::Lane;
 use crate::wait::WaitEstimate;
 use crate::{RetryJitter, Ticket};
@@ -169,7 +169,7 @@
     /// Records that a request goes to an endpoint.
     pub fn place(&mut self, request: &DispatchRequest, endpoint: &EndpointId) {
         let placed =
-            Placed { requests: 1, memory: request.memory, reading: request.prompt, moving: 0 };
+            PlacedLoad { requests: 1, memory: request.memory, reading: request.prompt, moving: 0 };
         self.book.place(request.ticket, endpoint, placed);
         let endpoints = self.candidates.get_mut(&request.service).into_iter().flatten();
         for candidate in endpoints.filter(|c| c.id == *endpoint) {
--- a/crates/nutmeggrade-policy/src/dispatch/load_table.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/load_table.rs
@@ -4,13 +4,13 @@
 
 use nutmeggrade_core::prelude::*;
 
-use super::{Health, Placed};
+use super::{Health, PlacedLoad};
 use crate::Ticket;
 
 #[derive(Debug, Clone)]
 struct OwnRequest {
     endpoint: EndpointId,
-    placed: Placed,
+    placed: PlacedLoad,
 }
 
 /// Load that this instance and its peers have placed at each endpoint.
@@ -21,9 +21,9 @@
 #[derive(Debug, Default)]
 pub struct LoadTable {
     own: BTreeMap<Ticket, OwnRequest>,
-    own_totals: BTreeMap<EndpointId, Placed>,
-    peers: BTreeMap<InstanceId, BTreeMap<EndpointId, Placed>>,
-    peer_totals: BTreeMap<EndpointId, Placed>,
+    own_totals: BTreeMap<EndpointId, PlacedLoad>,
+    peers: BTreeMap<InstanceId, BTreeMap<EndpointId, PlacedLoad>>,
+    peer_totals: BTreeMap<EndpointId, PlacedLoad>,
     health: BTreeMap<EndpointId, Health>,
     changed: BTreeSet<EndpointId>,
     is_urgent: bool,
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadChanges {
     /// Total load of the instance at each of these endpoints.
-    pub placed: BTreeMap<EndpointId, Placed>,
+    pub placed: BTreeMap<EndpointId, PlacedLoad>,
     /// Whether a copy of a generation began or ended; instances use this to take turns at copying.
     pub is_urgent: bool,
 }
@@ -45,7 +45,7 @@
     }
 
     /// Records that a request goes to an endpoint.
-    pub fn place(&mut self, ticket: Ticket, endpoint: &EndpointId, placed: Placed) {
+    pub fn place(&mut self, ticket: Ticket, endpoint: &EndpointId, placed: PlacedLoad) {
         self.end(ticket);
         self.mark_changed(endpoint, placed);
         *self.own_totals.entry(endpoint.clone()).or_default() += placed;
@@ -55,7 +55,7 @@
     /// Records that the prompt of a request has been read.
     pub fn record_prompt_read(&mut self, ticket: Ticket) {
         let Some(own) = self.own.get_mut(&ticket) else { return };
-        let read = Placed { reading: own.placed.reading, ..Placed::default() };
+        let read = PlacedLoad { reading: own.placed.reading, ..PlacedLoad::default() };
         own.placed -= read;
         self.changed.insert(own.endpoint.clone());
         if let Some(sum) = self.own_totals.get_mut(&own.endpoint) {
@@ -66,8 +66,8 @@
     /// Records how many tokens of a request are being copied to or from its endpoint.
     pub fn set_moving(&mut self, ticket: Ticket, tokens: u64) {
         let Some(own) = self.own.get_mut(&ticket) else { return };
-        let old = Placed { moving: own.placed.moving, ..Placed::default() };
-        let new = Placed { moving: tokens, ..Placed::default() };
+        let old = PlacedLoad { moving: own.placed.moving, ..PlacedLoad::default() };
+        let new = PlacedLoad { moving: tokens, ..PlacedLoad::default() };
         own.placed -= old;
         own.placed += new;
         self.is_urgent = true;
@@ -81,8 +81,10 @@
     /// Records that a request uses at least this much memory, which may exceed the expected amount.
     pub fn grow(&mut self, ticket: Ticket, memory: u64) {
         let Some(own) = self.own.get_mut(&ticket) else { return };
-        let growth =
-            Placed { memory: memory.saturating_sub(own.placed.memory), ..Placed::default() };
+        let growth = PlacedLoad {
+            memory: memory.saturating_sub(own.placed.memory),
+            ..PlacedLoad::default()
+        };
         own.placed += growth;
         if let Some(sum) = self.own_totals.get_mut(&own.endpoint) {
             *sum += growth;
@@ -102,18 +104,18 @@
     }
 
     /// Replaces the load of a peer.
-    pub fn set_peer(&mut self, peer: &InstanceId, placed: &BTreeMap<EndpointId, Placed>) {
+    pub fn set_peer(&mut self, peer: &InstanceId, placed: &BTreeMap<EndpointId, PlacedLoad>) {
         let old = self.peers.insert(peer.clone(), placed.clone()).unwrap_or_default();
         for (endpoint, old) in &old {
-            replace(&mut self.peer_totals, endpoint, *old, Placed::default());
+            replace(&mut self.peer_totals, endpoint, *old, PlacedLoad::default());
         }
         for (endpoint, new) in placed {
-            replace(&mut self.peer_totals, endpoint, Placed::default(), *new);
+            replace(&mut self.peer_totals, endpoint, PlacedLoad::default(), *new);
         }
     }
 
     /// Updates the load of a peer at some endpoints.
-    pub fn change_peer(&mut self, peer: &InstanceId, placed: &BTreeMap<EndpointId, Placed>) {
+    pub fn change_peer(&mut self, peer: &InstanceId, placed: &BTreeMap<EndpointId, PlacedLoad>) {
         let peer_load = self.peers.entry(peer.clone()).or_default();
         for (endpoint, new) in placed {
             let old = peer_load.insert(endpoint.clone(), *new).unwrap_or_default();
@@ -144,7 +146,7 @@
     /// Marks an endpoint's load for immediate transmission to peers if the request is for an
     /// engine, where a choice without it costs memory and seconds. Short calls end before it would
     /// help.
-    fn mark_changed(&mut self, endpoint: &EndpointId, placed: Placed) {
+    fn mark_changed(&mut self, endpoint: &EndpointId, placed: PlacedLoad) {
         if placed.memory > 0 {
             self.changed.insert(endpoint.clone());
         }
@@ -158,14 +160,14 @@
     }
 
     /// Returns the total load of an endpoint.
-    pub fn at(&self, endpoint: &EndpointId) -> Placed {
+    pub fn at(&self, endpoint: &EndpointId) -> PlacedLoad {
         let mut sum = self.own_totals.get(endpoint).copied().unwrap_or_default();
         sum += self.peer_totals.get(endpoint).copied().unwrap_or_default();
         sum
     }
 
     /// Returns the load of this instance at each endpoint.
-    pub fn own(&self) -> &BTreeMap<EndpointId, Placed> {
+    pub fn own(&self) -> &BTreeMap<EndpointId, PlacedLoad> {
         &self.own_totals
     }
 
@@ -195,11 +197,16 @@
 }
 
 /// Replaces a contribution to an endpoint's total and removes totals that become zero.
-fn replace(totals: &mut BTreeMap<EndpointId, Placed>, id: &EndpointId, old: Placed, new: Placed) {
+fn replace(
+    totals: &mut BTreeMap<EndpointId, PlacedLoad>,
+    id: &EndpointId,
+    old: PlacedLoad,
+    new: PlacedLoad,
+) {
     let sum = totals.entry(id.clone()).or_default();
     *sum -= old;
     *sum += new;
-    if *sum == Placed::default() {
+    if *sum == PlacedLoad::default() {
         totals.remove(id);
     }
 }
--- a/crates/nutmeggrade-policy/src/dispatch/room.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/room.rs
@@ -1,6 +1,6 @@
 //! Capacity checks and scores of endpoints.
 
-use super::{Candidate, DispatchRequest, Placed};
+use super::{Candidate, DispatchRequest, PlacedLoad};
 
 /// Fraction of an engine's memory that is committed to requests.
 ///
@@ -36,7 +36,7 @@
 /// Memory is counted by what answers will use in the end. Otherwise an engine would run out of
 /// memory in the middle of answers: it would preempt the newest and read its prompt again, the
 /// client would see the stream stall, and the work would be wasted.
-pub fn fits(candidate: &Candidate, placed: &Placed, request: &DispatchRequest) -> bool {
+pub fn fits(candidate: &Candidate, placed: &PlacedLoad, request: &DispatchRequest) -> bool {
     if candidate.cold_left == Some(0) {
         return false;
     }
@@ -55,7 +55,7 @@
 }
 
 /// Returns the cost score of an endpoint, lower being better; 1 is about a full endpoint.
-pub fn score(candidate: &Candidate, placed: &Placed, recent_failures: f64) -> f64 {
+pub fn score(candidate: &Candidate, placed: &PlacedLoad, recent_failures: f64) -> f64 {
     let slots = f64::from(placed.requests) / f64::from(candidate.slots.max(1));
     let load = match candidate.memory {
         Some(memory) => {
--- a/crates/nutmeggrade-relay/src/relay/handler.rs
+++ b/crates/nutmeggrade-relay/src/relay/handler.rs
@@ -130,7 +130,7 @@
     fn finish_without_room(&mut self, failure: Failure) -> Result<FinalResponse, Failure> {
         match self.failed_response.take() {
             Some((head, body)) => Ok(FinalResponse::Buffered(head, body)),
-            None if self.attempt.run() == Run::NotRun => Err(failure),
+            None if self.attempt.run() == RunStatus::NotRun => Err(failure),
             None => Err(self.failure(Code::OutcomeUnknown, &failure.detail)),
         }
     }
@@ -298,7 +298,7 @@
     /// one that may have run never does.
     fn failure(&self, code: Code, detail: &str) -> Failure {
         let run = self.attempt.run();
-        if run == Run::NotRun {
+        if run == RunStatus::NotRun {
             return Failure::new(Code::NoRoom, detail).with_retry_after(NOT_RUN_RETRY_DELAY);
         }
         let code = if code == Code::NoRoom { Code::OutcomeUnknown } else { code };
@@ -308,7 +308,7 @@
     /// Ends the attempt and returns the failure for a request whose deadline passed.
     fn deadline_failure(&mut self) -> Failure {
         self.attempt.end();
-        if self.attempt.run() == Run::NotRun {
+        if self.attempt.run() == RunStatus::NotRun {
             return Failure::new(Code::TooLate, "the time passed before an endpoint had room")
                 .with_retry_after(NOT_RUN_RETRY_DELAY);
         }
--- a/crates/nutmeggrade-relay/src/relay/refusal.rs
+++ b/crates/nutmeggrade-relay/src/relay/refusal.rs
@@ -55,8 +55,8 @@
     let code_status =
         StatusCode::from_u16(failure.code.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let means_not_run = NOT_RUN_STATUSES.contains(&code_status);
-    invariant::check(!means_not_run || failure.run == Run::NotRun, "not_run_is_true");
-    let status = if means_not_run && failure.run != Run::NotRun {
+    invariant::check(!means_not_run || failure.run == RunStatus::NotRun, "not_run_is_true");
+    let status = if means_not_run && failure.run != RunStatus::NotRun {
         StatusCode::BAD_GATEWAY
     } else {
         code_status
--- a/crates/nutmeggrade-relay/src/settings.rs
+++ b/crates/nutmeggrade-relay/src/settings.rs
@@ -8,7 +8,7 @@
 
 use anyhow::Context;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::{Kind, SettingError, Spec, Values};
+use nutmeggrade_core::settings::{SettingError, SettingKind, SettingSpec, SettingValues};
 use nutmeggrade_policy::fleet::ResendLimits;
 use nutmeggrade_policy::rollout::ExposureBound;
 
@@ -17,82 +17,114 @@
 const SECONDS: &str = "s";
 const UNITLESS: &str = "1";
 
-const SPECS: &[Spec] = &[
-    Spec::new("instance", Kind::Name, "name of this instance"),
-    Spec::new("domain", Kind::Name, "failure domain of this instance"),
-    Spec::new("platform", Kind::Address, "address of the platform's store"),
-    Spec::new("client-address", Kind::Address, "where clients connect"),
-    Spec::new("ready-address", Kind::Address, "where the platform asks for readiness"),
-    Spec::new("directory-address", Kind::Address, "where clients ask for instances"),
-    Spec::new("control-address", Kind::Address, "where peers ask for what they can't read"),
-    Spec::new("beacon-address", Kind::Address, "where peers' heartbeats come in, by UDP"),
-    Spec::new("metrics-address", Kind::Address, "where metrics are served"),
-    Spec::new("seeds", Kind::Addresses, "control addresses of instances to begin with")
-        .with_default(""),
-    Spec::new("descriptors", whole(64, 1_048_576), "file descriptors that the process may use")
-        .with_default("1024"),
-    Spec::new(
+const SPECS: &[SettingSpec] = &[
+    SettingSpec::new("instance", SettingKind::Name, "name of this instance"),
+    SettingSpec::new("domain", SettingKind::Name, "failure domain of this instance"),
+    SettingSpec::new("platform", SettingKind::Address, "address of the platform's store"),
+    SettingSpec::new("client-address", SettingKind::Address, "where clients connect"),
+    SettingSpec::new(
+        "ready-address",
+        SettingKind::Address,
+        "where the platform asks for readiness",
+    ),
+    SettingSpec::new("directory-address", SettingKind::Address, "where clients ask for instances"),
+    SettingSpec::new(
+        "control-address",
+        SettingKind::Address,
+        "where peers ask for what they can't read",
+    ),
+    SettingSpec::new(
+        "beacon-address",
+        SettingKind::Address,
+        "where peers' heartbeats come in, by UDP",
+    ),
+    SettingSpec::new("metrics-address", SettingKind::Address, "where metrics are served"),
+    SettingSpec::new(
+        "seeds",
+        SettingKind::Addresses,
+        "control addresses of instances to begin with",
+    )
+    .with_default(""),
+    SettingSpec::new(
+        "descriptors",
+        whole(64, 1_048_576),
+        "file descriptors that the process may use",
+    )
+    .with_default("1024"),
+    SettingSpec::new(
         "memory",
-        Kind::Number { unit: "MB", min: 16, max: 1_048_576 },
+        SettingKind::Number { unit: "MB", min: 16, max: 1_048_576 },
         "memory that the process may use",
     )
     .with_default("256"),
-    Spec::new("grace", decimal(SECONDS, 1, 3_600), "time from SIGTERM until the process is killed")
-        .with_default("8"),
-    Spec::new(
+    SettingSpec::new(
+        "grace",
+        decimal(SECONDS, 1, 3_600),
+        "time from SIGTERM until the process is killed",
+    )
+    .with_default("8"),
+    SettingSpec::new(
         "entry-keep",
         decimal(SECONDS, 1, 600),
         "longest that clients keep an instance's address",
     )
     .with_default("5"),
-    Spec::new("resend-ratio", decimal(UNITLESS, 0, 100), "second sends allowed for each request")
-        .with_default("0.1"),
-    Spec::new(
+    SettingSpec::new(
+        "resend-ratio",
+        decimal(UNITLESS, 0, 100),
+        "second sends allowed for each request",
+    )
+    .with_default("0.1"),
+    SettingSpec::new(
         "resend-window",
         decimal(SECONDS, 1, 3_600),
         "time over which second sends are counted",
     )
     .with_default("10"),
-    Spec::new(
+    SettingSpec::new(
         "resend-extra",
         decimal(UNITLESS, 0, 1_000_000),
         "further second sends in each window",
     )
     .with_default("10"),
-    Spec::new(
+    SettingSpec::new(
         "cold-overrun",
         decimal(UNITLESS, 0, 100),
         "how far a cold endpoint's rate may be exceeded",
     )
     .with_default("1"),
-    Spec::new(
+    SettingSpec::new(
         "cold-tolerance",
         decimal(UNITLESS, 0, 1_000),
         "requests beyond a cold endpoint's rate",
     )
     .with_default("0"),
-    Spec::new(
+    SettingSpec::new(
         "exposure-share",
         decimal(UNITLESS, 0, 1),
         "part of a service's requests that a bad version may get; 0 follows no roll-outs",
     )
     .with_default("0"),
-    Spec::new(
+    SettingSpec::new(
         "exposure-tolerance",
         decimal(UNITLESS, 0, 1_000_000),
         "requests that a bad version may get beyond that part",
     )
     .with_default("0"),
-    Spec::new("log", Kind::Text, "log level, as in info or warn,nutmeggrade_relay=debug")
-        .with_default("info"),
+    SettingSpec::new(
+        "log",
+        SettingKind::Text,
+        "log level, as in info or warn,nutmeggrade_relay=debug",
+    )
+    .with_default("info"),
 ];
 
-const fn whole(min: u64, max: u64) -> Kind {
-    Kind::Number { unit: UNITLESS, min, max }
+const fn whole(min: u64, max: u64) -> SettingKind {
+    SettingKind::Number { unit: UNITLESS, min, max }
 }
 
-const fn decimal(unit: &'static str, min: u64, max: u64) -> Kind {
-    Kind::Decimal { unit, min, max }
+const fn decimal(unit: &'static str, min: u64, max: u64) -> SettingKind {
+    SettingKind::Decimal { unit, min, max }
 }
 
 /// Validated settings of an instance that serves requests.
@@ -136,7 +168,7 @@
     pub exposure: Option<ExposureBound>,
     /// Log filter.
     pub log: String,
-    values: Values,
+    values: SettingValues,
 }
 
 impl Settings {
@@ -154,7 +186,7 @@
         };
         let variable = |name: &str| file.get(name).or_else(|| std::env::var(name).ok());
         let secret = |path: &str| std::fs::read_to_string(path).map_err(|e| e.to_string());
-        let values = Values::load(SPECS, args, variable, secret).map_err(|mistakes| {
+        let values = SettingValues::load(SPECS, args, variable, secret).map_err(|mistakes| {
             mistakes.into_iter().map(|m| file.locate(m, SPECS)).collect::<Vec<_>>()
         })?;
         Self::new(values)
@@ -163,7 +195,7 @@
 
     /// Returns the help text with every setting.
     pub fn usage(brief: &str) -> String {
-        Values::options(SPECS).usage(brief)
+        SettingValues::options(SPECS).usage(brief)
     }
 
     /// Lists the settings in force with their origin.
@@ -171,7 +203,7 @@
         self.values.lines()
     }
 
-    fn new(values: Values) -> anyhow::Result<Self> {
+    fn new(values: SettingValues) -> anyhow::Result<Self> {
         let address = |flag| values.address(flag).with_context(|| format!("--{flag}"));
         let beacon_address = address("beacon-address")?;
         // Ports are the same on all instances of a deployment, so seeds only name the IP addresses.
@@ -205,7 +237,7 @@
     }
 }
 
-fn exposure(values: &Values) -> Option<ExposureBound> {
+fn exposure(values: &SettingValues) -> Option<ExposureBound> {
     let share = values.decimal("exposure-share");
     let tolerance = values.decimal("exposure-tolerance");
     (share > 0.0).then_some(ExposureBound { share, tolerance })
--- a/crates/nutmeggrade-relay/src/settings/file.rs
+++ b/crates/nutmeggrade-relay/src/settings/file.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::{SettingError, Spec};
+use nutmeggrade_core::settings::{SettingError, SettingSpec};
 
 #[derive(Debug, Clone)]
 struct Line {
@@ -22,7 +22,7 @@
 impl SettingsFile {
     /// Reads a file and rejects variables that belong to no setting: a mistyped one would otherwise
     /// silently leave its setting at the default.
-    pub fn load(path: &Path, specs: &[Spec]) -> Result<Self, Vec<SettingError>> {
+    pub fn load(path: &Path, specs: &[SettingSpec]) -> Result<Self, Vec<SettingError>> {
         let text = std::fs::read_to_string(path).map_err(|e| {
             let detail = format!("{}: {e}", path.display());
             vec![SettingError { code: Code::BadSetting, detail }]
@@ -46,7 +46,7 @@
         &mut self,
         line: &str,
         number: usize,
-        specs: &[Spec],
+        specs: &[SettingSpec],
     ) -> Result<(), SettingError> {
         let place = format!("{}:{number}", self.path.display());
         let Some((name, value)) = line.split_once('=') else {
@@ -69,8 +69,8 @@
     }
 
     /// Adds the file and line number to a mistake in a value from the file.
-    pub fn locate(&self, mut mistake: SettingError, specs: &[Spec]) -> SettingError {
-        let variables = specs.iter().map(Spec::variable);
+    pub fn locate(&self, mut mistake: SettingError, specs: &[SettingSpec]) -> SettingError {
+        let variables = specs.iter().map(SettingSpec::variable);
         let line = variables
             .filter(|v| mistake.detail.contains(&format!("({v})")))
             .find_map(|v| self.lines.get(&v));
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -15,7 +15,7 @@
 use nutmeggrade_state::crash_log::CrashLog;
 use nutmeggrade_state::fleet_view::FleetView;
 use nutmeggrade_state::registry::{Registered, Registry};
-use nutmeggrade_state::rollout::{EndpointLoad, RolloutTable, ServiceLoad, Standing};
+use nutmeggrade_state::rollout::{EndpointLoad, RolloutTable, ServiceLoad, VersionRole};
 use tokio::sync::oneshot;
 
 use crate::settings::Settings;
@@ -204,7 +204,7 @@
                 candidate.cold_left = Some(share.left(bound, rank, sharers, now));
                 cold_ids.insert(entry.info.id.clone());
             }
-            if self.registry.standing(&entry.info) != Standing::Canary {
+            if self.registry.role(&entry.info) != VersionRole::Canary {
                 candidates.entry(spec.name.clone()).or_default().push(candidate);
             } else if entry.is_warm(now) {
                 candidate.is_canary = true;
--- a/crates/nutmeggrade-state/src/attempt.rs
+++ b/crates/nutmeggrade-state/src/attempt.rs
@@ -29,21 +29,21 @@
     kind: RouteKind,
     max_sends: u32,
     sends: u32,
-    run: Run,
+    run: RunStatus,
     stage: Stage,
 }
 
 impl Attempt {
     /// Creates an attempt on a route that allows sends to `max_sends` endpoints.
     pub const fn new(kind: RouteKind, max_sends: u32) -> Self {
-        Self { kind, max_sends, sends: 0, run: Run::NotRun, stage: Stage::Waiting }
+        Self { kind, max_sends, sends: 0, run: RunStatus::NotRun, stage: Stage::Waiting }
     }
 
     /// Returns whether the request may be sent to an endpoint.
     pub fn may_send(&self) -> bool {
         self.stage == Stage::Waiting
             && self.sends < self.max_sends
-            && (self.run == Run::NotRun || self.kind.is_repeatable())
+            && (self.run == RunStatus::NotRun || self.kind.is_repeatable())
     }
 
     /// Records that the request is about to be sent to an endpoint, before its first byte goes out.
@@ -72,15 +72,15 @@
 
     /// Records that the endpoint answered with a failure of its own.
     pub fn failed(&mut self) {
-        self.run = Run::Ran;
+        self.run = RunStatus::Ran;
         self.return_to_waiting();
     }
 
     /// Records that the connection ended without an answer to the request, or in the middle of one
     /// that was being passed on. A request that may continue elsewhere waits for an endpoint again.
     pub fn lost(&mut self) {
-        if self.run == Run::NotRun {
-            self.run = Run::Unknown;
+        if self.run == RunStatus::NotRun {
+            self.run = RunStatus::Unknown;
         }
         if self.stage == Stage::Answering {
             self.stage = Stage::Waiting;
@@ -90,22 +90,22 @@
 
     /// Records that the answer is being passed on.
     pub fn answer(&mut self) {
-        self.run = Run::Ran;
+        self.run = RunStatus::Ran;
         self.stage = Stage::Answering;
     }
 
     /// Records the end of the attempt, whatever its result.
     pub fn end(&mut self) {
-        if self.stage == Stage::Sent && self.run == Run::NotRun {
-            self.run = Run::Unknown;
+        if self.stage == Stage::Sent && self.run == RunStatus::NotRun {
+            self.run = RunStatus::Unknown;
         }
         self.stage = Stage::Ended;
     }
 
     /// Returns the execution state of the request; a request at an endpoint may be running.
-    pub const fn run(&self) -> Run {
+    pub const fn run(&self) -> RunStatus {
         match (self.stage, self.run) {
-            (Stage::Sent, Run::NotRun) => Run::Unknown,
+            (Stage::Sent, RunStatus::NotRun) => RunStatus::Unknown,
             (_, run) => run,
         }
     }
--- a/crates/nutmeggrade-state/src/claiming.rs
+++ b/crates/nutmeggrade-state/src/claiming.rs
@@ -106,9 +106,9 @@
 }
 
 /// Returns what the caller is told about the execution of a call whose claim was rejected.
-pub const fn refused_run(code: Code) -> Run {
+pub const fn refused_run(code: Code) -> RunStatus {
     match code {
-        Code::KeyReused => Run::NotRun,
-        _ => Run::Unknown,
+        Code::KeyReused => RunStatus::NotRun,
+        _ => RunStatus::Unknown,
     }
 }
--- a/crates/nutmeggrade-state/src/cold_load.rs
+++ b/crates/nutmeggrade-state/src/cold_load.rs
@@ -10,7 +10,7 @@
 
 /// Identifies one generation at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Slot(pub u64);
+pub struct SlotId(pub u64);
 
 /// An endpoint's report of its load, with its time on this instance's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub struct ColdLoad {
     sample: Option<LoadSample>,
-    slots: BTreeMap<Slot, SlotTimes>,
+    slots: BTreeMap<SlotId, SlotTimes>,
 }
 
 impl ColdLoad {
@@ -88,19 +88,19 @@
     }
 
     /// Counts a generation.
-    pub fn take(&mut self, slot: Slot) {
+    pub fn take(&mut self, slot: SlotId) {
         self.slots.insert(slot, SlotTimes::default());
     }
 
     /// Records that the endpoint certainly has the generation from `now` on.
-    pub fn note_started(&mut self, slot: Slot, now: Moment) {
+    pub fn note_started(&mut self, slot: SlotId, now: Moment) {
         if let Some(times) = self.slots.get_mut(&slot) {
             times.started.get_or_insert(now);
         }
     }
 
     /// Records that the generation ended or was abandoned.
-    pub fn leave(&mut self, slot: Slot, now: Moment) {
+    pub fn leave(&mut self, slot: SlotId, now: Moment) {
         if let Some(times) = self.slots.get_mut(&slot) {
             times.released.get_or_insert(now);
         }
--- a/crates/nutmeggrade-state/src/cold_rights.rs
+++ b/crates/nutmeggrade-state/src/cold_rights.rs
@@ -6,7 +6,7 @@
 use nutmeggrade_core::peer::Assignment;
 use nutmeggrade_core::prelude::*;
 
-use crate::cold_load::{ColdLoad, LoadSample, Slot};
+use crate::cold_load::{ColdLoad, LoadSample, SlotId};
 use crate::invariant;
 use crate::membership::Candidate;
 
@@ -163,7 +163,7 @@
     ///
     /// At a warm endpoint the slot is only counted, in case the endpoint turns cold. At a cold one
     /// only the owner gets a slot, within the endpoint's limit.
-    pub fn take_slot(&mut self, endpoint: &EndpointId, slot: Slot, now: Moment) -> bool {
+    pub fn take_slot(&mut self, endpoint: &EndpointId, slot: SlotId, now: Moment) -> bool {
         let since = self.owned_since(endpoint, now);
         let load = self.loads.entry(endpoint.clone()).or_default();
         if !load.is_cold(now) {
@@ -180,14 +180,14 @@
     }
 
     /// Records the first token of a generation: from then on the endpoint's reports contain it.
-    pub fn note_started(&mut self, endpoint: &EndpointId, slot: Slot, now: Moment) {
+    pub fn note_started(&mut self, endpoint: &EndpointId, slot: SlotId, now: Moment) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.note_started(slot, now);
         }
     }
 
     /// Releases a slot, which counts as taken until a later report of the endpoint.
-    pub fn leave_slot(&mut self, endpoint: &EndpointId, slot: Slot, now: Moment) {
+    pub fn leave_slot(&mut self, endpoint: &EndpointId, slot: SlotId, now: Moment) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.leave(slot, now);
         }
--- a/crates/nutmeggrade-state/src/forward_queue.rs
+++ b/crates/nutmeggrade-state/src/forward_queue.rs
@@ -4,13 +4,13 @@
 
 use nutmeggrade_core::peer::{DomainPart, InstanceLoad};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::routing::Placed;
+use nutmeggrade_core::routing::PlacedLoad;
 
 /// Maximum number of instances whose changes go into one datagram; each takes about a hundred
 /// bytes.
 const MAX_INSTANCES: usize = 32;
 
-type PlacedByEndpoint = BTreeMap<EndpointId, Placed>;
+type PlacedByEndpoint = BTreeMap<EndpointId, PlacedLoad>;
 
 /// Queue of changes of placed work that are forwarded in batches, by the part of the failure domain
 /// that they go to.
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Beacon, Echo, Entry};
+use nutmeggrade_core::peer::{Beacon, Echo, InstanceEntry};
 use nutmeggrade_core::prelude::*;
 
 /// Number of own heartbeats whose send time is stored; echoes of older ones are ignored.
@@ -11,7 +11,7 @@
 
 #[derive(Debug, Clone)]
 struct Peer {
-    entry: Entry,
+    entry: InstanceEntry,
     heard: Option<Moment>,
     sequence: u64,
     config_version: u64,
@@ -33,7 +33,7 @@
 /// Table of the peers with their last heartbeats.
 #[derive(Debug)]
 pub struct Membership {
-    own_entry: Entry,
+    own_entry: InstanceEntry,
     timeout: Duration,
     peers: BTreeMap<InstanceId, Peer>,
     sent: VecDeque<(u64, Moment)>,
@@ -41,7 +41,7 @@
 
 impl Membership {
     /// Creates a table without peers; a peer silent for longer than `timeout` counts as gone.
-    pub fn new(own_entry: &Entry, timeout: Duration) -> Self {
+    pub fn new(own_entry: &InstanceEntry, timeout: Duration) -> Self {
         Self {
             own_entry: own_entry.clone(),
             timeout,
@@ -51,13 +51,13 @@
     }
 
     /// Returns this instance's own entry.
-    pub const fn own(&self) -> &Entry {
+    pub const fn own(&self) -> &InstanceEntry {
         &self.own_entry
     }
 
     /// Adds an instance listed by the platform; returns whether it is new or has a newer
     /// incarnation.
-    pub fn learn(&mut self, entry: &Entry) -> bool {
+    pub fn learn(&mut self, entry: &InstanceEntry) -> bool {
         if entry.instance == self.own_entry.instance {
             return false;
         }
@@ -80,7 +80,7 @@
     }
 
     /// Removes an instance that deregistered itself from the platform.
-    pub fn forget(&mut self, instance: &InstanceId) -> Option<Entry> {
+    pub fn forget(&mut self, instance: &InstanceId) -> Option<InstanceEntry> {
         self.peers.remove(instance).map(|p| p.entry)
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Lists the known peers without a recent heartbeat.
-    pub fn silent(&self, now: Moment) -> Vec<Entry> {
+    pub fn silent(&self, now: Moment) -> Vec<InstanceEntry> {
         let silent = self.peers.values().filter(|p| !self.is_live(&p.entry.instance, now));
         silent.map(|p| p.entry.clone()).collect()
     }
@@ -163,13 +163,13 @@
     }
 
     /// Lists the peers with a recent heartbeat.
-    pub fn live(&self, now: Moment) -> Vec<&Entry> {
+    pub fn live(&self, now: Moment) -> Vec<&InstanceEntry> {
         self.recently_heard(now).map(|p| &p.entry).collect()
     }
 
     /// Lists the peers that callers may be sent to: those with a recent heartbeat that are not
     /// leaving.
-    pub fn open(&self, now: Moment) -> Vec<&Entry> {
+    pub fn open(&self, now: Moment) -> Vec<&InstanceEntry> {
         self.recently_heard(now).filter(|p| !p.leaving).map(|p| &p.entry).collect()
     }
 
@@ -181,7 +181,7 @@
 
     /// Returns whether one incarnation of an instance is live, which includes this one.
     pub fn is_alive(&self, instance: &InstanceId, incarnation: u64, now: Moment) -> bool {
-        let is_match = |e: &Entry| e.instance == *instance && e.incarnation == incarnation;
+        let is_match = |e: &InstanceEntry| e.instance == *instance && e.incarnation == incarnation;
         is_match(&self.own_entry) || self.recently_heard(now).any(|p| is_match(&p.entry))
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Lists the peers whose configuration in force has at least this version.
-    pub fn holders(&self, version: u64) -> Vec<Entry> {
+    pub fn holders(&self, version: u64) -> Vec<InstanceEntry> {
         let holders = self.peers.values().filter(|p| p.config_version >= version);
         holders.map(|p| p.entry.clone()).collect()
     }
--- a/crates/nutmeggrade-state/src/registry.rs
+++ b/crates/nutmeggrade-state/src/registry.rs
@@ -8,7 +8,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
 
-use crate::rollout::{Standing, VersionRule};
+use crate::rollout::{VersionRole, VersionRule};
 
 /// Time for which an endpoint stays usable after it lost its entry in a platform outage. Entries of
 /// live endpoints lapse during an outage and are back within two seconds after it; the margin is
@@ -200,7 +200,7 @@
         let Some(entry) = self.endpoints.get(id) else { return true };
         let is_missing = entry.missing_until.is_some();
         entry.info.leaving
-            || self.standing(&entry.info) == Standing::Retired
+            || self.role(&entry.info) == VersionRole::Retired
             || (is_missing && self.is_mostly_registered(&entry.info.service))
     }
 
@@ -238,6 +238,6 @@
 
     fn in_service(&self, entry: &Registered) -> bool {
         self.is_open(entry)
-            && matches!(self.standing(&entry.info), Standing::Serving | Standing::Canary)
+            && matches!(self.role(&entry.info), VersionRole::Serving | VersionRole::Canary)
     }
 }
--- a/crates/nutmeggrade-state/src/registry/versions.rs
+++ b/crates/nutmeggrade-state/src/registry/versions.rs
@@ -7,7 +7,7 @@
 use nutmeggrade_core::routing::EndpointInfo;
 
 use super::{Registered, Registry};
-use crate::rollout::{Standing, VersionRule};
+use crate::rollout::{VersionRole, VersionRule};
 
 /// Time for which a new version of a service gets no work, unless a roll-out order applies to it.
 const NEW_VERSION_HOLD: Duration = Duration::from_secs(1);
@@ -42,7 +42,8 @@
             let (newest, _) = first_seen.values().max()?;
             let is_held_back = newest > joined && now.since(*newest) < NEW_VERSION_HOLD;
             let applies = first_seen.len() > 1 && (!orders_known || is_held_back);
-            let (version, new, old) = (Clone::clone(*version), Standing::Serving, Standing::Held);
+            let (version, new, old) =
+                (Clone::clone(*version), VersionRole::Serving, VersionRole::Held);
             applies.then(|| (service.clone(), VersionRule { version, new, old }))
         };
         versions.into_iter().filter_map(rule).collect()
@@ -57,13 +58,13 @@
 
     /// Returns what an endpoint may get because of its version. If a service has only endpoints of
     /// the target version, these serve it even if the version is held.
-    pub fn standing(&self, info: &EndpointInfo) -> Standing {
-        let Some(rule) = self.versions.get(&info.service) else { return Standing::Serving };
-        let standing = rule.standing(info.version.as_ref());
-        if standing == Standing::Held && !self.has_other_version(&info.service, &rule.version) {
-            return Standing::Serving;
+    pub fn role(&self, info: &EndpointInfo) -> VersionRole {
+        let Some(rule) = self.versions.get(&info.service) else { return VersionRole::Serving };
+        let role = rule.role(info.version.as_ref());
+        if role == VersionRole::Held && !self.has_other_version(&info.service, &rule.version) {
+            return VersionRole::Serving;
         }
-        standing
+        role
     }
 
     /// Returns whether the service has a registered endpoint of another version.
--- a/crates/nutmeggrade-state/src/rollout.rs
+++ b/crates/nutmeggrade-state/src/rollout.rs
@@ -10,4 +10,4 @@
 pub use last_report::LastReport;
 pub use service_load::{EndpointLoad, ServiceLoad};
 pub use table::{RolloutTable, RolloutView, StateChange};
-pub use version_rule::{Standing, VersionRule};
+pub use version_rule::{VersionRole, VersionRule};
--- a/crates/nutmeggrade-state/src/rollout/version_rule.rs
+++ b/crates/nutmeggrade-state/src/rollout/version_rule.rs
@@ -5,7 +5,7 @@
 
 /// Work that an endpoint may get because of its version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum VersionRole {
     /// All requests.
     Serving,
     /// Only the share of the requests selected for it.
@@ -22,9 +22,9 @@
     /// The target version of the service.
     pub version: VersionId,
     /// Work for endpoints of that version.
-    pub new: Standing,
+    pub new: VersionRole,
     /// Work for all other endpoints.
-    pub old: Standing,
+    pub old: VersionRole,
 }
 
 impl VersionRule {
@@ -34,16 +34,16 @@
             Canary, Cleared, Completed, Held, Reverted, Reverting, Switching, Withdrawn,
         };
         let (old, new) = match phase {
-            Held | Withdrawn => (Standing::Serving, Standing::Held),
-            Canary => (Standing::Serving, Standing::Canary),
-            Switching | Cleared | Completed => (Standing::Retired, Standing::Serving),
-            Reverting | Reverted => (Standing::Serving, Standing::Retired),
+            Held | Withdrawn => (VersionRole::Serving, VersionRole::Held),
+            Canary => (VersionRole::Serving, VersionRole::Canary),
+            Switching | Cleared | Completed => (VersionRole::Retired, VersionRole::Serving),
+            Reverting | Reverted => (VersionRole::Serving, VersionRole::Retired),
         };
         Self { version: version.clone(), new, old }
     }
 
     /// Returns the work that an endpoint of a version may get.
-    pub fn standing(&self, version: Option<&VersionId>) -> Standing {
+    pub fn role(&self, version: Option<&VersionId>) -> VersionRole {
         if version == Some(&self.version) { self.new } else { self.old }
     }
 }
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -25,7 +25,7 @@
 
 /// Admission decision for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Gate {
+pub enum Admission {
     /// Start it as usual.
     Free,
     /// Start it as the only running suspect.
@@ -104,29 +104,29 @@
     }
 
     /// Returns the admission decision for a request; a waiting request asks again with the same id.
-    pub fn gate(&mut self, request: PromptHash, id: TrialId, now: Moment) -> Gate {
+    pub fn gate(&mut self, request: PromptHash, id: TrialId, now: Moment) -> Admission {
         self.remove_expired(now);
         if self.is_rejected(request, now) {
-            return Gate::Refuse;
+            return Admission::Refuse;
         }
         let counted = self.counted_crashes(request, now);
         if count_distinct(&counted) >= 2 {
             // A report that another request caused the last crash may still be on its way from a
             // peer.
-            return Gate::Wait;
+            return Admission::Wait;
         }
         if !counted.iter().any(|c| c.before_token) {
-            return Gate::Free;
+            return Admission::Free;
         }
         let trial = Trial { request, since: now, running: false };
         let trial = *self.trials.entry(id).or_insert(trial);
         if now.since(trial.since) < self.gossip_delay || !self.is_next(request, id, now) {
-            return Gate::Wait;
+            return Admission::Wait;
         }
         self.trials.insert(id, Trial { running: true, ..trial });
         let running = self.trials.values().filter(|t| t.running).count();
         invariant::check(running == 1, "one_suspect_runs");
-        Gate::Trial
+        Admission::Trial
     }
 
     /// Ends the wait or trial of a request, whatever its result.
--- a/crates/nutmeggrade/src/front/completions.rs
+++ b/crates/nutmeggrade/src/front/completions.rs
@@ -91,7 +91,7 @@
     // The wait can't fail: the sender is a field of the node.
     drop(node.watch_phase().wait_for(|p| *p >= Phase::Closing).await);
     let failure = Failure::new(Code::Leaving, "this instance stopped; ask another");
-    failure.with_run(Run::Unknown).with_retry_after(node.settings.beacon)
+    failure.with_run(RunStatus::Unknown).with_retry_after(node.settings.beacon)
 }
 
 fn select_task<'a>(
@@ -167,7 +167,7 @@
             SessionEvent::Moved => {
                 let failure = Failure::new(Code::Leaving, "this instance stopped; ask another");
                 let delay = session.node().settings.beacon;
-                return Err(failure.with_run(Run::Ran).with_retry_after(delay));
+                return Err(failure.with_run(RunStatus::Ran).with_retry_after(delay));
             }
         }
     }
--- a/crates/nutmeggrade/src/front/entries.rs
+++ b/crates/nutmeggrade/src/front/entries.rs
@@ -1,6 +1,6 @@
 //! `GET /v1/entries`: the addresses at which callers can connect.
 
-use nutmeggrade_core::peer::Entry;
+use nutmeggrade_core::peer::InstanceEntry;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
 use serde_json::json;
@@ -26,11 +26,11 @@
 ///
 /// Instances that are leaving or are in a failure domain that operators took out of service are not
 /// listed. If none remains, this instance lists itself, since a caller needs some address.
-pub fn list<P: Platform>(node: &Node<P>) -> Vec<Entry> {
+pub fn list<P: Platform>(node: &Node<P>) -> Vec<InstanceEntry> {
     let config = lock(&node.tables.config).current();
     let is_out =
         |domain: &DomainId| config.as_ref().is_some_and(|c| c.out_domains.contains(domain));
-    let mut available: Vec<Entry> = {
+    let mut available: Vec<InstanceEntry> = {
         let members = lock(&node.tables.members);
         members.open(node.now()).into_iter().cloned().collect()
     };
--- a/crates/nutmeggrade/src/front/services.rs
+++ b/crates/nutmeggrade/src/front/services.rs
@@ -31,7 +31,7 @@
     let request = caller::request(req.headers()).ok();
     if let Some(request) = &request {
         let workspace = caller::header_text(req.headers(), caller::WORKSPACE_HEADER).unwrap_or("");
-        let run = result.as_ref().map_or_else(|f| f.run, |_| Run::Ran);
+        let run = result.as_ref().map_or_else(|f| f.run, |_| RunStatus::Ran);
         let reason = result.as_ref().map_or_else(|f| f.detail.as_str(), |_| "");
         let detail = format!("path={} run={} {reason}", req.path(), run.as_str());
         node.record_end(request, workspace, code, &detail);
--- a/crates/nutmeggrade/src/generation/admission.rs
+++ b/crates/nutmeggrade/src/generation/admission.rs
@@ -5,7 +5,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
 use nutmeggrade_policy::{End, GenerationRequest, Ticket, Verdict};
-use nutmeggrade_state::cold_load::Slot;
+use nutmeggrade_state::cold_load::SlotId;
 use tokio::sync::oneshot;
 
 use super::SlotGuard;
@@ -93,7 +93,7 @@
     match verdict {
         Verdict::Go { endpoint, priority } => {
             let node = Arc::clone(node);
-            let slot = SlotGuard::new(&node, &endpoint, Slot(ticket.0));
+            let slot = SlotGuard::new(&node, &endpoint, SlotId(ticket.0));
             Ok(Placement { node, ticket, endpoint, priority, slot, end: End::Cancelled })
         }
         Verdict::Refuse { code, retry_after } => {
--- a/crates/nutmeggrade/src/generation/attempt.rs
+++ b/crates/nutmeggrade/src/generation/attempt.rs
@@ -18,7 +18,7 @@
 /// An attempt that ended before its first token.
 pub(super) struct FailedAttempt {
     /// Whether the request ran.
-    pub run: Run,
+    pub run: RunStatus,
     /// Description of the failure.
     pub reason: String,
     /// Whether nothing was sent because the engine had no free slot.
@@ -26,7 +26,7 @@
 }
 
 impl FailedAttempt {
-    fn new(run: Run, reason: &str) -> Self {
+    fn new(run: RunStatus, reason: &str) -> Self {
         Self { run, reason: reason.to_owned(), slot_refused: false }
     }
 }
@@ -63,7 +63,10 @@
     let endpoint = placement.endpoint.clone();
     let Some(address) = address(node, &endpoint) else {
         placement.set_end(End::Failed);
-        return Err((FailedAttempt::new(Run::NotRun, "the engine left the list"), suspect_guard));
+        return Err((
+            FailedAttempt::new(RunStatus::NotRun, "the engine left the list"),
+            suspect_guard,
+        ));
     };
     let request = GenerateRequest {
         generation: GenerationId::new(rand::random()),
@@ -114,13 +117,13 @@
     match result {
         Ok(Ok(tokens)) => Ok(Some(tokens)),
         Ok(Err(StartError::NotRun(error))) => {
-            Err(FailedAttempt::new(Run::NotRun, &format!("{error:#}")))
+            Err(FailedAttempt::new(RunStatus::NotRun, &format!("{error:#}")))
         }
         Ok(Err(StartError::Unknown(_))) => {
             guard.armed = false;
             Ok(None)
         }
-        Err(_) => Err(FailedAttempt::new(Run::Unknown, "the engine did not answer")),
+        Err(_) => Err(FailedAttempt::new(RunStatus::Unknown, "the engine did not answer")),
     }
 }
 
--- a/crates/nutmeggrade/src/generation/session.rs
+++ b/crates/nutmeggrade/src/generation/session.rs
@@ -146,7 +146,7 @@
                 }
                 Input::DeadlinePassed => {
                     let failure = Failure::new(Code::DeadlinePassed, "the deadline passed");
-                    return Some(self.fail(failure.with_run(Run::Ran)));
+                    return Some(self.fail(failure.with_run(RunStatus::Ran)));
                 }
                 Input::Closing => {
                     self.ending = Some(Ending::LastReport);
--- a/crates/nutmeggrade/src/generation/session/ending.rs
+++ b/crates/nutmeggrade/src/generation/session/ending.rs
@@ -51,7 +51,7 @@
         self.ending = (error == ReconnectError::Gone).then_some(Ending::GenerationLost);
         self.record_crash(error);
         let failure = Failure::new(Code::StreamLost, "the engine lost the generation");
-        Some(self.fail(failure.with_run(Run::Ran)))
+        Some(self.fail(failure.with_run(RunStatus::Ran)))
     }
 
     /// Records an engine crash for the request, unless the engine was leaving service.
--- a/crates/nutmeggrade/src/generation/slot_guard.rs
+++ b/crates/nutmeggrade/src/generation/slot_guard.rs
@@ -6,7 +6,7 @@
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
-use nutmeggrade_state::cold_load::Slot;
+use nutmeggrade_state::cold_load::SlotId;
 
 use crate::node::Node;
 use crate::tables::lock;
@@ -19,13 +19,13 @@
 pub struct SlotGuard<P: Platform> {
     node: Arc<Node<P>>,
     endpoint: EndpointId,
-    slot: Slot,
+    slot: SlotId,
     refused: AtomicBool,
 }
 
 impl<P: Platform> SlotGuard<P> {
     /// Creates a guard that holds no slot yet.
-    pub fn new(node: &Arc<Node<P>>, endpoint: &EndpointId, slot: Slot) -> Self {
+    pub fn new(node: &Arc<Node<P>>, endpoint: &EndpointId, slot: SlotId) -> Self {
         Self {
             node: Arc::clone(node),
             endpoint: endpoint.clone(),
--- a/crates/nutmeggrade/src/generation/start.rs
+++ b/crates/nutmeggrade/src/generation/start.rs
@@ -34,7 +34,7 @@
     long: bool,
 ) -> Result<Session<P>, Failure> {
     let mut ask = admission_request(node, caller, completion, long);
-    let mut summary = AttemptSummary { count: 0, run: Run::NotRun, reason: String::new() };
+    let mut summary = AttemptSummary { count: 0, run: RunStatus::NotRun, reason: String::new() };
     let mut suspect_guard = SuspectGuard::new(node, caller, completion);
     lock(&node.tables.retries).fresh();
     while summary.count < MAX_ATTEMPTS {
@@ -80,7 +80,7 @@
 /// Combined result of the failed attempts.
 struct AttemptSummary {
     count: u32,
-    run: Run,
+    run: RunStatus,
     reason: String,
 }
 
@@ -138,11 +138,11 @@
 }
 
 /// Combines the run states of two attempts: "ran" overrides "unknown", which overrides "not run".
-fn combine_runs(a: Run, b: Run) -> Run {
+fn combine_runs(a: RunStatus, b: RunStatus) -> RunStatus {
     match (a, b) {
-        (Run::Ran, _) | (_, Run::Ran) => Run::Ran,
-        (Run::Unknown, _) | (_, Run::Unknown) => Run::Unknown,
-        (Run::NotRun, Run::NotRun) => Run::NotRun,
+        (RunStatus::Ran, _) | (_, RunStatus::Ran) => RunStatus::Ran,
+        (RunStatus::Unknown, _) | (_, RunStatus::Unknown) => RunStatus::Unknown,
+        (RunStatus::NotRun, RunStatus::NotRun) => RunStatus::NotRun,
     }
 }
 
@@ -154,7 +154,8 @@
     last: &EventId,
 ) -> Result<Session<P>, Failure> {
     let model = &completion.model;
-    let gone = || Failure::new(Code::GenerationGone, "the generation is gone").with_run(Run::Ran);
+    let gone =
+        || Failure::new(Code::GenerationGone, "the generation is gone").with_run(RunStatus::Ran);
     let address = lock(&node.tables.endpoints).address(&last.endpoint).ok_or_else(gone)?;
     let next = last.offset.checked_add(1).ok_or_else(gone)?;
     let session = Session::new(node, caller, model, &last.endpoint, address)
@@ -174,7 +175,7 @@
         Err(ReconnectError::Gone) => Err(gone()),
         Err(ReconnectError::Unreachable | ReconnectError::Stalled) => {
             let detail = "the engine can't be reached";
-            let failure = Failure::new(Code::EndpointFailed, detail).with_run(Run::Ran);
+            let failure = Failure::new(Code::EndpointFailed, detail).with_run(RunStatus::Ran);
             Err(failure.with_retry_after(node.settings.silence))
         }
     }
--- a/crates/nutmeggrade/src/generation/suspect_guard.rs
+++ b/crates/nutmeggrade/src/generation/suspect_guard.rs
@@ -6,7 +6,7 @@
 use nutmeggrade_core::peer::PromptHash;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
-use nutmeggrade_state::suspects::{Gate, TrialId};
+use nutmeggrade_state::suspects::{Admission, TrialId};
 use tokio::time::sleep;
 
 use super::Completion;
@@ -44,17 +44,17 @@
             let now = self.node.now();
             let gate = lock(&self.node.tables.suspects).gate(self.request, self.id, now);
             match gate {
-                Gate::Free | Gate::Trial => return Ok(()),
-                Gate::Refuse => {
+                Admission::Free | Admission::Trial => return Ok(()),
+                Admission::Refuse => {
                     let detail = "the request crashed the engines that ran it; it is refused on \
                                   all instances";
                     return Err(Failure::new(Code::CrashSuspect, detail));
                 }
-                Gate::Wait if deadline <= now => {
+                Admission::Wait if deadline <= now => {
                     let detail = "the deadline passed while other suspects of a crash were tried";
                     return Err(Failure::new(Code::TooLate, detail));
                 }
-                Gate::Wait => {}
+                Admission::Wait => {}
             }
             if !announced {
                 self.node.heartbeat_wakeup.notify_one();
--- a/crates/nutmeggrade/src/node.rs
+++ b/crates/nutmeggrade/src/node.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use nutmeggrade_core::peer::Entry;
+use nutmeggrade_core::peer::InstanceEntry;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
 use nutmeggrade_policy::{Engine, Ticket};
@@ -37,7 +37,7 @@
     /// Validated settings.
     pub settings: Settings,
     /// Name, incarnation and addresses of this instance.
-    pub entry: Entry,
+    pub entry: InstanceEntry,
     /// The monotonic clock.
     pub clock: Clock,
     /// Shared tables.
@@ -64,7 +64,7 @@
     /// Creates an instance that doesn't serve yet.
     pub fn new(
         settings: &Settings,
-        entry: &Entry,
+        entry: &InstanceEntry,
         platform: P,
         peers: &Arc<Peers>,
     ) -> anyhow::Result<Self> {
@@ -176,7 +176,7 @@
     }
 
     /// Adds an instance to the members and subscribes to its heartbeats.
-    pub fn add_peer(&self, entry: &Entry) {
+    pub fn add_peer(&self, entry: &InstanceEntry) {
         let is_new = lock(&self.tables.members).learn(entry);
         if is_new && let Err(error) = self.peers.subscribe(entry) {
             tracing::warn!(event = "subscribe_failed", peer = %entry.instance, %error);
--- a/crates/nutmeggrade/src/peers.rs
+++ b/crates/nutmeggrade/src/peers.rs
@@ -14,7 +14,7 @@
     LocalAddr, Options, ReconnectMaxTime, ReconnectMinTime, RecvMaxSize, SendTimeout,
 };
 use nng::{Dialer, Listener, Pipe, PipeEvent, Protocol, Socket, SocketAddr as NngAddr};
-use nutmeggrade_core::peer::{Beacon, Entry, EnvelopeError, MAX_FRAME_BYTES, open, seal};
+use nutmeggrade_core::peer::{Beacon, EnvelopeError, InstanceEntry, MAX_FRAME_BYTES, open, seal};
 use nutmeggrade_core::prelude::*;
 
 use crate::tables::lock;
@@ -79,7 +79,7 @@
     }
 
     /// Subscribes to a peer and closes the subscription to its previous incarnation.
-    pub fn subscribe(&self, entry: &Entry) -> anyhow::Result<()> {
+    pub fn subscribe(&self, entry: &InstanceEntry) -> anyhow::Result<()> {
         let url = format!("tcp://{}", entry.peer_address);
         let dialer = Dialer::new(&self.subscriber, &url, true).context("dial peer")?;
         if let Some(previous) = lock(&self.dialers).insert(entry.instance.clone(), dialer) {
--- a/crates/nutmeggrade/src/server.rs
+++ b/crates/nutmeggrade/src/server.rs
@@ -6,7 +6,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use anyhow::Context;
-use nutmeggrade_core::peer::Entry;
+use nutmeggrade_core::peer::InstanceEntry;
 use nutmeggrade_platform::HttpPlatform;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::timeout;
@@ -23,7 +23,7 @@
     let caller_socket = front::bind(settings.caller_address).context("caller listener")?;
     let admin_socket = front::bind(settings.admin_address).context("admin listener")?;
     let peers = Arc::new(Peers::new(settings.peer_address, &settings.peer_key)?);
-    let entry = Entry {
+    let entry = InstanceEntry {
         instance: settings.instance.clone(),
         incarnation: incarnation(),
         domain: settings.domain.clone(),
@@ -56,7 +56,7 @@
 
 /// Prints the listening addresses for the parent process, since the system may have chosen the
 /// ports.
-fn print_addresses(entry: &Entry) {
+fn print_addresses(entry: &InstanceEntry) {
     println!(
         "listening callers={} admin={} peers={}",
         entry.caller_address, entry.admin_address, entry.peer_address
--- a/crates/nutmeggrade/src/service/idempotent.rs
+++ b/crates/nutmeggrade/src/service/idempotent.rs
@@ -20,7 +20,7 @@
     call: &Call,
 ) -> Result<ServiceResponse, Failure> {
     let mut avoid = BTreeSet::new();
-    let mut run = Run::NotRun;
+    let mut run = RunStatus::NotRun;
     let mut last_reason = String::new();
     lock(&node.tables.retries).fresh();
     for attempt_number in 1..=MAX_ATTEMPTS {
@@ -28,7 +28,7 @@
             Ok(AttemptResult::Answered(response)) => return Ok(response),
             Ok(AttemptResult::NotRun(reason)) => last_reason = reason,
             Ok(AttemptResult::Lost(reason)) => {
-                run = Run::Unknown;
+                run = RunStatus::Unknown;
                 last_reason = reason;
             }
             Err(failure) if last_reason.is_empty() => return Err(failure),
--- a/crates/nutmeggrade/src/service/once.rs
+++ b/crates/nutmeggrade/src/service/once.rs
@@ -33,7 +33,7 @@
     let task = tokio::spawn(run(Arc::clone(node), call.clone(), record_key));
     task.await.unwrap_or_else(|error| {
         let failure = Failure::new(Code::OutcomeUnknown, &error.to_string());
-        Err(failure.with_run(Run::Unknown))
+        Err(failure.with_run(RunStatus::Unknown))
     })
 }
 
@@ -134,7 +134,7 @@
             (Progress::Done { answer: kept }, Ok(response))
         }
         Some(AttemptResult::Lost(reason)) => {
-            let failure = Failure::new(Code::OutcomeUnknown, &reason).with_run(Run::Unknown);
+            let failure = Failure::new(Code::OutcomeUnknown, &reason).with_run(RunStatus::Unknown);
             (Progress::Unknown, Err(failure))
         }
         Some(AttemptResult::NotRun(_)) | None => (Progress::Released, Err(refusal)),
@@ -162,7 +162,7 @@
 fn replay(recorded: &RecordedAnswer) -> Result<ServiceResponse, Failure> {
     let Some(body) = recorded.body() else {
         let detail = "an earlier attempt ran; its answer was too large to be kept";
-        return Err(Failure::new(Code::AnswerNotKept, detail).with_run(Run::Ran));
+        return Err(Failure::new(Code::AnswerNotKept, detail).with_run(RunStatus::Ran));
     };
     let content_type = recorded.content.clone();
     let body = bytes::Bytes::copy_from_slice(body);
@@ -185,7 +185,7 @@
         "; this attempt did not run, but an earlier one with the same key may have: ask again with \
          the same key",
     );
-    failure.with_run(Run::Unknown)
+    failure.with_run(RunStatus::Unknown)
 }
 
 fn key_hash(call: &Call, key: &RequestId) -> String {
--- a/crates/nutmeggrade/src/settings.rs
+++ b/crates/nutmeggrade/src/settings.rs
@@ -7,62 +7,98 @@
 
 use anyhow::Context;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::{Kind, SettingError, Spec, VARIABLE_PREFIX, Values};
+use nutmeggrade_core::settings::{
+    SettingError, SettingKind, SettingSpec, SettingValues, VARIABLE_PREFIX,
+};
 
 const MS: &str = "ms";
 
-const SPECS: &[Spec] = &[
-    Spec::new("instance", Kind::Name, "name of this instance"),
-    Spec::new("domain", Kind::Name, "failure domain of this instance"),
-    Spec::new("platform", Kind::Address, "address of the platform's object API"),
-    Spec::new("caller-address", Kind::Address, "where callers connect").with_default("127.0.0.1:0"),
-    Spec::new("peer-address", Kind::Address, "where peers connect").with_default("127.0.0.1:0"),
-    Spec::new("admin-address", Kind::Address, "metrics, health and operators")
+const SPECS: &[SettingSpec] = &[
+    SettingSpec::new("instance", SettingKind::Name, "name of this instance"),
+    SettingSpec::new("domain", SettingKind::Name, "failure domain of this instance"),
+    SettingSpec::new("platform", SettingKind::Address, "address of the platform's object API"),
+    SettingSpec::new("caller-address", SettingKind::Address, "where callers connect")
         .with_default("127.0.0.1:0"),
-    Spec::new("peer-key", Kind::Secret, "key that authenticates peers and event ids"),
-    Spec::new("operator-token", Kind::Secret, "token that operators' orders carry"),
-    Spec::new("entry-keep", range(MS, 0, 600_000), "how long callers keep an entry")
+    SettingSpec::new("peer-address", SettingKind::Address, "where peers connect")
+        .with_default("127.0.0.1:0"),
+    SettingSpec::new("admin-address", SettingKind::Address, "metrics, health and operators")
+        .with_default("127.0.0.1:0"),
+    SettingSpec::new("peer-key", SettingKind::Secret, "key that authenticates peers and event ids"),
+    SettingSpec::new("operator-token", SettingKind::Secret, "token that operators' orders carry"),
+    SettingSpec::new("entry-keep", range(MS, 0, 600_000), "how long callers keep an entry")
         .with_default("5000"),
-    Spec::new("drain", range(MS, 0, 3_600_000), "most time that streams get to finish at a stop")
-        .with_default("60000"),
-    Spec::new("beacon", range(MS, 50, 10_000), "time between heartbeats to peers")
+    SettingSpec::new(
+        "drain",
+        range(MS, 0, 3_600_000),
+        "most time that streams get to finish at a stop",
+    )
+    .with_default("60000"),
+    SettingSpec::new("beacon", range(MS, 50, 10_000), "time between heartbeats to peers")
         .with_default("500"),
-    Spec::new("silence", range(MS, 100, 60_000), "silence after which a peer counts as gone")
-        .with_default("2000"),
-    Spec::new("fence", range(MS, 500, 60_000), "silence of all sides after which work is refused")
-        .with_default("3000"),
-    Spec::new("lease", range(MS, 200, 60_000), "how long a confirmed right to an endpoint counts")
-        .with_default("2000"),
-    Spec::new("refresh", range(MS, 50, 60_000), "time between looks at the list of endpoints")
-        .with_default("1000"),
-    Spec::new("poll", range(MS, 20, 10_000), "time between load reports of an engine")
+    SettingSpec::new(
+        "silence",
+        range(MS, 100, 60_000),
+        "silence after which a peer counts as gone",
+    )
+    .with_default("2000"),
+    SettingSpec::new(
+        "fence",
+        range(MS, 500, 60_000),
+        "silence of all sides after which work is refused",
+    )
+    .with_default("3000"),
+    SettingSpec::new(
+        "lease",
+        range(MS, 200, 60_000),
+        "how long a confirmed right to an endpoint counts",
+    )
+    .with_default("2000"),
+    SettingSpec::new(
+        "refresh",
+        range(MS, 50, 60_000),
+        "time between looks at the list of endpoints",
+    )
+    .with_default("1000"),
+    SettingSpec::new("poll", range(MS, 20, 10_000), "time between load reports of an engine")
         .with_default("200"),
-    Spec::new("connect", range(MS, 10, 10_000), "most time to connect to an endpoint")
+    SettingSpec::new("connect", range(MS, 10, 10_000), "most time to connect to an endpoint")
         .with_default("500"),
-    Spec::new(
+    SettingSpec::new(
         "stall",
         range(MS, 100, 600_000),
         "most time between tokens before a stream is resumed",
     )
     .with_default("5000"),
-    Spec::new("platform-wait", range(MS, 50, 60_000), "most time for an answer of the platform")
-        .with_default("2000"),
-    Spec::new("connections", range("1", 1, 1_000_000), "most connections of callers")
+    SettingSpec::new(
+        "platform-wait",
+        range(MS, 50, 60_000),
+        "most time for an answer of the platform",
+    )
+    .with_default("2000"),
+    SettingSpec::new("connections", range("1", 1, 1_000_000), "most connections of callers")
         .with_default("4096"),
-    Spec::new("body", range("bytes", 1_024, 64 << 20), "largest body of a caller")
+    SettingSpec::new("body", range("bytes", 1_024, 64 << 20), "largest body of a caller")
         .with_default("1048576"),
-    Spec::new("header-wait", range(MS, 100, 600_000), "most time for a head, a body, and idle")
-        .with_default("15000"),
-    Spec::new("write-wait", range(MS, 100, 600_000), "most time in which a caller reads nothing")
-        .with_default("15000"),
-    Spec::new("workers", range("1", 1, 256), "worker threads").with_default("2"),
-    Spec::new(
+    SettingSpec::new(
+        "header-wait",
+        range(MS, 100, 600_000),
+        "most time for a head, a body, and idle",
+    )
+    .with_default("15000"),
+    SettingSpec::new(
+        "write-wait",
+        range(MS, 100, 600_000),
+        "most time in which a caller reads nothing",
+    )
+    .with_default("15000"),
+    SettingSpec::new("workers", range("1", 1, 256), "worker threads").with_default("2"),
+    SettingSpec::new(
         "seeds",
-        Kind::Text,
+        SettingKind::Text,
         "admin addresses of instances to ask while the platform is down",
     )
     .with_default(""),
-    Spec::new("log", Kind::Text, "log level, as in info or warn,nutmeggrade=debug")
+    SettingSpec::new("log", SettingKind::Text, "log level, as in info or warn,nutmeggrade=debug")
         .with_default("info"),
 ];
 
@@ -76,9 +112,10 @@
 /// that was meant to be short.
 fn unknown_variables() -> Vec<SettingError> {
     let is_known = |name: &str| {
-        let matches_spec = |s: &Spec| {
+        let matches_spec = |s: &SettingSpec| {
             let variable = s.variable();
-            name == variable || (s.kind == Kind::Secret && name == format!("{variable}_FILE"))
+            name == variable
+                || (s.kind == SettingKind::Secret && name == format!("{variable}_FILE"))
         };
         let unprefixed = name.trim_start_matches(VARIABLE_PREFIX);
         OPERATOR_VARIABLES.contains(&unprefixed) || SPECS.iter().any(matches_spec)
@@ -92,8 +129,8 @@
     prefixed.map(to_error).collect()
 }
 
-const fn range(unit: &'static str, min: u64, max: u64) -> Kind {
-    Kind::Number { unit, min, max }
+const fn range(unit: &'static str, min: u64, max: u64) -> SettingKind {
+    SettingKind::Number { unit, min, max }
 }
 
 /// Validated settings of an instance.
@@ -151,7 +188,7 @@
     pub seeds: Vec<SocketAddr>,
     /// Log filter.
     pub log: String,
-    values: Values,
+    values: SettingValues,
 }
 
 impl Settings {
@@ -160,7 +197,7 @@
         let variable = |name: &str| std::env::var(name).ok();
         let file = |path: &str| std::fs::read_to_string(path).map_err(|e| e.to_string());
         let unknown = unknown_variables();
-        let values = match Values::load(SPECS, args, variable, file) {
+        let values = match SettingValues::load(SPECS, args, variable, file) {
             Ok(values) if unknown.is_empty() => values,
             Ok(_) => return Err(unknown),
             Err(errors) => return Err([errors, unknown].concat()),
@@ -173,9 +210,9 @@
 
     /// Returns the help text with every setting.
     pub fn usage(summary: &str) -> String {
-        let secrets = SPECS.iter().filter(|s| s.kind == Kind::Secret);
+        let secrets = SPECS.iter().filter(|s| s.kind == SettingKind::Secret);
         let secrets: Vec<String> = secrets.map(|s| format!("    {}", s.describe())).collect();
-        let flags = Values::options(SPECS).usage(summary);
+        let flags = SettingValues::options(SPECS).usage(summary);
         format!("{flags}\nSecrets:\n{}", secrets.join("\n"))
     }
 
@@ -184,7 +221,7 @@
         self.values.lines()
     }
 
-    fn new(values: Values) -> anyhow::Result<Self> {
+    fn new(values: SettingValues) -> anyhow::Result<Self> {
         let address = |flag| values.address(flag).with_context(|| format!("--{flag}"));
         let size = |flag| usize::try_from(values.number(flag)).context("size");
         Ok(Self {
--- a/crates/nutmeggrade/src/tables.rs
+++ b/crates/nutmeggrade/src/tables.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use nutmeggrade_core::peer::Entry;
+use nutmeggrade_core::peer::InstanceEntry;
 use nutmeggrade_policy::{RetryBudget, Scheduler, ServicePicker, Ticket, Verdict};
 use nutmeggrade_state::audit_log::AuditLog;
 use nutmeggrade_state::cold_rights::ColdRights;
@@ -63,7 +63,7 @@
 
 impl Tables {
     /// Creates empty tables.
-    pub fn new(settings: &Settings, own: &Entry, seed: u64) -> Self {
+    pub fn new(settings: &Settings, own: &InstanceEntry, seed: u64) -> Self {
         Self {
             config: Mutex::new(ConfigTable::new()),
             members: Mutex::new(Membership::new(own, settings.silence)),
--- a/crates/nutmeggrade/src/tasks/cleanup.rs
+++ b/crates/nutmeggrade/src/tasks/cleanup.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use nutmeggrade_core::peer::Entry;
+use nutmeggrade_core::peer::InstanceEntry;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::Platform;
 use tokio::time::sleep;
@@ -47,7 +47,7 @@
     node.phase() == Phase::Serving && members.live(now).iter().all(|e| e.instance > *own)
 }
 
-async fn remove<P: Platform>(node: &Node<P>, dead: &Entry) {
+async fn remove<P: Platform>(node: &Node<P>, dead: &InstanceEntry) {
     let key = registration::key(&dead.instance);
     let Ok(Some(object)) = node.platform.read(&key).await else { return };
     let same_incarnation =
--- a/crates/nutmeggrade/src/tasks/heartbeat_sender.rs
+++ b/crates/nutmeggrade/src/tasks/heartbeat_sender.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use nutmeggrade_core::peer::{Beacon, Entry};
+use nutmeggrade_core::peer::{Beacon, InstanceEntry};
 use nutmeggrade_platform::Platform;
 use tokio::time::timeout;
 
@@ -46,7 +46,7 @@
     // Peers list every instance that is not leaving as an entry. An instance that is not ready, at
     // its start or for another reason, would refuse the callers sent to it.
     let leaving = node.phase() > Phase::Serving || node.check_ready().is_err();
-    let Entry { instance, incarnation, .. } = node.entry.clone();
+    let InstanceEntry { instance, incarnation, .. } = node.entry.clone();
     let entry = Beacon::includes_introduction(sequence).then(|| node.entry.clone());
     let suspects = lock(&node.tables.suspects).report(now);
     let resumed = lock(&node.tables.orphans).recently_resumed(now);
--- a/crates/nutmeggrade/src/tasks/registration.rs
+++ b/crates/nutmeggrade/src/tasks/registration.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Context;
 use nutmeggrade_core::object::Object;
-use nutmeggrade_core::peer::Entry;
+use nutmeggrade_core::peer::InstanceEntry;
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_platform::{Platform, PlatformError};
 use tokio::time::sleep;
@@ -99,7 +99,7 @@
     node.add_peer(&entry);
 }
 
-pub(super) fn entry(object: &Object) -> Option<Entry> {
+pub(super) fn entry(object: &Object) -> Option<InstanceEntry> {
     serde_json::from_value(object.value.clone()?).ok()
 }
 
--- a/tests/suite/core/fleet_beacon.rs
+++ b/tests/suite/core/fleet_beacon.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_core::peer::{FleetBeacon, FleetMessage, Revisions, open, seal};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::routing::Placed;
+use nutmeggrade_core::routing::PlacedLoad;
 use rstest::rstest;
 
 const KEY: [u8; 32] = [9; 32];
@@ -13,7 +13,7 @@
 const MAX_HEARTBEAT_BYTES: usize = 160;
 
 fn beacon() -> FleetBeacon {
-    let placed = Placed { requests: 1, memory: 3_900, ..Placed::default() };
+    let placed = PlacedLoad { requests: 1, memory: 3_900, ..PlacedLoad::default() };
     let endpoint = |n| EndpointId::new(&format!("i-7f3a91c{n}")).expect("an id");
     FleetBeacon {
         instance: InstanceId::new("edge-veluwe-12").expect("an id"),
--- a/tests/suite/core/settings.rs
+++ b/tests/suite/core/settings.rs
@@ -3,23 +3,23 @@
 use std::collections::BTreeMap;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::settings::{Kind, Spec, Values};
+use nutmeggrade_core::settings::{SettingKind, SettingSpec, SettingValues};
 use rstest::rstest;
 
-const SPECS: &[Spec] = &[
-    Spec::new("instance", Kind::Name, "name"),
-    Spec::new("platform", Kind::Address, "platform").with_default("127.0.0.1:1"),
-    Spec::new("beacon", Kind::Number { unit: "ms", min: 50, max: 100 }, "beacon")
+const SPECS: &[SettingSpec] = &[
+    SettingSpec::new("instance", SettingKind::Name, "name"),
+    SettingSpec::new("platform", SettingKind::Address, "platform").with_default("127.0.0.1:1"),
+    SettingSpec::new("beacon", SettingKind::Number { unit: "ms", min: 50, max: 100 }, "beacon")
         .with_default("60"),
-    Spec::new("peer-key", Kind::Secret, "key"),
+    SettingSpec::new("peer-key", SettingKind::Secret, "key"),
 ];
 
-fn load(args: &[&str], variables: &[(&str, &str)]) -> Result<Values, Vec<Code>> {
+fn load(args: &[&str], variables: &[(&str, &str)]) -> Result<SettingValues, Vec<Code>> {
     let args: Vec<String> = args.iter().map(ToString::to_string).collect();
     let variables: BTreeMap<&str, &str> = variables.iter().copied().collect();
     let variable = |name: &str| variables.get(name).map(ToString::to_string);
     let file = |_: &str| Ok("a-secret-from-a-file\n".to_owned());
-    Values::load(SPECS, &args, variable, file)
+    SettingValues::load(SPECS, &args, variable, file)
         .map_err(|mistakes| mistakes.into_iter().map(|m| m.code).collect())
 }
 
--- a/tests/suite/policy/dispatch.rs
+++ b/tests/suite/policy/dispatch.rs
@@ -7,7 +7,7 @@
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::Ticket;
 use nutmeggrade_policy::dispatch::{
-    Candidate, DispatchDecision, DispatchRequest, Dispatcher, Placed,
+    Candidate, DispatchDecision, DispatchRequest, Dispatcher, PlacedLoad,
 };
 
 use super::{endpoint, workspace};
@@ -124,13 +124,13 @@
 fn choices_of_peers_are_seen() {
     let mut dispatcher = dispatcher((0..2).map(engine).collect());
     let peer = InstanceId::new("i-2").expect("an id");
-    let full = Placed { requests: 9, memory: 28_000, reading: 0, moving: 0 };
+    let full = PlacedLoad { requests: 9, memory: 28_000, reading: 0, moving: 0 };
     dispatcher.book.change_peer(&peer, &BTreeMap::from([(endpoint(0), full)]));
     for ticket in 0..6 {
         let offer = dispatcher.offer(&request(ticket, 0, 1, 3_500), MAX_WAIT, at(0));
         assert_eq!(chosen_endpoint(&offer), Some(endpoint(1)));
     }
-    dispatcher.book.change_peer(&peer, &BTreeMap::from([(endpoint(0), Placed::default())]));
+    dispatcher.book.change_peer(&peer, &BTreeMap::from([(endpoint(0), PlacedLoad::default())]));
     let offer = dispatcher.offer(&request(50, 0, 1, 3_500), MAX_WAIT, at(0));
     assert_eq!(chosen_endpoint(&offer), Some(endpoint(0)));
 }
@@ -272,7 +272,7 @@
 #[test]
 fn engine_that_a_peer_found_gone_is_left_alone() {
     let mut dispatcher = dispatcher((0..2).map(engine).collect());
-    let full = Placed { requests: 7, memory: 20_000, reading: 0, moving: 0 };
+    let full = PlacedLoad { requests: 7, memory: 20_000, reading: 0, moving: 0 };
     let peer = InstanceId::new("i-2").expect("an id");
     dispatcher.book.change_peer(&peer, &BTreeMap::from([(endpoint(1), full)]));
     assert_eq!(dispatcher.choose_move_target(&request(0, 0, 1, 3_500), at(0)), Some(endpoint(0)));
--- a/tests/suite/policy/load_table.rs
+++ b/tests/suite/policy/load_table.rs
@@ -1,12 +1,12 @@
 //! The table of placed work that instances share with each other.
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::routing::Placed;
+use nutmeggrade_core::routing::PlacedLoad;
 use nutmeggrade_policy::Ticket;
 use nutmeggrade_policy::dispatch::LoadTable;
 
-fn placed() -> Placed {
-    Placed { requests: 1, memory: 3_000, reading: 2_000, moving: 0 }
+fn placed() -> PlacedLoad {
+    PlacedLoad { requests: 1, memory: 3_000, reading: 2_000, moving: 0 }
 }
 
 // Guards against two generations that are copied concurrently, because the start of a copy is
--- a/tests/suite/process/bad_input.rs
+++ b/tests/suite/process/bad_input.rs
@@ -89,7 +89,7 @@
             let failure: Failure = serde_json::from_slice(&answer)?;
             assert_eq!(failure.code, case.code, "{}: {failure}", case.name);
             assert_eq!(status.as_u16(), case.code.status(), "{}", case.name);
-            assert_eq!(failure.run, Run::NotRun, "{}", case.name);
+            assert_eq!(failure.run, RunStatus::NotRun, "{}", case.name);
         }
         Ok(())
     });
--- a/tests/suite/process/cuts.rs
+++ b/tests/suite/process/cuts.rs
@@ -141,7 +141,7 @@
         killed?;
         listened?;
         let failure: Failure = serde_json::from_value(heard.failure.clone().unwrap_or_default())?;
-        assert_eq!((failure.code, failure.run), (Code::StreamLost, Run::Ran));
+        assert_eq!((failure.code, failure.run), (Code::StreamLost, RunStatus::Ran));
         assert!(heard.in_order() && !heard.done, "{heard:?}");
         Ok(())
     });
@@ -210,14 +210,14 @@
         let log = held.fleet.log("service-0").await?;
         let ran = log.get("issue-permit/plot-1").is_some();
         let failure: Failure = serde_json::from_value(answer)?;
-        assert!(failure.run != Run::NotRun || !ran, "{failure}: it ran");
+        assert!(failure.run != RunStatus::NotRun || !ran, "{failure}: it ran");
         held.fleet.link("service-0")?.set(Link::Open);
         let (status, answer) = caller.operation(1, "issue-permit", Some("k1"), "plot-1").await?;
         let log = held.fleet.log("service-0").await?;
         let runs = log.get("issue-permit/plot-1").and_then(serde_json::Value::as_u64);
         assert!(runs.unwrap_or(0) <= 1, "ran {runs:?} times");
         assert!(status != StatusCode::OK || runs == Some(1), "{answer}");
-        assert!(failure.run != Run::NotRun || status == StatusCode::OK, "{answer}");
+        assert!(failure.run != RunStatus::NotRun || status == StatusCode::OK, "{answer}");
         Ok(())
     });
 }
@@ -249,7 +249,7 @@
         assert_eq!(status, StatusCode::OK);
         let (_, answer) = caller.operation(2, "issue-permit", Some("k"), "plot-1").await?;
         let failure: Failure = serde_json::from_value(answer)?;
-        assert_eq!((failure.code, failure.run), (Code::PlatformDown, Run::Unknown));
+        assert_eq!((failure.code, failure.run), (Code::PlatformDown, RunStatus::Unknown));
         held.fleet.link("platform")?.set(Link::Open);
         let log = held.fleet.log("service-0").await?;
         assert!(log.get("issue-permit/plot-1").is_none(), "{log}");
--- a/tests/suite/process/limits.rs
+++ b/tests/suite/process/limits.rs
@@ -93,7 +93,7 @@
         let (status, answer) = ask().await?;
         let failure: Failure = serde_json::from_slice(&answer)?;
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
-        assert_eq!((failure.code, failure.run), (Code::TooManyConnections, Run::NotRun));
+        assert_eq!((failure.code, failure.run), (Code::TooManyConnections, RunStatus::NotRun));
         drop(open);
         until("there is room again", async || Ok(ask().await?.0.is_success())).await
     });
--- a/tests/suite/random/attempts.rs
+++ b/tests/suite/random/attempts.rs
@@ -112,7 +112,7 @@
             }
             _ => {}
         }
-        if attempt.run() == Run::NotRun && actual.may_have_run() {
+        if attempt.run() == RunStatus::NotRun && actual.may_have_run() {
             return Err(format!("reported as not run after {step:?}"));
         }
         if actual.sends > actual.max_sends {
--- a/tests/suite/random/cold.rs
+++ b/tests/suite/random/cold.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::peer::Assignment;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::cold_load::{LoadSample, Slot};
+use nutmeggrade_state::cold_load::{LoadSample, SlotId};
 use nutmeggrade_state::cold_rights::ColdRights;
 use nutmeggrade_state::membership::Candidate;
 use proptest::prelude::*;
@@ -79,7 +79,7 @@
 struct Generation {
     node: usize,
     incarnation: u64,
-    slot: Slot,
+    slot: SlotId,
 }
 
 struct World {
@@ -253,7 +253,7 @@
 
     fn start(&mut self, n: usize) {
         let now = self.now(n);
-        let slot = Slot(self.next_slot);
+        let slot = SlotId(self.next_slot);
         self.next_slot += 1;
         let node = &mut self.nodes[n];
         if node.rights.take_slot(&engine(), slot, now) {
--- a/tests/suite/random/config.rs
+++ b/tests/suite/random/config.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nutmeggrade_core::config::Change;
-use nutmeggrade_core::peer::{Beacon, Entry};
+use nutmeggrade_core::peer::{Beacon, InstanceEntry};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_fakes::fleet::preset;
 use nutmeggrade_state::config_table::ConfigTable;
@@ -61,7 +61,7 @@
 }
 
 struct Node {
-    entry: Entry,
+    entry: InstanceEntry,
     config: ConfigTable,
     fence: Fence,
     members: Membership,
@@ -77,7 +77,7 @@
 impl Node {
     fn new(n: usize, incarnation: u64) -> Self {
         let address = "127.0.0.1:1".parse().expect("address");
-        let entry = Entry {
+        let entry = InstanceEntry {
             instance: InstanceId::new(&format!("node-{n}")).expect("name"),
             incarnation,
             domain: DomainId::new("veluwe").expect("name"),
--- a/tests/suite/random/suspects.rs
+++ b/tests/suite/random/suspects.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::peer::{PromptHash, Suspect};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::suspects::{Gate, Suspects, TrialId};
+use nutmeggrade_state::suspects::{Admission, Suspects, TrialId};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
@@ -113,13 +113,13 @@
                 continue;
             }
             match self.tables[job.node].gate(hash(job.request), job.id, now) {
-                Gate::Free => job.running = Some(((engine + index) % ENGINES, 0)),
-                Gate::Trial => {
+                Admission::Free => job.running = Some(((engine + index) % ENGINES, 0)),
+                Admission::Trial => {
                     job.trial = true;
                     job.running = Some(((engine + index) % ENGINES, 0));
                 }
-                Gate::Wait => self.report_pending[job.node] = true,
-                Gate::Refuse => {
+                Admission::Wait => self.report_pending[job.node] = true,
+                Admission::Refuse => {
                     assert_eq!(job.request, CRASHER, "refused a harmless request");
                     self.jobs.remove(index);
                 }
--- a/tests/suite/state/cold_rights.rs
+++ b/tests/suite/state/cold_rights.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::peer::Assignment;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::cold_load::{LoadSample, Slot};
+use nutmeggrade_state::cold_load::{LoadSample, SlotId};
 use nutmeggrade_state::cold_rights::ColdRights;
 use rstest::rstest;
 
@@ -44,9 +44,9 @@
     let mut rights = owner();
     rights.note_load(&engine(), sample(1_520, 0));
     assert_eq!(rights.cold_right(&engine(), at(1_530)), 2);
-    assert!(rights.take_slot(&engine(), Slot(1), at(1_530)));
-    assert!(rights.take_slot(&engine(), Slot(2), at(1_530)));
-    assert!(!rights.take_slot(&engine(), Slot(3), at(1_530)));
+    assert!(rights.take_slot(&engine(), SlotId(1), at(1_530)));
+    assert!(rights.take_slot(&engine(), SlotId(2), at(1_530)));
+    assert!(!rights.take_slot(&engine(), SlotId(3), at(1_530)));
 }
 
 // Guards against an engine that crashes in cold start because a frozen owner resumes in the middle
@@ -55,7 +55,7 @@
 fn frozen_owner_wakes_without_its_right() {
     let mut rights = owner();
     rights.note_load(&engine(), sample(1_520, 0));
-    assert!(!rights.take_slot(&engine(), Slot(1), at(2_600)));
+    assert!(!rights.take_slot(&engine(), SlotId(1), at(2_600)));
     // A response from the buffer belongs to a request from before the freeze.
     rights.learn(&sole_owner(7), at(1_590), at(2_610));
     assert_eq!(rights.owner_epoch(&engine(), at(2_610)), None);
@@ -124,11 +124,11 @@
 fn place_is_free_only_after_a_later_report() {
     let mut rights = owner();
     rights.note_load(&engine(), sample(1_520, 1));
-    assert!(rights.take_slot(&engine(), Slot(1), at(1_530)));
-    rights.leave_slot(&engine(), Slot(1), at(1_600));
-    assert!(!rights.take_slot(&engine(), Slot(2), at(1_610)));
+    assert!(rights.take_slot(&engine(), SlotId(1), at(1_530)));
+    rights.leave_slot(&engine(), SlotId(1), at(1_600));
+    assert!(!rights.take_slot(&engine(), SlotId(2), at(1_610)));
     rights.note_load(&engine(), sample(1_590, 1));
-    assert!(!rights.take_slot(&engine(), Slot(2), at(1_610)));
+    assert!(!rights.take_slot(&engine(), SlotId(2), at(1_610)));
     rights.note_load(&engine(), sample(1_620, 1));
-    assert!(rights.take_slot(&engine(), Slot(2), at(1_630)));
+    assert!(rights.take_slot(&engine(), SlotId(2), at(1_630)));
 }
--- a/tests/suite/state/forward_queue.rs
+++ b/tests/suite/state/forward_queue.rs
@@ -4,7 +4,7 @@
 
 use nutmeggrade_core::peer::{DomainPart, InstanceLoad};
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::routing::Placed;
+use nutmeggrade_core::routing::PlacedLoad;
 use nutmeggrade_state::forward_queue::ForwardQueue;
 
 const WHOLE_DOMAIN: DomainPart = DomainPart { part: 0, of: 1 };
@@ -12,7 +12,7 @@
 
 fn change(instance: u16, endpoint: &str, requests: u32) -> InstanceLoad {
     let endpoint = EndpointId::new(endpoint).expect("an id");
-    let placed = Placed { requests, ..Placed::default() };
+    let placed = PlacedLoad { requests, ..PlacedLoad::default() };
     let instance = InstanceId::new(&format!("i-{instance}")).expect("an id");
     InstanceLoad { instance, placed: BTreeMap::from([(endpoint, placed)]) }
 }
--- a/tests/suite/state/membership.rs
+++ b/tests/suite/state/membership.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Beacon, Echo, Entry, seal};
+use nutmeggrade_core::peer::{Beacon, Echo, InstanceEntry, seal};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::membership::Membership;
 use rstest::rstest;
@@ -13,9 +13,9 @@
 const PEERS: u64 = 6;
 const KEY: [u8; 32] = [1; 32];
 
-fn entry(name: &str, incarnation: u64) -> Entry {
+fn entry(name: &str, incarnation: u64) -> InstanceEntry {
     let address = "10.0.0.1:40000".parse().expect("address");
-    Entry {
+    InstanceEntry {
         instance: InstanceId::new(name).expect("id"),
         incarnation,
         domain: DomainId::new("utrechtse-heuvelrug").expect("id"),
@@ -25,7 +25,7 @@
     }
 }
 
-fn beacon(entry: &Entry, sequence: u64) -> Beacon {
+fn beacon(entry: &InstanceEntry, sequence: u64) -> Beacon {
     Beacon {
         instance: entry.instance.clone(),
         incarnation: entry.incarnation,
