--- a/crates/nutmeggrade-fakes/examples/decision_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/decision_cost.rs
@@ -103,7 +103,7 @@
         models: BTreeSet::from([model()]),
         memory: MEMORY,
         cold_right: 0,
-        sharers: 7,
+        instance_count: 7,
     };
     let engines: Vec<_> = (0..size).map(engine).collect();
     scheduler.set_engines(&engines, Moment::ZERO);
--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -78,13 +78,13 @@
         let now = Moment::from_millis(60_000);
         let mut known = Self { view, book: LoadTable::new(), size, now };
         for number in 1..size {
-            known.hear(&beacon(number, 1)?);
+            known.receive_heartbeat(&beacon(number, 1)?);
         }
         Ok(known)
     }
 
-    fn hear(&mut self, beacon: &FleetBeacon) {
-        if self.view.hear(beacon, self.now) {
+    fn receive_heartbeat(&mut self, beacon: &FleetBeacon) {
+        if self.view.receive_heartbeat(beacon, self.now) {
             self.book.set_peer(&beacon.instance, &beacon.placed);
         }
     }
@@ -100,7 +100,7 @@
         let began = Instant::now();
         for frame in &frames {
             if let Ok(FleetMessage::Beacon(beacon)) = open(frame, &KEY) {
-                self.hear(&beacon);
+                self.receive_heartbeat(&beacon);
             }
         }
         Ok(mean(began))
@@ -131,7 +131,11 @@
         for _ in 0..ROUNDS {
             self.view.forget(self.now);
             let live: Vec<&InstanceId> = self.view.live(self.now).collect();
-            black_box((live.len(), self.view.sharers(self.now), self.view.is_reader(self.now)));
+            black_box((
+                live.len(),
+                self.view.instance_count(self.now),
+                self.view.is_reader(self.now),
+            ));
         }
         mean(began)
     }
--- a/crates/nutmeggrade-fakes/src/driver/views.rs
+++ b/crates/nutmeggrade-fakes/src/driver/views.rs
@@ -55,7 +55,7 @@
                     models: BTreeSet::from([model()]),
                     memory: self.pattern.spec.memory,
                     cold_right: if e % NODES == own { self.pattern.spec.cold_limit } else { 0 },
-                    sharers: u32::try_from(NODES).unwrap_or(1),
+                    instance_count: u32::try_from(NODES).unwrap_or(1),
                 })
                 .collect();
             node.set_engines(&engines, now);
--- a/crates/nutmeggrade-fakes/src/rollout/instance.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/instance.rs
@@ -126,7 +126,7 @@
             is_movable: plan.is_stream,
         };
         let seen = ServiceLoad::new(&self.registry, (&self.service, &view.id.version), load, now);
-        let facts = RolloutInputs {
+        let inputs = RolloutInputs {
             age: view.age,
             duration: view.duration,
             phase: view.phase,
@@ -137,8 +137,8 @@
             is_clear: self.table.is_clear(&self.service, self.running, members.into_iter()),
         };
         let judge = self.judge.get_or_insert_with(|| Judge::new(plan.bound));
-        let ruling = judge.rule(&facts);
-        self.table.rule(&self.service, &ruling, now)
+        let decision = judge.decide(&inputs);
+        self.table.apply_decision(&self.service, &decision, now)
     }
 
     /// Leaves the judging to another instance.
--- a/crates/nutmeggrade-fakes/src/rollout/world.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/world.rs
@@ -239,10 +239,10 @@
                 Message::Beat(from, notices) => {
                     instance.heard[from] = Some(now);
                     for notice in notices {
-                        instance.table.hear(&notice, now);
+                        instance.table.receive_notice(&notice, now);
                     }
                 }
-                Message::Notice(notice) => drop(instance.table.hear(&notice, now)),
+                Message::Notice(notice) => drop(instance.table.receive_notice(&notice, now)),
                 Message::Report(report) => instance.table.take_report(&report),
             }
             instance.registry.set_versions(instance.table.rules(now));
--- a/crates/nutmeggrade-policy/src/engine.rs
+++ b/crates/nutmeggrade-policy/src/engine.rs
@@ -18,5 +18,5 @@
     /// Generations that this instance may have on it while it is cold.
     pub cold_right: u32,
     /// Number of instances that share it, this one included.
-    pub sharers: u32,
+    pub instance_count: u32,
 }
--- a/crates/nutmeggrade-policy/src/engine_state.rs
+++ b/crates/nutmeggrade-policy/src/engine_state.rs
@@ -142,7 +142,7 @@
         let needed = context.forecast.peak(0.0) / self.spec.memory.max(1) as f64;
         let free = USABLE_MEMORY_SHARE - load + needed;
         load <= USABLE_MEMORY_SHARE
-            && self.lottery.win(free, needed, self.spec.sharers, context.now)
+            && self.lottery.win(free, needed, self.spec.instance_count, context.now)
     }
 
     /// Records a request sent to this engine.
@@ -215,7 +215,7 @@
     }
 
     fn peer_instances(&self) -> f64 {
-        f64::from(self.spec.sharers.saturating_sub(1))
+        f64::from(self.spec.instance_count.saturating_sub(1))
     }
 
     #[expect(
--- a/crates/nutmeggrade-policy/src/fleet/cold_share.rs
+++ b/crates/nutmeggrade-policy/src/fleet/cold_share.rs
@@ -37,11 +37,11 @@
 
     /// Returns how many requests may be sent at present. `bound` is the number that the endpoint
     /// may get per second from all instances, `rank` the position of this instance among the
-    /// `sharers` of this endpoint.
-    pub fn left(&mut self, bound: u32, rank: usize, sharers: usize, now: Moment) -> u32 {
+    /// `instance_count` that send to this endpoint.
+    pub fn left(&mut self, bound: u32, rank: usize, instance_count: usize, now: Moment) -> u32 {
         self.remove_expired(now);
         let usable = usize::try_from(bound / 10 * USED_TENTHS).unwrap_or(usize::MAX).max(1);
-        let share = match usable / sharers.max(1) {
+        let share = match usable / instance_count.max(1) {
             0 => usize::from(rank < usable),
             share => share,
         };
--- a/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
+++ b/crates/nutmeggrade-policy/src/fleet/resend_budget.rs
@@ -45,12 +45,12 @@
         self.requests.push_back(now);
     }
 
-    /// Takes a resend out of the budget and returns whether one was left; `sharers` is the number
-    /// of instances.
-    pub fn take(&mut self, sharers: usize, now: Moment) -> bool {
+    /// Takes a resend out of the budget and returns whether one was left; `instance_count` instances
+    /// share the budget.
+    pub fn take(&mut self, instance_count: usize, now: Moment) -> bool {
         self.remove_expired(now);
         let earned = self.limits.ratio * self.requests.len() as f64;
-        let additional = self.limits.extra / sharers.max(1) as f64;
+        let additional = self.limits.extra / instance_count.max(1) as f64;
         let left = (earned + additional) * USABLE_SHARE - self.resends.len() as f64;
         if left < 1.0 {
             return false;
--- a/crates/nutmeggrade-policy/src/rollout/judge.rs
+++ b/crates/nutmeggrade-policy/src/rollout/judge.rs
@@ -76,87 +76,93 @@
         Self { exposure_bound, samples: VecDeque::new(), switched: None }
     }
 
-    /// Decides about the phase and share of the rollout at the time of `facts`.
-    pub fn rule(&mut self, facts: &RolloutInputs) -> RolloutDecision {
-        if facts.phase.is_switched() && self.switched.is_none() {
-            self.switched = Some((facts.age, facts.tally.clone()));
+    /// Decides about the phase and share of the rollout at the time of `inputs`.
+    pub fn decide(&mut self, inputs: &RolloutInputs) -> RolloutDecision {
+        if inputs.phase.is_switched() && self.switched.is_none() {
+            self.switched = Some((inputs.age, inputs.tally.clone()));
         }
-        let verdict = self.evaluate(facts);
-        let (phase, why) = self.next_phase(facts, &verdict);
-        let sends_canary = phase == RolloutPhase::Canary && facts.has_quorum;
-        let share = if sends_canary { self.canary_share(facts) } else { 0.0 };
+        let verdict = self.evaluate(inputs);
+        let (phase, why) = self.next_phase(inputs, &verdict);
+        let sends_canary = phase == RolloutPhase::Canary && inputs.has_quorum;
+        let share = if sends_canary { self.canary_share(inputs) } else { 0.0 };
         RolloutDecision { phase, share, verdict, why }
     }
 
     /// Compares the versions over the whole rollout and over recent spans; the worst result counts.
-    fn evaluate(&mut self, facts: &RolloutInputs) -> Verdict {
-        let is_due = |(at, _): &(Duration, RolloutTally)| facts.age >= *at + SAMPLE_INTERVAL;
+    fn evaluate(&mut self, inputs: &RolloutInputs) -> Verdict {
+        let is_due = |(at, _): &(Duration, RolloutTally)| inputs.age >= *at + SAMPLE_INTERVAL;
         if self.samples.back().is_none_or(is_due) {
-            self.samples.push_back((facts.age, facts.tally.clone()));
+            self.samples.push_back((inputs.age, inputs.tally.clone()));
         }
         while self
             .samples
             .front()
-            .is_some_and(|(at, _)| *at + RECENT_SPANS[1] + SAMPLE_INTERVAL < facts.age)
+            .is_some_and(|(at, _)| *at + RECENT_SPANS[1] + SAMPLE_INTERVAL < inputs.age)
         {
             self.samples.pop_front();
         }
-        let whole = compare(&facts.tally);
+        let whole = compare(&inputs.tally);
         if whole != Verdict::Good && whole != Verdict::Unclear {
             return whole;
         }
         for span in RECENT_SPANS {
-            let since = facts.age.saturating_sub(span);
+            let since = inputs.age.saturating_sub(span);
             let Some((_, before)) = self.samples.iter().rev().find(|(at, _)| *at <= since) else {
                 continue;
             };
-            let recent = compare(&facts.tally.since(before));
+            let recent = compare(&inputs.tally.since(before));
             if matches!(recent, Verdict::Bad { .. } | Verdict::Suspect) {
                 return recent;
             }
         }
         match &self.switched {
-            Some((_, before)) => compare(&facts.tally.with_new_version_since(before)),
+            Some((_, before)) => compare(&inputs.tally.with_new_version_since(before)),
             None => whole,
         }
     }
 
-    fn next_phase(&self, facts: &RolloutInputs, verdict: &Verdict) -> (RolloutPhase, &'static str) {
+    fn next_phase(
+        &self,
+        inputs: &RolloutInputs,
+        verdict: &Verdict,
+    ) -> (RolloutPhase, &'static str) {
         use RolloutPhase::{Canary, Cleared, Held, Reverting, Switching};
-        let phase = facts.phase;
+        let phase = inputs.phase;
         if phase >= Reverting {
             return (phase, "");
         }
         if matches!(verdict, Verdict::Bad { .. }) {
             return (Reverting, "bad");
         }
-        let Capacity { has_old, has_new, .. } = facts.capacity;
+        let Capacity { has_old, has_new, .. } = inputs.capacity;
         let is_only_version = has_new && !has_old;
-        let is_late = facts.age + REVERT_LEAD >= facts.duration;
+        let is_late = inputs.age + REVERT_LEAD >= inputs.duration;
         match phase {
-            _ if !facts.has_quorum => (phase, ""),
-            Held | Canary if is_only_version && facts.age >= SINGLE_VERSION_TIME => {
+            _ if !inputs.has_quorum => (phase, ""),
+            Held | Canary if is_only_version && inputs.age >= SINGLE_VERSION_TIME => {
                 (Cleared, "no other version")
             }
             Held if is_late => (Reverting, "nothing to try"),
-            Held if facts.age >= ORDER_PROPAGATION_TIME && facts.capacity.new_slots > 0 => {
+            Held if inputs.age >= ORDER_PROPAGATION_TIME && inputs.capacity.new_slots > 0 => {
                 (Canary, "ready")
             }
             Canary if *verdict != Verdict::Good && is_late => (Reverting, "not shown to be good"),
-            Canary if !Self::has_capacity(facts) && is_late => (Reverting, "too few endpoints"),
+            Canary if !Self::has_capacity(inputs) && is_late => (Reverting, "too few endpoints"),
             Canary
                 if *verdict == Verdict::Good
-                    && Self::has_capacity(facts)
-                    && self.may_switch(facts) =>
+                    && Self::has_capacity(inputs)
+                    && self.may_switch(inputs) =>
             {
                 (Switching, "good")
             }
             Switching
-                if *verdict != Verdict::Good && facts.age >= facts.duration + MAX_OVERTIME =>
+                if *verdict != Verdict::Good && inputs.age >= inputs.duration + MAX_OVERTIME =>
             {
                 (Reverting, "not shown to be good under load")
             }
-            Switching if *verdict == Verdict::Good && facts.is_clear && self.has_settled(facts) => {
+            Switching
+                if *verdict == Verdict::Good && inputs.is_clear && self.has_settled(inputs) =>
+            {
                 (Cleared, "nothing runs at other versions")
             }
             _ => (phase, ""),
@@ -164,56 +170,57 @@
     }
 
     /// Returns whether the new version got all new requests for long enough.
-    fn has_settled(&self, facts: &RolloutInputs) -> bool {
-        self.switched.as_ref().is_some_and(|(at, _)| facts.age >= *at + MIN_SWITCHED_TIME)
+    fn has_settled(&self, inputs: &RolloutInputs) -> bool {
+        self.switched.as_ref().is_some_and(|(at, _)| inputs.age >= *at + MIN_SWITCHED_TIME)
     }
 
     /// Returns whether the new version's endpoints can serve the load.
-    fn has_capacity(facts: &RolloutInputs) -> bool {
-        let Capacity { old_slots, new_slots, running, .. } = facts.capacity;
+    fn has_capacity(inputs: &RolloutInputs) -> bool {
+        let Capacity { old_slots, new_slots, running, .. } = inputs.capacity;
         f64::from(new_slots) >= f64::from(old_slots).min(f64::from(running) * SLOTS_PER_RUNNING)
             && new_slots > 0
     }
 
     /// Returns whether the switch may begin: the order has nearly ended, and all requests that the
     /// new version gets until then stay within the exposure bound even if it is bad.
-    fn may_switch(&self, facts: &RolloutInputs) -> bool {
-        if facts.age >= facts.duration + EXPOSURE_CLOCK_MARGIN {
+    fn may_switch(&self, inputs: &RolloutInputs) -> bool {
+        if inputs.age >= inputs.duration + EXPOSURE_CLOCK_MARGIN {
             return true;
         }
-        let time_left = facts.duration.saturating_sub(facts.age);
-        let lead = if facts.movable > 0 { GENERATION_SWITCH_LEAD } else { CALL_SWITCH_LEAD };
+        let time_left = inputs.duration.saturating_sub(inputs.age);
+        let lead = if inputs.movable > 0 { GENERATION_SWITCH_LEAD } else { CALL_SWITCH_LEAD };
         if time_left > lead {
             return false;
         }
         let time_left = time_left.as_secs_f64();
-        let Some(rate) = self.request_rate(facts) else { return false };
-        let expected = f64::from(facts.tally.requests) + rate * time_left;
-        let exposed = f64::from(facts.tally.exposed) + f64::from(facts.movable) + rate * time_left;
+        let Some(rate) = self.request_rate(inputs) else { return false };
+        let expected = f64::from(inputs.tally.requests) + rate * time_left;
+        let exposed =
+            f64::from(inputs.tally.exposed) + f64::from(inputs.movable) + rate * time_left;
         exposed <= self.exposure_bound.of(expected) * TOTAL_EXPOSURE_SHARE
     }
 
     /// Returns the share of the requests that the new version gets in the canary phase.
-    fn canary_share(&self, facts: &RolloutInputs) -> f64 {
-        let time_left = facts.duration.saturating_sub(facts.age).as_secs_f64();
-        let Some(rate) = self.request_rate(facts) else { return CANARY_SHARE_BOUNDS.0 };
-        let expected = f64::from(facts.tally.requests) + rate * time_left;
+    fn canary_share(&self, inputs: &RolloutInputs) -> f64 {
+        let time_left = inputs.duration.saturating_sub(inputs.age).as_secs_f64();
+        let Some(rate) = self.request_rate(inputs) else { return CANARY_SHARE_BOUNDS.0 };
+        let expected = f64::from(inputs.tally.requests) + rate * time_left;
         let allowed = self.exposure_bound.of(expected) * CANARY_EXPOSURE_SHARE
-            - f64::from(facts.tally.exposed);
+            - f64::from(inputs.tally.exposed);
         if allowed <= 0.0 {
             return 0.0;
         }
         let share = (allowed / (rate * time_left).max(1.0))
             .clamp(CANARY_SHARE_BOUNDS.0, CANARY_SHARE_BOUNDS.1);
-        let is_initial = facts.tally.all_routes().new.count() < HALF_SHARE_ANSWERS;
+        let is_initial = inputs.tally.all_routes().new.count() < HALF_SHARE_ANSWERS;
         if is_initial { share / 2.0 } else { share }
     }
 
     /// Returns the request rate of the service per second, once there are enough samples.
-    fn request_rate(&self, facts: &RolloutInputs) -> Option<f64> {
+    fn request_rate(&self, inputs: &RolloutInputs) -> Option<f64> {
         let (at, before) =
-            self.samples.front().filter(|(at, _)| facts.age >= *at + SAMPLE_INTERVAL)?;
-        let requests = facts.tally.requests.saturating_sub(before.requests);
-        Some(f64::from(requests) / facts.age.saturating_sub(*at).as_secs_f64())
+            self.samples.front().filter(|(at, _)| inputs.age >= *at + SAMPLE_INTERVAL)?;
+        let requests = inputs.tally.requests.saturating_sub(before.requests);
+        Some(f64::from(requests) / inputs.age.saturating_sub(*at).as_secs_f64())
     }
 }
--- a/crates/nutmeggrade-policy/src/room_lottery.rs
+++ b/crates/nutmeggrade-policy/src/room_lottery.rs
@@ -26,9 +26,10 @@
         Self { seed: mix_bits(seed) ^ hash_bytes(endpoint.as_str().as_bytes()) }
     }
 
-    /// Returns whether this instance may use the room, if each of `sharers` needs `need` of `room`.
-    pub fn win(&self, room: f64, need: f64, sharers: u32, now: Moment) -> bool {
-        let total_need = need * f64::from(sharers);
+    /// Returns whether this instance may use the room, if each of `instance_count` instances needs
+    /// `need` of `room`.
+    pub fn win(&self, room: f64, need: f64, instance_count: u32, now: Moment) -> bool {
+        let total_need = need * f64::from(instance_count);
         if room >= total_need {
             return true;
         }
--- a/crates/nutmeggrade-relay/src/engine_watch.rs
+++ b/crates/nutmeggrade-relay/src/engine_watch.rs
@@ -61,7 +61,7 @@
     let is_engine = |e: &EndpointInfo| map.service(&e.service).is_some_and(|s| s.engine.is_some());
     let all = tables.registry.all().map(|e| &e.info).filter(|e| !e.leaving && is_engine(e));
     let polls_all = node.read_state.of(Kind::Endpoints).is_overdue();
-    all.filter(|e| polls_all || tables.fleet.is_first_for(&e.id, now)).cloned().collect()
+    all.filter(|e| polls_all || tables.fleet.ranks_first_for(&e.id, now)).cloned().collect()
 }
 
 async fn poll(node: &Node, engine: &EndpointInfo) -> Option<EndpointId> {
--- a/crates/nutmeggrade-relay/src/node/rollouts.rs
+++ b/crates/nutmeggrade-relay/src/node/rollouts.rs
@@ -35,7 +35,7 @@
         let now = self.now();
         let changed: Vec<RolloutNotice> = {
             let rollouts = &mut lock(&self.tables).rollouts;
-            notices.into_iter().filter(|notice| rollouts.hear(notice, now)).collect()
+            notices.into_iter().filter(|notice| rollouts.receive_notice(notice, now)).collect()
         };
         self.apply_phases(&changed);
     }
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -173,7 +173,7 @@
     /// Sends the addresses of known instances to a peer that introduces itself.
     async fn send_contacts(&self, node: &Node, message: &FleetMessage) {
         let FleetMessage::Beacon(beacon) = message else { return };
-        let contacts = lock(&node.tables).fleet.welcome(beacon);
+        let contacts = lock(&node.tables).fleet.contacts_for_newcomer(beacon);
         if let Some((newcomer, others)) = contacts {
             self.send_to(node, &FleetMessage::Met(others), &[newcomer]).await;
         }
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -46,7 +46,7 @@
     {
         let mut tables = lock(&node.tables);
         let was_live = tables.fleet.is_live(&beacon.instance, now);
-        if !tables.fleet.hear(&beacon, now) {
+        if !tables.fleet.receive_heartbeat(&beacon, now) {
             return;
         }
         tables.dispatcher.book.set_peer(&beacon.instance, &beacon.placed);
--- a/crates/nutmeggrade-relay/src/rollouts/judging.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/judging.rs
@@ -60,7 +60,7 @@
         let surroundings = tables.surroundings(map, (service, &id.version), now);
         let view = tables.rollouts.view(service, now)?;
         let members: Vec<InstanceId> = tables.fleet.members(now).cloned().collect();
-        let facts = RolloutInputs {
+        let inputs = RolloutInputs {
             age: view.age,
             duration: view.duration,
             phase: view.phase,
@@ -72,31 +72,31 @@
         };
         let judge =
             self.0.entry((service.clone(), id.clone())).or_insert_with(|| Judge::new(bound));
-        let ruling = judge.rule(&facts);
-        if ruling.phase != view.phase {
-            log_decision(service, id, &facts, &ruling);
+        let decision = judge.decide(&inputs);
+        if decision.phase != view.phase {
+            log_decision(service, id, &inputs, &decision);
         }
-        tables.rollouts.rule(service, &ruling, now)
+        tables.rollouts.apply_decision(service, &decision, now)
     }
 }
 
 fn log_decision(
     service: &ServiceId,
     id: &RolloutId,
-    facts: &RolloutInputs,
-    ruling: &RolloutDecision,
+    inputs: &RolloutInputs,
+    decision: &RolloutDecision,
 ) {
-    let answers = facts.tally.all_routes();
-    let (route, complaint) = match &ruling.verdict {
+    let answers = inputs.tally.all_routes();
+    let (route, complaint) = match &decision.verdict {
         Verdict::Bad { route, complaint } => (route.as_str(), complaint.to_string()),
         _ => ("", String::new()),
     };
     tracing::info!(event = "rollout_decided", %service, version = %id.version,
-        phase = ruling.phase.as_str(), why = ruling.why, verdict = ruling.verdict.as_str(), route,
-        complaint, age_ms = facts.age.as_millis(), duration_ms = facts.duration.as_millis(),
-        requests = facts.tally.requests, exposed = facts.tally.exposed,
+        phase = decision.phase.as_str(), why = decision.why, verdict = decision.verdict.as_str(), route,
+        complaint, age_ms = inputs.age.as_millis(), duration_ms = inputs.duration.as_millis(),
+        requests = inputs.tally.requests, exposed = inputs.tally.exposed,
         answers = answers.new.count(), failures = answers.new.failures,
         old_answers = answers.old.count(), old_failures = answers.old.failures,
-        new_slots = facts.capacity.new_slots, old_slots = facts.capacity.old_slots,
-        running = facts.capacity.running);
+        new_slots = inputs.capacity.new_slots, old_slots = inputs.capacity.old_slots,
+        running = inputs.capacity.running);
 }
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -142,8 +142,8 @@
 
     /// Takes one resend to a service from the budget; returns whether the budget allows it.
     pub fn take_resend(&mut self, service: &ServiceId, settings: &Settings, now: Moment) -> bool {
-        let sharers = self.fleet.sharers(now);
-        self.budget(service, settings).take(sharers, now)
+        let instance_count = self.fleet.instance_count(now);
+        self.budget(service, settings).take(instance_count, now)
     }
 
     fn budget(&mut self, service: &ServiceId, settings: &Settings) -> &mut ResendBudget {
@@ -194,14 +194,14 @@
         let mut candidates: BTreeMap<ServiceId, Vec<Candidate>> = BTreeMap::new();
         let mut canaries: BTreeMap<&ServiceId, Vec<Candidate>> = BTreeMap::new();
         let mut cold_ids = BTreeSet::new();
-        let sharers = self.fleet.sharers(now);
+        let instance_count = self.fleet.instance_count(now);
         for entry in self.registry.usable() {
             let Some(spec) = map.service(&entry.info.service) else { continue };
             let mut candidate = to_candidate(entry, spec);
             if let Some(bound) = cold_rate_limit(entry, spec, settings, now) {
                 let rank = self.fleet.rank(&entry.info.id, now);
                 let share = self.cold_shares.entry(entry.info.id.clone()).or_default();
-                candidate.cold_left = Some(share.left(bound, rank, sharers, now));
+                candidate.cold_left = Some(share.left(bound, rank, instance_count, now));
                 cold_ids.insert(entry.info.id.clone());
             }
             if self.registry.role(&entry.info) != VersionRole::Canary {
--- a/crates/nutmeggrade-relay/src/watch/read_state.rs
+++ b/crates/nutmeggrade-relay/src/watch/read_state.rs
@@ -44,7 +44,7 @@
 
     /// Returns the revision of the last answer that contained changes, which peers compare.
     pub fn change_revision(&self) -> u64 {
-        lock(&self.range).news()
+        lock(&self.range).last_change()
     }
 
     /// Returns the revision after which peers are missing only the next set of changes.
--- a/crates/nutmeggrade-state/src/audit_log.rs
+++ b/crates/nutmeggrade-state/src/audit_log.rs
@@ -88,7 +88,7 @@
     }
 
     /// Removes an entry from the queue after it was written to the platform.
-    pub fn written(&mut self, number: u64) {
+    pub fn mark_written(&mut self, number: u64) {
         self.pending.retain(|e| e.number != number);
     }
 
@@ -99,7 +99,7 @@
 
     /// Returns the number of entries that were dropped because the platform was unavailable for too
     /// long.
-    pub const fn lost(&self) -> u64 {
+    pub const fn dropped_count(&self) -> u64 {
         self.dropped
     }
 
--- a/crates/nutmeggrade-state/src/claiming.rs
+++ b/crates/nutmeggrade-state/src/claiming.rs
@@ -18,10 +18,10 @@
     /// The claim is decided, with the version of the record; for [`Claim::Send`] it is this
     /// attempt's record.
     Decided(Claim, u64),
-    /// The platform could not be reached; `doubt` if a write may still take effect later.
+    /// The platform could not be reached; `may_apply` if a write may still take effect later.
     GaveUp {
         /// Whether a write of this attempt may still take effect.
-        doubt: bool,
+        may_apply: bool,
     },
 }
 
@@ -53,13 +53,13 @@
     intent: Intent,
     step: ClaimStep,
     writes: u32,
-    doubt: bool,
+    may_apply: bool,
 }
 
 impl Claiming {
     /// Starts a claim with the attempt's record.
     pub const fn new(intent: Intent) -> Self {
-        Self { intent, step: ClaimStep::Create, writes: 0, doubt: false }
+        Self { intent, step: ClaimStep::Create, writes: 0, may_apply: false }
     }
 
     /// Returns the attempt's record.
@@ -76,7 +76,7 @@
     pub fn apply(&mut self, response: StoreResponse) {
         self.step = match response {
             StoreResponse::Written(version) => ClaimStep::Decided(Claim::Send, version),
-            StoreResponse::Refused => ClaimStep::GaveUp { doubt: self.doubt },
+            StoreResponse::Refused => ClaimStep::GaveUp { may_apply: self.may_apply },
             StoreResponse::Conflict => ClaimStep::Read,
             StoreResponse::Lost => self.response_lost(),
             StoreResponse::Absent => self.write(ClaimStep::Create),
@@ -86,9 +86,9 @@
 
     fn response_lost(&mut self) -> ClaimStep {
         if self.step == ClaimStep::Read {
-            return ClaimStep::GaveUp { doubt: self.doubt };
+            return ClaimStep::GaveUp { may_apply: self.may_apply };
         }
-        self.doubt = true;
+        self.may_apply = true;
         ClaimStep::Read
     }
 
@@ -101,7 +101,11 @@
 
     fn write(&mut self, step: ClaimStep) -> ClaimStep {
         self.writes += 1;
-        if self.writes >= MAX_WRITES { ClaimStep::GaveUp { doubt: self.doubt } } else { step }
+        if self.writes >= MAX_WRITES {
+            ClaimStep::GaveUp { may_apply: self.may_apply }
+        } else {
+            step
+        }
     }
 }
 
--- a/crates/nutmeggrade-state/src/cold_rights.rs
+++ b/crates/nutmeggrade-state/src/cold_rights.rs
@@ -61,14 +61,14 @@
 
     /// Processes the newest assignment from a platform answer requested at `asked`.
     pub fn learn(&mut self, assignment: &Assignment, asked: Moment, now: Moment) {
-        self.hint(assignment, now);
+        self.note_peer_assignment(assignment, now);
         if assignment.epoch == self.epoch() {
             self.confirmed = self.confirmed.max(Some(asked));
         }
     }
 
     /// Processes the newest assignment known to a peer; it grants no right but may end one.
-    pub fn hint(&mut self, assignment: &Assignment, now: Moment) {
+    pub fn note_peer_assignment(&mut self, assignment: &Assignment, now: Moment) {
         let known = self.epoch();
         if assignment.epoch > known {
             self.epochs.push_back(KnownEpoch { assignment: assignment.clone(), learned_at: now });
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -97,7 +97,7 @@
     near: BTreeSet<SocketAddr>,
     near_position: usize,
     far_position: usize,
-    welcome_position: usize,
+    newcomer_position: usize,
 }
 
 impl FleetView {
@@ -117,12 +117,12 @@
             near: BTreeSet::new(),
             near_position: 0,
             far_position: 0,
-            welcome_position: 0,
+            newcomer_position: 0,
         }
     }
 
     /// Processes a heartbeat; returns whether it was newer than the last one of its sender.
-    pub fn hear(&mut self, beacon: &FleetBeacon, now: Moment) -> bool {
+    pub fn receive_heartbeat(&mut self, beacon: &FleetBeacon, now: Moment) -> bool {
         if beacon.instance == self.own_id {
             return false;
         }
@@ -274,7 +274,7 @@
 
     /// Returns whether this instance ranks first among the live instances for the endpoint. The
     /// ranking differs between endpoints.
-    pub fn is_first_for(&self, endpoint: &EndpointId, now: Moment) -> bool {
+    pub fn ranks_first_for(&self, endpoint: &EndpointId, now: Moment) -> bool {
         let own_key = endpoint_order_key(self.own_id.as_str(), endpoint);
         self.live(now).all(|peer| endpoint_order_key(peer.as_str(), endpoint) > own_key)
     }
@@ -326,7 +326,7 @@
     /// In a large fleet it takes many heartbeat turns to hear from every peer. In a fleet of 300
     /// instances that started together, each had heard from 100 after the first seconds, so all
     /// together would have used three times the limit.
-    pub fn sharers(&self, now: Moment) -> usize {
+    pub fn instance_count(&self, now: Moment) -> usize {
         let known = 1 + self.known_contacts(now).count();
         if now.since_start() < STARTUP_PERIOD { known.max(ASSUMED_INSTANCES) } else { known }
     }
--- a/crates/nutmeggrade-state/src/fleet_view/recipients.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/recipients.rs
@@ -39,7 +39,7 @@
 const MAX_DIRECT_NEIGHBOURS: usize = 96;
 /// Maximum number of addresses in the reply to a new instance; at 20 bytes each they fit into one
 /// datagram.
-const MAX_WELCOME_CONTACTS: usize = 128;
+const MAX_NEWCOMER_CONTACTS: usize = 128;
 /// Maximum number of peers in a remote failure domain that are sent to directly, without a relay.
 const MAX_DIRECT_REMOTE: usize = 3;
 /// Number of heartbeats after which an instance has heard from its neighbours, two seconds' worth.
@@ -147,7 +147,10 @@
     /// When a large fleet starts, each instance has only its seeds. With only the few addresses in
     /// heartbeats, it took four seconds until all had heard from the readers; meanwhile most read
     /// the store themselves, which at 88 instances was a third of the calls of a quiet minute.
-    pub fn welcome(&mut self, beacon: &FleetBeacon) -> Option<(SocketAddr, Contacts)> {
+    pub fn contacts_for_newcomer(
+        &mut self,
+        beacon: &FleetBeacon,
+    ) -> Option<(SocketAddr, Contacts)> {
         let introduction = beacon.introduction.as_ref()?;
         let announced = introduction.others.values().map(Vec::len).sum::<usize>();
         if self.contacts.len() <= MAX_FULL_FANOUT || announced >= super::MAX_INTRODUCED_PEERS {
@@ -161,7 +164,7 @@
         // fleet.
         let mut others = Contacts::new();
         for (address, domain) in
-            next_in_rotation(&all, MAX_WELCOME_CONTACTS, &mut self.welcome_position)
+            next_in_rotation(&all, MAX_NEWCOMER_CONTACTS, &mut self.newcomer_position)
         {
             others.entry(domain).or_default().push(address);
         }
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -86,7 +86,7 @@
 
     /// Processes a heartbeat; returns whether it was fresh. Old, repeated and own heartbeats are
     /// dropped, and those of an incarnation whose addresses are unknown.
-    pub fn hear(&mut self, beacon: &Beacon, now: Moment) -> bool {
+    pub fn receive_heartbeat(&mut self, beacon: &Beacon, now: Moment) -> bool {
         if beacon.instance == self.own_entry.instance {
             return false;
         }
--- a/crates/nutmeggrade-state/src/read_range.rs
+++ b/crates/nutmeggrade-state/src/read_range.rs
@@ -19,7 +19,7 @@
     }
 
     /// Returns the revision of the last answer that contained a change.
-    pub const fn news(&self) -> u64 {
+    pub const fn last_change(&self) -> u64 {
         self.last_change
     }
 
@@ -29,16 +29,16 @@
         self.last_change.max(self.last_listing)
     }
 
-    /// Records an answer that is complete up to `read`; `news` is the revision of the last change
-    /// in it, 0 for none.
-    pub fn note(&mut self, read: u64, news: u64) {
+    /// Records an answer that is complete up to `read`; `last_change` is the revision of the
+    /// last change in it, 0 for none.
+    pub fn note(&mut self, read: u64, last_change: u64) {
         self.read_revision = self.read_revision.max(read);
-        self.last_change = self.last_change.max(news);
+        self.last_change = self.last_change.max(last_change);
     }
 
     /// Records a complete listing.
-    pub fn note_listing(&mut self, read: u64, news: u64) {
-        self.note(read, news);
+    pub fn note_listing(&mut self, read: u64, last_change: u64) {
+        self.note(read, last_change);
         self.last_listing = self.last_listing.max(read);
     }
 }
--- a/crates/nutmeggrade-state/src/rollout/table.rs
+++ b/crates/nutmeggrade-state/src/rollout/table.rs
@@ -117,7 +117,7 @@
     }
 
     /// Applies a peer's notice; returns whether a phase changed.
-    pub fn hear(&mut self, notice: &RolloutNotice, now: Moment) -> bool {
+    pub fn receive_notice(&mut self, notice: &RolloutNotice, now: Moment) -> bool {
         let RolloutNotice { order, revision, phase, age, .. } = notice;
         let known = self.entries.get(&order.service);
         // A notice of an order that this instance has not read counts too; otherwise it would use
@@ -231,17 +231,17 @@
             && peers.all(|peer| newest_count(peer).is_some_and(PeerCount::is_clear))
     }
 
-    /// Applies a ruling of this instance; returns the notice for the peers if the phase changed.
-    pub fn rule(
+    /// Applies a decision of this instance; returns the notice for the peers if the phase changed.
+    pub fn apply_decision(
         &mut self,
         service: &ServiceId,
-        ruling: &RolloutDecision,
+        decision: &RolloutDecision,
         now: Moment,
     ) -> Option<RolloutNotice> {
         let entry = self.entries.get_mut(service)?;
-        entry.verdict = ruling.verdict.as_str();
-        let is_changed = entry.advance(ruling.phase, now);
-        entry.grant(ruling.share, now);
+        entry.verdict = decision.verdict.as_str();
+        let is_changed = entry.advance(decision.phase, now);
+        entry.grant(decision.share, now);
         is_changed.then(|| entry.notice(now))
     }
 
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -104,7 +104,7 @@
     }
 
     /// Returns the admission decision for a request; a waiting request asks again with the same id.
-    pub fn gate(&mut self, request: PromptHash, id: TrialId, now: Moment) -> Admission {
+    pub fn admission(&mut self, request: PromptHash, id: TrialId, now: Moment) -> Admission {
         self.remove_expired(now);
         if self.is_rejected(request, now) {
             return Admission::Refuse;
--- a/crates/nutmeggrade/src/admin/metrics.rs
+++ b/crates/nutmeggrade/src/admin/metrics.rs
@@ -31,6 +31,6 @@
     };
     node.metrics.explain_records.set(gauge(records));
     node.metrics.explain_bytes.set(gauge(bytes));
-    let lost = lock(&node.tables.audit).lost();
+    let lost = lock(&node.tables.audit).dropped_count();
     node.metrics.audit_lost.set(i64::try_from(lost).unwrap_or(i64::MAX));
 }
--- a/crates/nutmeggrade/src/audit.rs
+++ b/crates/nutmeggrade/src/audit.rs
@@ -43,7 +43,7 @@
         }
         let Some(position) = next_free else { continue };
         if write(&node, &entry, position).await {
-            lock(&node.tables.audit).written(entry.number);
+            lock(&node.tables.audit).mark_written(entry.number);
             remove_oldest(&node, position).await;
             next_free = Some(position + 1);
         } else {
--- a/crates/nutmeggrade/src/generation/suspect_guard.rs
+++ b/crates/nutmeggrade/src/generation/suspect_guard.rs
@@ -42,8 +42,8 @@
         let mut announced = false;
         loop {
             let now = self.node.now();
-            let gate = lock(&self.node.tables.suspects).gate(self.request, self.id, now);
-            match gate {
+            let admission = lock(&self.node.tables.suspects).admission(self.request, self.id, now);
+            match admission {
                 Admission::Free | Admission::Trial => return Ok(()),
                 Admission::Refuse => {
                     let detail = "the request crashed the engines that ran it; it is refused on \
--- a/crates/nutmeggrade/src/node.rs
+++ b/crates/nutmeggrade/src/node.rs
@@ -216,14 +216,14 @@
     /// Updates the scheduler's list of engines that may get new work.
     pub fn sync_engines(&self) {
         let config = lock(&self.tables.config).current();
-        let sharers = lock(&self.tables.members).live(self.now()).len() + 1;
-        let sharers = u32::try_from(sharers).unwrap_or(u32::MAX);
+        let instance_count = lock(&self.tables.members).live(self.now()).len() + 1;
+        let instance_count = u32::try_from(instance_count).unwrap_or(u32::MAX);
         let now = self.now();
         let engines: Vec<Engine> = {
             let table = lock(&self.tables.endpoints);
             let rights = lock(&self.tables.rights);
             let cold_right = |e: &Endpoint| rights.cold_right(&e.id, now);
-            let to_engine = |e| engine(e, sharers, cold_right(e), config.as_deref());
+            let to_engine = |e| engine(e, instance_count, cold_right(e), config.as_deref());
             table.usable().filter_map(to_engine).collect()
         };
         lock(&self.tables.scheduler).set_engines(&engines, self.now());
@@ -232,7 +232,7 @@
 
 fn engine(
     endpoint: &Endpoint,
-    sharers: u32,
+    instance_count: u32,
     cold_right: u32,
     config: Option<&Configuration>,
 ) -> Option<Engine> {
@@ -247,6 +247,6 @@
         models,
         memory: *memory,
         cold_right,
-        sharers,
+        instance_count,
     })
 }
--- a/crates/nutmeggrade/src/service/once.rs
+++ b/crates/nutmeggrade/src/service/once.rs
@@ -56,7 +56,7 @@
             lock(&node.tables.intents).claimed(nonce);
             send(&node, &call, &record_key, &intent, *version).await
         }
-        ClaimStep::GaveUp { doubt: true } => {
+        ClaimStep::GaveUp { may_apply: true } => {
             lock(&node.tables.intents).end(nonce, Progress::Released);
             let released = intent.with_progress(Progress::Released);
             settle_later(&node, &record_key, Settling::new(released, None));
--- a/crates/nutmeggrade/src/tasks/catch_up.rs
+++ b/crates/nutmeggrade/src/tasks/catch_up.rs
@@ -98,7 +98,7 @@
         node.add_peer(entry);
     }
     if let Some(assignment) = &fleet.assignment {
-        lock(&node.tables.rights).hint(assignment, node.now());
+        lock(&node.tables.rights).note_peer_assignment(assignment, node.now());
     }
     lock(&node.tables.endpoints).init_list(&fleet.endpoints);
     node.sync_engines();
--- a/crates/nutmeggrade/src/tasks/heartbeat_receiver.rs
+++ b/crates/nutmeggrade/src/tasks/heartbeat_receiver.rs
@@ -28,7 +28,7 @@
     let instance_count = lock(&node.tables.rights).assignment().map_or(0, |a| a.members.len());
     let (is_new, quorum_start) = {
         let mut members = lock(&node.tables.members);
-        let is_new = members.hear(beacon, now);
+        let is_new = members.receive_heartbeat(beacon, now);
         // Without an assignment, the quorum is based on all known instances.
         let instance_count = if instance_count == 0 { members.known() } else { instance_count };
         (is_new, members.quorum_since(instance_count))
--- a/tests/suite/operators/audit.rs
+++ b/tests/suite/operators/audit.rs
@@ -43,7 +43,7 @@
         log.note(AuditEvent::TokenRefused, &detail, 1, n, Moment::from_millis(n));
     }
     assert_eq!(log.recent().count(), MAX_RECENT);
-    assert_eq!(log.lost(), 10_000 - MAX_PENDING as u64);
+    assert_eq!(log.dropped_count(), 10_000 - MAX_PENDING as u64);
     let first = log.first_pending().map(|e| e.number);
     assert_eq!(first, Some(10_001 - MAX_PENDING as u64));
 }
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -47,7 +47,7 @@
         models: BTreeSet::from([model()]),
         memory: MEMORY_TOKENS,
         cold_right: 0,
-        sharers: 1,
+        instance_count: 1,
     }
 }
 
--- a/tests/suite/policy/memory.rs
+++ b/tests/suite/policy/memory.rs
@@ -105,7 +105,7 @@
     for node in 0..7 {
         let mut scheduler = nutmeggrade_policy::Scheduler::new(node);
         scheduler.set_preset(&nutmeggrade_fakes::fleet::preset().expect("a preset"));
-        scheduler.set_engines(&[Engine { sharers: 7, ..engine(0) }], Moment::ZERO);
+        scheduler.set_engines(&[Engine { instance_count: 7, ..engine(0) }], Moment::ZERO);
         scheduler.report(&endpoint(0), &report, Moment::ZERO);
         scheduler.set_peers(&[(endpoint(0), 12)].into(), Moment::ZERO);
         for number in 0..30 {
--- a/tests/suite/policy/rollouts.rs
+++ b/tests/suite/policy/rollouts.rs
@@ -118,7 +118,7 @@
 
     /// Simulates a tenth of a second in which a share of the new version's responses fails.
     fn step(&mut self, failure_rate: f64) -> RolloutDecision {
-        let decision = self.judge.rule(&self.inputs);
+        let decision = self.judge.decide(&self.inputs);
         self.inputs.phase = decision.phase;
         let share = match decision.phase {
             RolloutPhase::Canary => decision.share,
--- a/tests/suite/random/config.rs
+++ b/tests/suite/random/config.rs
@@ -115,7 +115,7 @@
     /// Processes the buffered heartbeats.
     fn receive(&mut self, now: Moment) {
         while let Some(beacon) = self.inbox.pop_front() {
-            let is_new = self.members.hear(&beacon, now);
+            let is_new = self.members.receive_heartbeat(&beacon, now);
             let majority_since = self.members.quorum_since(NODES);
             if is_new && !self.config.note(beacon.config) {
                 self.fence.record_peer_contact(majority_since);
--- a/tests/suite/random/intents.rs
+++ b/tests/suite/random/intents.rs
@@ -226,12 +226,12 @@
                 self.check_decision(key, &claim);
                 return None;
             }
-            ClaimStep::GaveUp { doubt: true } => {
+            ClaimStep::GaveUp { may_apply: true } => {
                 self.tables[node].end(nonce, Progress::Released);
                 let settling = Settling::new(intent.with_progress(Progress::Released), None);
                 return Some(Stage::Settle { settling, uncertain_claim: true });
             }
-            ClaimStep::GaveUp { doubt: false } => {
+            ClaimStep::GaveUp { may_apply: false } => {
                 self.tables[node].settle(nonce);
                 return None;
             }
--- a/tests/suite/random/suspects.rs
+++ b/tests/suite/random/suspects.rs
@@ -112,7 +112,7 @@
             if job.running.is_some() {
                 continue;
             }
-            match self.tables[job.node].gate(hash(job.request), job.id, now) {
+            match self.tables[job.node].admission(hash(job.request), job.id, now) {
                 Admission::Free => job.running = Some(((engine + index) % ENGINES, 0)),
                 Admission::Trial => {
                     job.trial = true;
--- a/tests/suite/state/cold_rights.rs
+++ b/tests/suite/state/cold_rights.rs
@@ -92,7 +92,7 @@
 #[rstest]
 fn peers_hint_gives_no_right() {
     let mut rights = ColdRights::new(&own_id(), 7);
-    rights.hint(&sole_owner(7), at(0));
+    rights.note_peer_assignment(&sole_owner(7), at(0));
     assert_eq!(rights.owner_epoch(&engine(), at(1_300)), None);
 }
 
--- a/tests/suite/state/fleet_view.rs
+++ b/tests/suite/state/fleet_view.rs
@@ -40,11 +40,11 @@
 #[test]
 fn silent_peer_is_not_named_but_counts() {
     let mut view = view(1);
-    assert!(view.hear(&beacon(2, 1), NOW));
+    assert!(view.receive_heartbeat(&beacon(2, 1), NOW));
     assert_eq!(view.entries(None, false, later(2_000)).len(), 2);
     assert_eq!(view.entries(None, false, later(3_000)), [addresses(1).client]);
-    assert_eq!(view.sharers(later(3_000)), 2);
-    assert_eq!(view.sharers(later(31_000)), 1);
+    assert_eq!(view.instance_count(later(3_000)), 2);
+    assert_eq!(view.instance_count(later(31_000)), 1);
 }
 
 // Guards against clients that are sent to a peer, or to this instance, after it announced that it
@@ -52,8 +52,8 @@
 #[test]
 fn leaving_peer_is_not_named() {
     let mut view = view(1);
-    view.hear(&beacon(2, 1), NOW);
-    view.hear(&FleetBeacon { leaving: true, ..beacon(2, 2) }, NOW);
+    view.receive_heartbeat(&beacon(2, 1), NOW);
+    view.receive_heartbeat(&FleetBeacon { leaving: true, ..beacon(2, 2) }, NOW);
     assert_eq!(view.entries(None, false, NOW), [addresses(1).client]);
     assert!(view.entries(None, true, NOW).is_empty());
 }
@@ -62,8 +62,8 @@
 #[test]
 fn late_heartbeat_changes_nothing() {
     let mut view = view(1);
-    view.hear(&FleetBeacon { leaving: true, ..beacon(2, 5) }, NOW);
-    assert!(!view.hear(&beacon(2, 4), NOW));
+    view.receive_heartbeat(&FleetBeacon { leaving: true, ..beacon(2, 5) }, NOW);
+    assert!(!view.receive_heartbeat(&beacon(2, 4), NOW));
     assert_eq!(view.entries(None, false, NOW).len(), 1);
 }
 
@@ -72,10 +72,10 @@
 #[test]
 fn lower_incarnation_is_accepted_after_silence() {
     let mut view = view(1);
-    view.hear(&beacon(2, 50), NOW);
+    view.receive_heartbeat(&beacon(2, 50), NOW);
     let restarted = FleetBeacon { incarnation: 90, ..beacon(2, 1) };
-    assert!(!view.hear(&restarted, later(500)));
-    assert!(view.hear(&restarted, later(3_000)));
+    assert!(!view.receive_heartbeat(&restarted, later(500)));
+    assert!(view.receive_heartbeat(&restarted, later(3_000)));
     assert!(view.is_live(&name(2), later(3_000)));
 }
 
@@ -84,10 +84,10 @@
 #[test]
 fn addresses_spread() {
     let mut views: Vec<FleetView> = (1..=9).map(view).collect();
-    views[0].hear(&beacon(2, 1), NOW);
+    views[0].receive_heartbeat(&beacon(2, 1), NOW);
     for (index, view) in views.iter_mut().enumerate().skip(1) {
         let before = u8::try_from(index).expect("few");
-        view.hear(&beacon(before, 1), NOW);
+        view.receive_heartbeat(&beacon(before, 1), NOW);
     }
     for round in 2..12 {
         let sent: Vec<(Vec<SocketAddr>, FleetBeacon)> = views
@@ -102,7 +102,7 @@
         for (targets, beacon) in sent {
             for (view, number) in views.iter_mut().zip(1..) {
                 if targets.contains(&addresses(number).beacon) {
-                    view.hear(&beacon, NOW);
+                    view.receive_heartbeat(&beacon, NOW);
                 }
             }
         }
@@ -123,10 +123,13 @@
             .filter(|own| {
                 let mut view = view(*own);
                 for peer in (1..=20).filter(|p| p != own) {
-                    view.hear(&FleetBeacon { reads: reads(peer), ..beacon(peer, 1) }, NOW);
+                    view.receive_heartbeat(
+                        &FleetBeacon { reads: reads(peer), ..beacon(peer, 1) },
+                        NOW,
+                    );
                     if !silent.contains(&peer) {
                         let second = FleetBeacon { reads: reads(peer), ..beacon(peer, 2) };
-                        view.hear(&second, later(900));
+                        view.receive_heartbeat(&second, later(900));
                     }
                 }
                 reads(*own) && view.is_reader(later(900))
@@ -154,12 +157,12 @@
 fn introduction_comes_first() {
     let mut view = view(1);
     let without_introduction = |sequence| FleetBeacon { introduction: None, ..beacon(2, sequence) };
-    assert!(!view.hear(&without_introduction(1), NOW));
-    assert!(view.hear(&beacon(2, 2), NOW));
-    assert!(view.hear(&without_introduction(3), later(200)));
+    assert!(!view.receive_heartbeat(&without_introduction(1), NOW));
+    assert!(view.receive_heartbeat(&beacon(2, 2), NOW));
+    assert!(view.receive_heartbeat(&without_introduction(3), later(200)));
     assert_eq!(view.entries(None, false, later(200)).len(), 2);
     let restarted = FleetBeacon { incarnation: 101, ..without_introduction(1) };
-    assert!(!view.hear(&restarted, later(300)));
+    assert!(!view.receive_heartbeat(&restarted, later(300)));
 }
 
 // Guards against clients that are given too few instances: a client in a failure domain with three
@@ -174,7 +177,7 @@
             addresses.domain = far.clone();
         }
         let introduction = Some(Introduction { sender: addresses, others: Contacts::new() });
-        view.hear(&FleetBeacon { introduction, ..beacon(number, 1) }, NOW);
+        view.receive_heartbeat(&FleetBeacon { introduction, ..beacon(number, 1) }, NOW);
     }
     let near = DomainId::new("veluwe").expect("an id");
     assert_eq!(view.entries(Some(&near), false, NOW).len(), 3);
@@ -191,7 +194,7 @@
         let mut view = view(own);
         for other in (1..=20).filter(|other| *other != own) {
             let reads = Some(other) != without_store;
-            view.hear(&FleetBeacon { reads, ..beacon(other, 1) }, NOW);
+            view.receive_heartbeat(&FleetBeacon { reads, ..beacon(other, 1) }, NOW);
         }
         view
     };
@@ -227,7 +230,7 @@
     let fill = |own: u8| {
         let mut view = FleetView::new(&name(own), &domain_addresses(own), &[]);
         for other in (1..=60).filter(|other| *other != own) {
-            view.hear(&domain_beacon(other, 10), NOW);
+            view.receive_heartbeat(&domain_beacon(other, 10), NOW);
         }
         view
     };
@@ -263,7 +266,7 @@
 #[test]
 fn new_instance_gets_the_contacts_of_others() {
     let mut views = large_fleet();
-    let (newcomer, others) = views[0].welcome(&beacon(77, 1)).expect("a newcomer");
+    let (newcomer, others) = views[0].contacts_for_newcomer(&beacon(77, 1)).expect("a newcomer");
     let count = others.values().map(Vec::len).sum::<usize>();
     assert_eq!((newcomer, count), (addresses(77).beacon, 59));
     let mut fresh = view(77);
@@ -272,8 +275,11 @@
     let others = (1..=8).map(|n| addresses(n).beacon).collect();
     let others = Contacts::from([(addresses(1).domain, others)]);
     let introduction = Some(Introduction { sender: addresses(78), others });
-    assert_eq!(views[0].welcome(&FleetBeacon { introduction, ..beacon(78, 1) }), None);
-    assert_eq!(view(1).welcome(&beacon(77, 1)), None);
+    assert_eq!(
+        views[0].contacts_for_newcomer(&FleetBeacon { introduction, ..beacon(78, 1) }),
+        None
+    );
+    assert_eq!(view(1).contacts_for_newcomer(&beacon(77, 1)), None);
 }
 
 // Guards against broadcasts that are lost or duplicated, or that cross a link between failure
@@ -294,7 +300,7 @@
     let all: Vec<SocketAddr> = (2..=60).map(|n| addresses(n).beacon).collect();
     assert_eq!(recipients, all);
     // The instance heard last relays the message, unless it has only just started.
-    views[0].hear(&domain_beacon(6, 11), later(50));
+    views[0].receive_heartbeat(&domain_beacon(6, 11), later(50));
     let whole = DomainPart { part: 0, of: 1 };
     assert!(
         views[0]
@@ -302,7 +308,7 @@
             .relays
             .contains(&(addresses(6).beacon, whole))
     );
-    views[0].hear(&FleetBeacon { incarnation: 101, ..domain_beacon(9, 1) }, later(90));
+    views[0].receive_heartbeat(&FleetBeacon { incarnation: 101, ..domain_beacon(9, 1) }, later(90));
     assert!(
         views[0]
             .broadcast_recipients(RelayOrder::LastHeard, later(90))
@@ -317,12 +323,12 @@
 #[test]
 fn store_outage_is_learned_from_a_peer() {
     let mut view = view(1);
-    view.hear(&beacon(2, 1), NOW);
+    view.receive_heartbeat(&beacon(2, 1), NOW);
     assert!(!view.has_peer_without_store(NOW));
-    view.hear(&FleetBeacon { reads: false, ..beacon(2, 2) }, NOW);
+    view.receive_heartbeat(&FleetBeacon { reads: false, ..beacon(2, 2) }, NOW);
     assert!(view.has_peer_without_store(later(100)));
     assert!(!view.has_peer_without_store(later(1_000)));
-    view.hear(&FleetBeacon { reads: false, ..beacon(2, 3) }, later(1_000));
-    view.hear(&beacon(2, 4), later(1_100));
+    view.receive_heartbeat(&FleetBeacon { reads: false, ..beacon(2, 3) }, later(1_000));
+    view.receive_heartbeat(&beacon(2, 4), later(1_100));
     assert!(!view.has_peer_without_store(later(1_100)));
 }
--- a/tests/suite/state/large_fleet.rs
+++ b/tests/suite/state/large_fleet.rs
@@ -36,17 +36,17 @@
 fn view(own: u16, heard: u16, seeds: &[SocketAddr]) -> FleetView {
     let mut view = FleetView::new(&name(own), &addresses(own), seeds);
     for other in (0..heard).filter(|other| *other != own) {
-        view.hear(&beacon(other, 10), NOW);
+        view.receive_heartbeat(&beacon(other, 10), NOW);
     }
     view
 }
 
 /// Adds the contacts that an instance gets from the peers to which it introduces itself.
-fn add_welcome_contacts(view: &mut FleetView, own: u16) {
+fn add_newcomer_contacts(view: &mut FleetView, own: u16) {
     for host in 1..=4 {
         let mut host = self::view(host, INSTANCES, &[]);
         for _ in 0..3 {
-            let (_, others) = host.welcome(&beacon(own, 1)).expect("a welcome");
+            let (_, others) = host.contacts_for_newcomer(&beacon(own, 1)).expect("contacts");
             view.add_contacts(&others, NOW);
         }
     }
@@ -58,8 +58,8 @@
 #[test]
 fn limits_are_divided_by_those_not_heard_yet() {
     let mut fresh = view(299, 100, &[]);
-    add_welcome_contacts(&mut fresh, 299);
-    assert_eq!(fresh.sharers(NOW), usize::from(INSTANCES));
+    add_newcomer_contacts(&mut fresh, 299);
+    assert_eq!(fresh.instance_count(NOW), usize::from(INSTANCES));
 }
 
 // Guards against overload of a cold endpoint whose limit of 57 requests a second is below the
@@ -87,7 +87,7 @@
 #[test]
 fn broadcast_of_an_instance_with_few_peers_is_relayed() {
     let mut fresh = view(299, 20, &[]);
-    add_welcome_contacts(&mut fresh, 299);
+    add_newcomer_contacts(&mut fresh, 299);
     let audience = fresh.broadcast_recipients(RelayOrder::LastHeard, NOW);
     assert!(audience.direct.is_empty(), "{} direct", audience.direct.len());
     assert!(audience.relays.len() <= MAX_SENT, "{}", audience.relays.len());
@@ -140,7 +140,7 @@
     let asks_within = |own: u16, wait: Duration| {
         let mut view = FleetView::new(&name(own), &addresses(own), &[]);
         for other in (0..INSTANCES).filter(|other| *other != own) {
-            view.hear(&FleetBeacon { reads: false, ..beacon(other, 10) }, NOW);
+            view.receive_heartbeat(&FleetBeacon { reads: false, ..beacon(other, 10) }, NOW);
         }
         view.is_reader(NOW) && view.takeover_wait(NOW) <= wait
     };
@@ -158,7 +158,7 @@
     let near = addresses(0).domain;
     let after = |ms| NOW.after(Duration::from_millis(ms));
     for other in (4..INSTANCES).filter(|n| n % DOMAINS == 0 && *n != 8) {
-        view.hear(&beacon(other, 11), after(4_000));
+        view.receive_heartbeat(&beacon(other, 11), after(4_000));
     }
     let named = view.entries(Some(&near), false, after(5_000));
     assert_eq!(named.len(), 74);
--- a/tests/suite/state/membership.rs
+++ b/tests/suite/state/membership.rs
@@ -45,7 +45,7 @@
 fn known_peer_is_accepted_without_addresses() {
     let mut members = Membership::new(&entry("node-0", 1), SILENCE_TIMEOUT);
     members.learn(&entry("node-1", 1));
-    assert!(members.hear(&beacon(&entry("node-1", 1), 2), NOW));
+    assert!(members.receive_heartbeat(&beacon(&entry("node-1", 1), 2), NOW));
     assert_eq!(members.live(NOW).len(), 1);
 }
 
@@ -57,12 +57,12 @@
     let mut members = Membership::new(&entry("node-0", 1), SILENCE_TIMEOUT);
     members.learn(&entry("node-1", 1));
     let restarted = entry("node-1", 2);
-    assert!(!members.hear(&beacon(&restarted, 2), NOW));
+    assert!(!members.receive_heartbeat(&beacon(&restarted, 2), NOW));
     assert!(members.live(NOW).is_empty());
     let introduced = (3..=11)
         .find(|n| Beacon::includes_introduction(*n))
         .expect("an introduction in every eighth heartbeat");
-    assert!(members.hear(&beacon(&restarted, introduced), NOW));
+    assert!(members.receive_heartbeat(&beacon(&restarted, introduced), NOW));
     assert_eq!(members.live(NOW), [&restarted]);
 }
 
--- a/tests/suite/state/rollouts.rs
+++ b/tests/suite/state/rollouts.rs
@@ -69,9 +69,9 @@
 fn phases_only_advance() {
     let mut table = RolloutTable::new();
     assert!(table.put(&stored(10, None), NOW).is_some());
-    assert!(table.hear(&notice(11, RolloutPhase::Reverting), NOW));
+    assert!(table.receive_notice(&notice(11, RolloutPhase::Reverting), NOW));
     for early in [RolloutPhase::Canary, RolloutPhase::Switching, RolloutPhase::Reverting] {
-        assert!(!table.hear(&notice(11, early), NOW));
+        assert!(!table.receive_notice(&notice(11, early), NOW));
     }
     assert!(table.put(&stored(11, Some(RolloutState::InProgress)), NOW).is_none());
     assert_eq!(phase(&table), Some(RolloutPhase::Reverting));
@@ -83,7 +83,7 @@
 fn store_decides_between_two_judges() {
     let mut table = RolloutTable::new();
     table.put(&stored(10, Some(RolloutState::InProgress)), NOW);
-    table.hear(&notice(10, RolloutPhase::Reverting), NOW);
+    table.receive_notice(&notice(10, RolloutPhase::Reverting), NOW);
     let wanted: Vec<_> =
         table.unwritten_states().into_iter().map(|c| (c.revision, c.state)).collect();
     assert_eq!(wanted, [(10, RolloutState::Reverted)]);
@@ -98,10 +98,10 @@
 fn changed_order_starts_over() {
     let mut table = RolloutTable::new();
     table.put(&stored(10, Some(RolloutState::InProgress)), NOW);
-    table.hear(&notice(10, RolloutPhase::Switching), NOW);
+    table.receive_notice(&notice(10, RolloutPhase::Switching), NOW);
     table.put(&StoredRollout::new(order(9, "v3"), 12, None), NOW);
     assert_eq!(phase(&table), Some(RolloutPhase::Held));
-    assert!(!table.hear(&notice(10, RolloutPhase::Switching), NOW));
+    assert!(!table.receive_notice(&notice(10, RolloutPhase::Switching), NOW));
     assert!(table.put(&stored(11, Some(RolloutState::Completed)), NOW).is_none());
     assert_eq!(phase(&table), Some(RolloutPhase::Held));
 }
@@ -111,12 +111,12 @@
 #[test]
 fn order_is_learned_from_a_peer() {
     let mut table = RolloutTable::new();
-    assert!(table.hear(&notice(10, RolloutPhase::Canary), NOW));
+    assert!(table.receive_notice(&notice(10, RolloutPhase::Canary), NOW));
     let view = table.view(&service(), NOW).expect("a roll-out");
     assert_eq!((view.phase, view.age), (RolloutPhase::Canary, Duration::from_secs(3)));
     // An instance that has not read the object can't write its state.
     let mut without_object = RolloutTable::new();
-    without_object.hear(&notice(0, RolloutPhase::Reverting), NOW);
+    without_object.receive_notice(&notice(0, RolloutPhase::Reverting), NOW);
     assert!(without_object.unwritten_states().is_empty());
 }
 
@@ -127,7 +127,7 @@
     let started = Moment::from_millis(500);
     let mut table = RolloutTable::new();
     table.put(&stored(10, None), started);
-    table.hear(&notice(10, RolloutPhase::Canary), started);
+    table.receive_notice(&notice(10, RolloutPhase::Canary), started);
     let age = |now| table.view(&service(), now).map(|view| view.age);
     assert_eq!(age(started), Some(Duration::from_secs(3)));
     assert_eq!(age(Moment::from_millis(1_500)), Some(Duration::from_secs(4)));
@@ -139,9 +139,9 @@
 fn newer_order_replaces_an_older_one() {
     let newer = RolloutNotice { order: order(9, "v3"), ..notice(12, RolloutPhase::Held) };
     let mut table = RolloutTable::new();
-    table.hear(&notice(10, RolloutPhase::Canary), NOW);
-    assert!(table.hear(&newer, NOW));
-    assert!(!table.hear(&notice(10, RolloutPhase::Canary), NOW));
+    table.receive_notice(&notice(10, RolloutPhase::Canary), NOW);
+    assert!(table.receive_notice(&newer, NOW));
+    assert!(!table.receive_notice(&notice(10, RolloutPhase::Canary), NOW));
     assert_eq!(phase(&table), Some(RolloutPhase::Held));
 }
 
@@ -152,7 +152,7 @@
     let mut table = RolloutTable::new();
     table.put(&stored(10, None), NOW);
     let granted = RolloutNotice { share: 0.25, ..notice(10, RolloutPhase::Canary) };
-    table.hear(&granted, NOW);
+    table.receive_notice(&granted, NOW);
     assert!(table.share(&service(), NOW) > 0.2);
     assert!(table.share(&service(), later(2)) == 0.0);
 }
@@ -161,7 +161,7 @@
 fn serve(phase: RolloutPhase, expected: (bool, bool)) {
     let mut table = RolloutTable::new();
     table.put(&stored(10, None), NOW);
-    table.hear(&notice(10, phase), NOW);
+    table.receive_notice(&notice(10, phase), NOW);
     let mut registry = Registry::new();
     registry.replace(&[endpoint("old", "v1"), endpoint("new", "v2")], false, NOW);
     registry.set_versions(table.rules(NOW));
@@ -245,7 +245,7 @@
 fn old_version_stops_only_when_no_request_runs_there() {
     let mut table = RolloutTable::new();
     table.put(&stored(10, None), NOW);
-    table.hear(&notice(10, RolloutPhase::Switching), NOW);
+    table.receive_notice(&notice(10, RolloutPhase::Switching), NOW);
     let peer = InstanceId::new("i-2").expect("an id");
     let is_clear = |table: &RolloutTable, own| table.is_clear(&service(), own, [&peer].into_iter());
     assert!(!is_clear(&table, 0));
--- a/tests/suite/state/sources.rs
+++ b/tests/suite/state/sources.rs
@@ -39,7 +39,7 @@
         let config = if has_read.contains(&other) { NEW_REVISION } else { OLD_REVISION };
         let revisions = Revisions { config, ..Revisions::default() };
         let beacon = heartbeat(&name(other), &addresses(other), 10);
-        view.hear(&FleetBeacon { revisions, ..beacon }, NOW);
+        view.receive_heartbeat(&FleetBeacon { revisions, ..beacon }, NOW);
     }
     view
 }
@@ -95,6 +95,6 @@
     let mut view = view(1, &BTreeSet::from([6]));
     let leaving = FleetBeacon { leaving: true, ..heartbeat(&name(6), &addresses(6), 11) };
     let revisions = Revisions { config: NEW_REVISION, ..Revisions::default() };
-    view.hear(&FleetBeacon { revisions, ..leaving }, NOW);
+    view.receive_heartbeat(&FleetBeacon { revisions, ..leaving }, NOW);
     assert_eq!(view.source(|r| r.config > OLD_REVISION, SourceScope::Everywhere, 0, NOW), None);
 }
