--- a/crates/nutmeggrade-fakes/examples/decision_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/decision_cost.rs
@@ -128,12 +128,12 @@
     (0..size).map(|i| (engine_id(i), 10)).collect()
 }
 
-fn ask(number: u64) -> GenerationRequest {
+fn generation_request(number: u64) -> GenerationRequest {
     GenerationRequest {
         ticket: Ticket(number),
         workspace: WorkspaceId::new(&format!("workspace-{}", number % 10)).expect("a valid id"),
         task: TaskId::new("permit-draft").expect("a valid id"),
-        long: true,
+        is_long: true,
         model: model(),
         prompt: 600,
         max_tokens: 2_048,
@@ -151,15 +151,15 @@
 fn room(size: usize) -> anyhow::Result<Spent> {
     let mut scheduler = scheduler(size, 5_000)?;
     let hold = size as u64 * EACH;
-    let asks: Vec<_> = (0..ROUNDS + hold).map(ask).collect();
+    let requests: Vec<_> = (0..ROUNDS + hold).map(generation_request).collect();
     let mut placed = 0;
     let mut meter = Meter::start();
-    for (number, ask) in (0..).zip(&asks) {
+    for (number, request) in (0..).zip(&requests) {
         if number == hold {
             meter = Meter::start();
         }
         let now = at(number, size);
-        let verdict = black_box(scheduler.ask(ask, now));
+        let verdict = black_box(scheduler.admit(request, now));
         // The first token ends the reading of the prompt, which holds the next one back.
         scheduler.token(Ticket(number), now);
         if matches!(verdict, Verdict::Wait) {
@@ -177,11 +177,11 @@
 
 fn full(size: usize) -> anyhow::Result<Spent> {
     let mut scheduler = scheduler(size, MEMORY)?;
-    let asks: Vec<_> = (0..ROUNDS).map(ask).collect();
+    let requests: Vec<_> = (0..ROUNDS).map(generation_request).collect();
     let meter = Meter::start();
-    for ask in &asks {
-        black_box(scheduler.ask(ask, Moment::ZERO));
-        scheduler.end(ask.ticket, End::Cancelled, Moment::ZERO);
+    for request in &requests {
+        black_box(scheduler.admit(request, Moment::ZERO));
+        scheduler.end(request.ticket, End::Cancelled, Moment::ZERO);
     }
     Ok(meter.mean(ROUNDS))
 }
@@ -189,7 +189,7 @@
 fn release(size: usize) -> anyhow::Result<Spent> {
     let mut scheduler = scheduler(size, MEMORY)?;
     for number in 0..256 {
-        scheduler.ask(&ask(number), Moment::ZERO);
+        scheduler.admit(&generation_request(number), Moment::ZERO);
     }
     anyhow::ensure!(scheduler.waiting() > 200, "the queue did not fill");
     let meter = Meter::start();
@@ -203,7 +203,7 @@
     let mut scheduler = scheduler(size, 5_000)?;
     let hold = size as u64 * EACH;
     for number in 0..hold {
-        scheduler.ask(&ask(number), at(number, size));
+        scheduler.admit(&generation_request(number), at(number, size));
         scheduler.token(Ticket(number), at(number, size));
     }
     let meter = Meter::start();
--- a/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
+++ b/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
@@ -75,8 +75,8 @@
         Self { rule, places: BTreeMap::new(), queue: VecDeque::new(), turn: 0, mean: 0.0 }
     }
 
-    fn place(&mut self, ask: &GenerationRequest) -> Option<EndpointId> {
-        let need = ask.prompt + ask.max_tokens;
+    fn place(&mut self, request: &GenerationRequest) -> Option<EndpointId> {
+        let need = request.prompt + request.max_tokens;
         let mean = self.mean;
         let fits = |p: &Place| match self.rule {
             Rule::RoundRobin | Rule::LeastOutstanding => true,
@@ -89,7 +89,7 @@
         let open: Vec<_> = self
             .places
             .iter()
-            .filter(|(id, p)| p.usable && !p.cold && !ask.avoid.contains(*id) && fits(p))
+            .filter(|(id, p)| p.usable && !p.cold && !request.avoid.contains(*id) && fits(p))
             .collect();
         let turn = self.turn;
         let count = open.len();
@@ -108,7 +108,7 @@
         let id = id.clone();
         self.turn += 1;
         self.mean += 0.02 * (need as f64 - self.mean);
-        self.places.get_mut(&id)?.own.insert(ask.ticket, need);
+        self.places.get_mut(&id)?.own.insert(request.ticket, need);
         Some(id)
     }
 }
@@ -142,22 +142,22 @@
         }
     }
 
-    fn ask(&mut self, ask: &GenerationRequest, _now: Moment) -> Verdict {
+    fn admit(&mut self, request: &GenerationRequest, _now: Moment) -> Verdict {
         if self.queue.is_empty()
-            && let Some(endpoint) = self.place(ask)
+            && let Some(endpoint) = self.place(request)
         {
             return Verdict::Go { endpoint, priority: 0 };
         }
-        self.queue.push_back(ask.clone());
+        self.queue.push_back(request.clone());
         Verdict::Wait
     }
 
     fn release(&mut self, _now: Moment) -> Vec<(Ticket, Verdict)> {
         let mut ended = Vec::new();
-        while let Some(ask) = self.queue.front().cloned() {
-            let Some(endpoint) = self.place(&ask) else { break };
+        while let Some(request) = self.queue.front().cloned() {
+            let Some(endpoint) = self.place(&request) else { break };
             self.queue.pop_front();
-            ended.push((ask.ticket, Verdict::Go { endpoint, priority: 0 }));
+            ended.push((request.ticket, Verdict::Go { endpoint, priority: 0 }));
         }
         ended
     }
--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -67,7 +67,7 @@
 /// What one instance of a fleet knows.
 struct Known {
     view: FleetView,
-    book: LoadTable,
+    load_table: LoadTable,
     size: u32,
     now: Moment,
 }
@@ -76,7 +76,7 @@
     fn new(size: u32) -> anyhow::Result<Self> {
         let view = FleetView::new(&name(0)?, &seat(0)?, &[]);
         let now = Moment::from_millis(60_000);
-        let mut known = Self { view, book: LoadTable::new(), size, now };
+        let mut known = Self { view, load_table: LoadTable::new(), size, now };
         for number in 1..size {
             known.receive_heartbeat(&beacon(number, 1)?);
         }
@@ -85,7 +85,7 @@
 
     fn receive_heartbeat(&mut self, beacon: &FleetBeacon) {
         if self.view.receive_heartbeat(beacon, self.now) {
-            self.book.set_peer(&beacon.instance, &beacon.placed);
+            self.load_table.set_peer(&beacon.instance, &beacon.placed);
         }
     }
 
@@ -118,7 +118,7 @@
         for frame in &frames {
             if let Ok(FleetMessage::Placed(all)) = open(frame, &KEY) {
                 for InstanceLoad { instance, placed } in all {
-                    self.book.change_peer(&instance, &placed);
+                    self.load_table.change_peer(&instance, &placed);
                 }
             }
         }
--- a/crates/nutmeggrade-fakes/src/driver.rs
+++ b/crates/nutmeggrade-fakes/src/driver.rs
@@ -145,7 +145,7 @@
 
     fn play(&mut self, what: What, now: Moment) {
         match what {
-            What::Arrive(i) => self.ask(i, now),
+            What::Arrive(i) => self.admit(i, now),
             What::Change(i) => self.change(i, now),
             What::Step(engine) => self.stepped(engine, now),
             What::Deadline(i) => self.finish(i, End::Cancelled, now),
@@ -168,7 +168,7 @@
         request % NODES
     }
 
-    fn ask(&mut self, request: usize, now: Moment) {
+    fn admit(&mut self, request: usize, now: Moment) {
         let arrival = &self.pattern.arrivals[request];
         self.next_ticket += 1;
         let ticket = self.next_ticket;
@@ -176,8 +176,8 @@
         let live = &mut self.live[request];
         live.attempt = ticket;
         live.tries += 1;
-        let ask = arrival.ask(Ticket(ticket), &live.avoid);
-        let verdict = self.nodes[Self::node(request)].ask(&ask, now);
+        let generation = arrival.request(Ticket(ticket), &live.avoid);
+        let verdict = self.nodes[Self::node(request)].admit(&generation, now);
         self.decided(request, &verdict, now);
     }
 
--- a/crates/nutmeggrade-fakes/src/driver/arrival.rs
+++ b/crates/nutmeggrade-fakes/src/driver/arrival.rs
@@ -33,7 +33,7 @@
     /// Who asks.
     pub workspace: usize,
     /// Whether it is a long task.
-    pub long: bool,
+    pub is_long: bool,
     /// Prompt length.
     pub prompt: u64,
     /// Shared prefix.
@@ -50,14 +50,18 @@
 }
 
 impl Arrival {
-    pub(super) fn ask(&self, ticket: Ticket, avoid: &BTreeSet<EndpointId>) -> GenerationRequest {
+    pub(super) fn request(
+        &self,
+        ticket: Ticket,
+        avoid: &BTreeSet<EndpointId>,
+    ) -> GenerationRequest {
         let task = if self.huge { "draft-book" } else { "permit-draft" };
-        let task = if self.long { task } else { "district-sort" };
+        let task = if self.is_long { task } else { "district-sort" };
         GenerationRequest {
             ticket,
             workspace: workspace(self.workspace),
             task: TaskId::new(task).expect("a valid id"),
-            long: self.long,
+            is_long: self.is_long,
             model: model(),
             prompt: self.prompt,
             max_tokens: self.max_tokens,
@@ -94,28 +98,28 @@
     let highest = if skewed { 2 } else { WORKSPACES };
     let workspace = rng.random_range(lowest..highest);
     let huge = shape == Shape::Huge && rng.random_bool(1.0 / 150.0);
-    let long = huge || rng.random_bool(0.5);
+    let is_long = huge || rng.random_bool(0.5);
     let conversation: u64 = rng.random_range(0..20);
-    let deadline = match (huge, long) {
+    let deadline = match (huge, is_long) {
         (true, _) => LONG_DEADLINE * 6,
         (_, true) => LONG_DEADLINE,
         _ => SHORT_DEADLINE,
     };
-    let max_tokens = match (huge, long) {
+    let max_tokens = match (huge, is_long) {
         (true, _) => MAX_HUGE,
         (_, true) => MAX_LONG,
         _ => MAX_SHORT,
     };
-    let output = match (huge, long) {
+    let output = match (huge, is_long) {
         (true, _) => rng.random_range(10_000..MAX_HUGE),
         (_, true) => lognormal(rng, 500.0, 0.9).clamp(16, MAX_LONG),
         _ => rng.random_range(8..MAX_SHORT),
     };
-    let prompt = if long { rng.random_range(300..1_200) } else { rng.random_range(260..500) };
+    let prompt = if is_long { rng.random_range(300..1_200) } else { rng.random_range(260..500) };
     Arrival {
         at,
         workspace,
-        long,
+        is_long,
         prompt,
         prefix: 1 + workspace as u64 * 20 + conversation,
         prefix_len: PREFIX,
--- a/crates/nutmeggrade-fakes/src/driver/decider.rs
+++ b/crates/nutmeggrade-fakes/src/driver/decider.rs
@@ -15,7 +15,7 @@
     /// Takes what peers have in flight.
     fn set_peers(&mut self, in_flight: &BTreeMap<EndpointId, u32>, now: Moment);
     /// Decides about a new request.
-    fn ask(&mut self, ask: &GenerationRequest, now: Moment) -> Verdict;
+    fn admit(&mut self, request: &GenerationRequest, now: Moment) -> Verdict;
     /// Decides about those that wait.
     fn release(&mut self, now: Moment) -> Vec<(Ticket, Verdict)>;
     /// Notes a token.
@@ -39,8 +39,8 @@
         Self::set_peers(self, in_flight, now);
     }
 
-    fn ask(&mut self, ask: &GenerationRequest, now: Moment) -> Verdict {
-        Self::ask(self, ask, now)
+    fn admit(&mut self, request: &GenerationRequest, now: Moment) -> Verdict {
+        Self::admit(self, request, now)
     }
 
     fn release(&mut self, now: Moment) -> Vec<(Ticket, Verdict)> {
--- a/crates/nutmeggrade-fakes/src/driver/engines.rs
+++ b/crates/nutmeggrade-fakes/src/driver/engines.rs
@@ -90,7 +90,7 @@
                 let ticket = live.attempt;
                 self.tickets.remove(&ticket);
                 self.nodes[Self::node(request)].end(Ticket(ticket), End::Failed, now);
-                self.ask(request, now);
+                self.admit(request, now);
             }
         }
     }
--- a/crates/nutmeggrade-fakes/src/driver/figures.rs
+++ b/crates/nutmeggrade-fakes/src/driver/figures.rs
@@ -87,8 +87,8 @@
         let share = |n: usize| n as f64 / asked.max(1) as f64;
         let count = |f: fn(&Outcome) -> bool| share(outcomes.iter().filter(|o| f(o)).count());
         let pairs = || outcomes.iter().zip(&pattern.arrivals);
-        let long = pairs().filter(|(_, a)| a.long).count();
-        let whole_long = pairs().filter(|(o, a)| a.long && o.whole).count();
+        let long = pairs().filter(|(_, a)| a.is_long).count();
+        let whole_long = pairs().filter(|(o, a)| a.is_long && o.whole).count();
         let mut stalls: Vec<f64> =
             outcomes.iter().filter(|o| o.started()).map(Outcome::stall).collect();
         let mut firsts: Vec<f64> =
--- a/crates/nutmeggrade-fakes/src/rollout/referee.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/referee.rs
@@ -124,7 +124,7 @@
             too_late: self.too_late,
             cut: self.cut,
             steps_back: u32::try_from(after).unwrap_or(u32::MAX),
-            bound: self.plan.bound.of(f64::from(self.requests)),
+            bound: self.plan.bound.max_exposed(f64::from(self.requests)),
             is_bad: self.plan.flaw != Flaw::None,
             limit: self.plan.duration,
         }
--- a/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     /// Load of each endpoint from this instance and its peers.
-    pub book: LoadTable,
+    pub load_table: LoadTable,
     domain: DomainId,
     candidates: BTreeMap<ServiceId, Vec<Candidate>>,
     lanes: BTreeMap<LaneKey, Lane<DispatchRequest>>,
@@ -62,7 +62,7 @@
     /// Creates a dispatcher for an instance in `domain`, without endpoints.
     pub fn new(domain: &DomainId, seed: u64) -> Self {
         Self {
-            book: LoadTable::new(),
+            load_table: LoadTable::new(),
             domain: domain.clone(),
             candidates: BTreeMap::new(),
             lanes: BTreeMap::new(),
@@ -170,7 +170,7 @@
     pub fn place(&mut self, request: &DispatchRequest, endpoint: &EndpointId) {
         let placed =
             PlacedLoad { requests: 1, memory: request.memory, reading: request.prompt, moving: 0 };
-        self.book.place(request.ticket, endpoint, placed);
+        self.load_table.place(request.ticket, endpoint, placed);
         let endpoints = self.candidates.get_mut(&request.service).into_iter().flatten();
         for candidate in endpoints.filter(|c| c.id == *endpoint) {
             candidate.cold_left = candidate.cold_left.map(|left| left.saturating_sub(1));
@@ -227,25 +227,25 @@
     ) -> Option<EndpointId> {
         let candidates = self.candidates.get(&request.service)?;
         let is_available =
-            |c: &&Candidate| !self.book.health(&c.id).is_some_and(|h| h.is_paused(now));
+            |c: &&Candidate| !self.load_table.health(&c.id).is_some_and(|h| h.is_paused(now));
         let is_open = |c: &&Candidate| c.is_canary == is_canary && !request.avoid.contains(&c.id);
         let open: Vec<&Candidate> = candidates.iter().filter(is_open).collect();
         let usable: Vec<&Candidate> = open.iter().copied().filter(is_available).collect();
         // A paused endpoint is better than none.
         let usable = if usable.is_empty() { open } else { usable };
         let failure_rate =
-            |c: &Candidate| self.book.health(&c.id).map_or(0.0, |h| h.failure_rate(now));
+            |c: &Candidate| self.load_table.health(&c.id).map_or(0.0, |h| h.failure_rate(now));
         // The least failure rate of all endpoints is taken as caused by the requests, not by an
         // endpoint.
         let base_rate = usable.iter().map(|c| failure_rate(c)).fold(1.0, f64::min);
         let mut best: Option<(f64, &Candidate)> = None;
         for candidate in usable {
-            let placed = self.book.at(&candidate.id);
+            let placed = self.load_table.load(&candidate.id);
             if !fits(candidate, &placed, request) {
                 continue;
             }
             let recent_failures =
-                self.book.health(&candidate.id).map_or(0.0, |h| h.recent_failures(now));
+                self.load_table.health(&candidate.id).map_or(0.0, |h| h.recent_failures(now));
             let random = self.rng.random_range(0.0..MAX_RANDOM_PENALTY);
             let domain_penalty = match &request.from {
                 Some(from) if *from != candidate.domain => CROSS_DOMAIN_COPY_PENALTY,
--- a/crates/nutmeggrade-policy/src/dispatch/health.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/health.rs
@@ -41,7 +41,7 @@
 
 impl Health {
     /// Records an answer that is not a failure.
-    pub fn succeeded(&mut self, now: Moment) {
+    pub fn record_success(&mut self, now: Moment) {
         self.failures = self.recent_failures(now) * SUCCESS_FACTOR;
         self.updated_at = now;
         self.losses = 0;
@@ -51,7 +51,7 @@
     }
 
     /// Records that the endpoint answered with a failure.
-    pub fn failed(&mut self, now: Moment) {
+    pub fn record_failure(&mut self, now: Moment) {
         self.failures = self.recent_failures(now) + 1.0;
         self.updated_at = now;
         self.count((1, 1), now);
@@ -84,8 +84,8 @@
 
     /// Records that the endpoint could not be reached, stopped responding or closed the connection
     /// early.
-    pub fn lost(&mut self, now: Moment) {
-        self.failed(now);
+    pub fn record_loss(&mut self, now: Moment) {
+        self.record_failure(now);
         let pause = INITIAL_PAUSE.saturating_mul(1 << self.losses.min(3));
         self.losses += 1;
         self.paused_until = Some(now.after(pause.min(MAX_PAUSE)));
@@ -94,7 +94,7 @@
     /// Records that all instances are notified, by this one or another, that nothing listens at the
     /// endpoint's address. The pause is short and does not double, since the endpoint may have
     /// restarted.
-    pub fn gone(&mut self, now: Moment) {
+    pub fn record_gone_notice(&mut self, now: Moment) {
         self.gone_at = Some(now);
         let until = now.after(INITIAL_PAUSE);
         self.paused_until = Some(self.paused_until.map_or(until, |old| old.max(until)));
--- a/crates/nutmeggrade-policy/src/dispatch/load_table.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/load_table.rs
@@ -160,14 +160,14 @@
     }
 
     /// Returns the total load of an endpoint.
-    pub fn at(&self, endpoint: &EndpointId) -> PlacedLoad {
+    pub fn load(&self, endpoint: &EndpointId) -> PlacedLoad {
         let mut sum = self.own_totals.get(endpoint).copied().unwrap_or_default();
         sum += self.peer_totals.get(endpoint).copied().unwrap_or_default();
         sum
     }
 
     /// Returns the load of this instance at each endpoint.
-    pub fn own(&self) -> &BTreeMap<EndpointId, PlacedLoad> {
+    pub fn own_loads(&self) -> &BTreeMap<EndpointId, PlacedLoad> {
         &self.own_totals
     }
 
--- a/crates/nutmeggrade-policy/src/engine_state.rs
+++ b/crates/nutmeggrade-policy/src/engine_state.rs
@@ -127,7 +127,7 @@
         if ramp_limit.is_some_and(|limit| f64::from(running) >= limit) {
             return None;
         }
-        let is_short = !context.request.long;
+        let is_short = !context.request.is_long;
         let is_allowed =
             self.gap_limit.allows(running, is_short, self.own_requests as usize, context.now)
                 && self.prefill.allows(context.request.prompt, context.settings.prefill_limit);
--- a/crates/nutmeggrade-policy/src/fleet/cold_share.rs
+++ b/crates/nutmeggrade-policy/src/fleet/cold_share.rs
@@ -30,7 +30,7 @@
     }
 
     /// Records a request that was sent.
-    pub fn sent(&mut self, now: Moment) {
+    pub fn record_sent(&mut self, now: Moment) {
         self.remove_expired(now);
         self.sent.push_back(now);
     }
@@ -38,7 +38,13 @@
     /// Returns how many requests may be sent at present. `bound` is the number that the endpoint
     /// may get per second from all instances, `rank` the position of this instance among the
     /// `instance_count` that send to this endpoint.
-    pub fn left(&mut self, bound: u32, rank: usize, instance_count: usize, now: Moment) -> u32 {
+    pub fn remaining(
+        &mut self,
+        bound: u32,
+        rank: usize,
+        instance_count: usize,
+        now: Moment,
+    ) -> u32 {
         self.remove_expired(now);
         let usable = usize::try_from(bound / 10 * USED_TENTHS).unwrap_or(usize::MAX).max(1);
         let share = match usable / instance_count.max(1) {
--- a/crates/nutmeggrade-policy/src/gap.rs
+++ b/crates/nutmeggrade-policy/src/gap.rs
@@ -51,8 +51,8 @@
 
     /// Records a gap of an own stream while `running` answers were on the engine.
     pub fn record_gap(&mut self, gap: Duration, target: Duration, running: u32, now: Moment) {
-        let long = if gap > target { 1.0 } else { 0.0 };
-        self.long_gaps += GAP_WEIGHT * (long - self.long_gaps);
+        let over_target = if gap > target { 1.0 } else { 0.0 };
+        self.long_gaps += GAP_WEIGHT * (over_target - self.long_gaps);
         if self.long_gaps <= MAX_LONG_GAP_SHARE {
             self.limit = (self.limit + LIMIT_INCREMENT).min(MAX_LIMIT);
             if self.limit >= 1.0 {
--- a/crates/nutmeggrade-policy/src/generation_request.rs
+++ b/crates/nutmeggrade-policy/src/generation_request.rs
@@ -16,7 +16,7 @@
     /// Task that the answer belongs to.
     pub task: TaskId,
     /// Whether the task's answers are long.
-    pub long: bool,
+    pub is_long: bool,
     /// Requested model.
     pub model: ModelId,
     /// Estimated length of the prompt, in tokens.
--- a/crates/nutmeggrade-policy/src/priority.rs
+++ b/crates/nutmeggrade-policy/src/priority.rs
@@ -26,8 +26,8 @@
 impl Priority {
     /// Selects the priority by the kind of task, the time left, the expected duration and the
     /// expected share of memory.
-    pub fn new(long: bool, time_left: Duration, expected: Duration, memory_share: f64) -> Self {
-        if !long {
+    pub fn new(is_long: bool, time_left: Duration, expected: Duration, memory_share: f64) -> Self {
+        if !is_long {
             return Self::Short;
         }
         let is_urgent = time_left < expected.mul_f64(MIN_SLACK_FACTOR);
--- a/crates/nutmeggrade-policy/src/queue/fair_queue.rs
+++ b/crates/nutmeggrade-policy/src/queue/fair_queue.rs
@@ -23,13 +23,13 @@
     }
 
     /// Returns the lane of long or of short tasks.
-    pub const fn lane(&self, long: bool) -> &Lane {
-        if long { &self.long } else { &self.short }
+    pub const fn lane(&self, is_long: bool) -> &Lane {
+        if is_long { &self.long } else { &self.short }
     }
 
     /// Returns the lane of long or of short tasks for update.
-    pub const fn lane_mut(&mut self, long: bool) -> &mut Lane {
-        if long { &mut self.long } else { &mut self.short }
+    pub const fn lane_mut(&mut self, is_long: bool) -> &mut Lane {
+        if is_long { &mut self.long } else { &mut self.short }
     }
 
     /// Returns whether a workspace may add a request: the queue has room and, if it is at least
--- a/crates/nutmeggrade-policy/src/rollout/exposure.rs
+++ b/crates/nutmeggrade-policy/src/rollout/exposure.rs
@@ -11,7 +11,7 @@
 
 impl ExposureBound {
     /// Returns the number of `requests` that may be exposed.
-    pub fn of(&self, requests: f64) -> f64 {
+    pub fn max_exposed(&self, requests: f64) -> f64 {
         self.share * requests + self.tolerance
     }
 }
--- a/crates/nutmeggrade-policy/src/rollout/judge.rs
+++ b/crates/nutmeggrade-policy/src/rollout/judge.rs
@@ -197,7 +197,7 @@
         let expected = f64::from(inputs.tally.requests) + rate * time_left;
         let exposed =
             f64::from(inputs.tally.exposed) + f64::from(inputs.movable) + rate * time_left;
-        exposed <= self.exposure_bound.of(expected) * TOTAL_EXPOSURE_SHARE
+        exposed <= self.exposure_bound.max_exposed(expected) * TOTAL_EXPOSURE_SHARE
     }
 
     /// Returns the share of the requests that the new version gets in the canary phase.
@@ -205,7 +205,7 @@
         let time_left = inputs.duration.saturating_sub(inputs.age).as_secs_f64();
         let Some(rate) = self.request_rate(inputs) else { return CANARY_SHARE_BOUNDS.0 };
         let expected = f64::from(inputs.tally.requests) + rate * time_left;
-        let allowed = self.exposure_bound.of(expected) * CANARY_EXPOSURE_SHARE
+        let allowed = self.exposure_bound.max_exposed(expected) * CANARY_EXPOSURE_SHARE
             - f64::from(inputs.tally.exposed);
         if allowed <= 0.0 {
             return 0.0;
--- a/crates/nutmeggrade-policy/src/scheduler/placing.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/placing.rs
@@ -25,7 +25,7 @@
         let expected = self.expected_duration(request);
         let engine = self.engines.get_mut(&endpoint)?;
         let memory_share = forecast.peak(0.0) / engine.spec.memory.max(1) as f64;
-        let priority = Priority::new(request.long, time_left, expected, memory_share).number();
+        let priority = Priority::new(request.is_long, time_left, expected, memory_share).number();
         let per_token = self.answer_mix.per_token();
         let mean_held = self.answer_mix.mean_held();
         let settings = &self.settings;
--- a/crates/nutmeggrade-policy/src/scheduler/waiting.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/waiting.rs
@@ -24,14 +24,14 @@
 
 impl Scheduler {
     /// Decides about a new request, or one that failed elsewhere before its first token.
-    pub fn ask(&mut self, request: &GenerationRequest, now: Moment) -> Verdict {
+    pub fn admit(&mut self, request: &GenerationRequest, now: Moment) -> Verdict {
         if request.deadline <= now || self.is_unlikely_to_finish(request, now) {
             return self.refuse(Code::TooLate, DEFAULT_RETRY_AFTER);
         }
         if !self.has_usable_engine(request) {
             return self.refuse(Code::NoEndpoint, DEFAULT_RETRY_AFTER);
         }
-        if self.queue.lane(request.long).is_empty()
+        if self.queue.lane(request.is_long).is_empty()
             && let Some(verdict) = self.place(request, now)
         {
             return verdict;
@@ -49,7 +49,7 @@
         {
             return self.refuse(Code::TooLate, retry_after(Some(wait)));
         }
-        self.queue.lane_mut(request.long).push(request);
+        self.queue.lane_mut(request.is_long).push(request);
         Verdict::Wait
     }
 
@@ -61,12 +61,12 @@
         let mut may_release = [true, true];
         // Alternates between lanes so that neither starves the other.
         while (may_release[0] || may_release[1]) && ended.len() < MAX_RELEASED {
-            for long in [false, true] {
-                let index = usize::from(long);
+            for is_long in [false, true] {
+                let index = usize::from(is_long);
                 if !may_release[index] {
                     continue;
                 }
-                match self.release_next(long, now) {
+                match self.release_next(is_long, now) {
                     Some(result) => {
                         ended.push(result);
                         released[index] += 1;
@@ -75,9 +75,9 @@
                 }
             }
         }
-        for long in [false, true] {
-            let index = usize::from(long);
-            let is_waiting = !self.queue.lane(long).is_empty();
+        for is_long in [false, true] {
+            let index = usize::from(is_long);
+            let is_waiting = !self.queue.lane(is_long).is_empty();
             if is_waiting || released[index] > 0 {
                 self.wait_estimates[index].released(released[index], now);
             } else {
@@ -87,14 +87,14 @@
         ended
     }
 
-    fn release_next(&mut self, long: bool, now: Moment) -> Option<(Ticket, Verdict)> {
+    fn release_next(&mut self, is_long: bool, now: Moment) -> Option<(Ticket, Verdict)> {
         let heads: Vec<_> =
-            self.queue.lane(long).heads().take(MAX_WORKSPACES_TRIED).cloned().collect();
+            self.queue.lane(is_long).heads().take(MAX_WORKSPACES_TRIED).cloned().collect();
         for request in heads {
             let Some(verdict) = self.place(&request, now) else { continue };
             let tokens =
                 self.lengths.remaining(&request.workspace, &request.task, 0, request.max_tokens);
-            self.queue.lane_mut(long).take(request.ticket, request.prompt as f64 + tokens);
+            self.queue.lane_mut(is_long).take(request.ticket, request.prompt as f64 + tokens);
             return Some((request.ticket, verdict));
         }
         None
@@ -105,13 +105,13 @@
         if is_sweep {
             self.last_sweep = now;
         }
-        for long in [false, true] {
+        for is_long in [false, true] {
             let is_late = |request: &GenerationRequest| {
                 request.deadline <= now || (is_sweep && self.is_unlikely_to_finish(request, now))
             };
             let has_no_engine =
                 |request: &GenerationRequest| is_sweep && !self.has_usable_engine(request);
-            let lane = self.queue.lane(long);
+            let lane = self.queue.lane(is_long);
             let expired = lane.expired(is_late).into_iter().map(|t| (t, Code::TooLate));
             let unserved = lane.expired(has_no_engine).into_iter().map(|t| (t, Code::NoEndpoint));
             for (ticket, code) in expired.chain(unserved).collect::<Vec<_>>() {
@@ -146,8 +146,8 @@
     }
 
     fn estimate_wait(&self, request: &GenerationRequest) -> Option<Duration> {
-        let ahead = self.queue.lane(request.long).ahead(&request.workspace);
-        self.wait_estimates[usize::from(request.long)].wait(ahead + 1)
+        let ahead = self.queue.lane(request.is_long).ahead(&request.workspace);
+        self.wait_estimates[usize::from(request.is_long)].wait(ahead + 1)
     }
 }
 
--- a/crates/nutmeggrade-policy/src/wait.rs
+++ b/crates/nutmeggrade-policy/src/wait.rs
@@ -67,7 +67,7 @@
 
     /// Returns whether a request with the expected duration `service` can wait this long and finish
     /// in the time left.
-    pub fn in_time(wait: Duration, service: Duration, left: Duration) -> bool {
-        left.checked_sub(service).is_some_and(|spare| wait <= spare.mul_f64(MAX_WAIT_SHARE))
+    pub fn in_time(wait: Duration, service: Duration, time_left: Duration) -> bool {
+        time_left.checked_sub(service).is_some_and(|spare| wait <= spare.mul_f64(MAX_WAIT_SHARE))
     }
 }
--- a/crates/nutmeggrade-relay/src/engine_watch.rs
+++ b/crates/nutmeggrade-relay/src/engine_watch.rs
@@ -70,7 +70,7 @@
         Ok(_) => None,
         Err(error) => {
             tracing::info!(event = "no_report", endpoint = %engine.id, error = format!("{error:#}"));
-            node.update_health(&engine.id, Health::lost);
+            node.update_health(&engine.id, Health::record_loss);
             if error.downcast_ref().is_some_and(CallError::is_refused) {
                 node.announce_unreachable(&engine.id);
             }
--- a/crates/nutmeggrade-relay/src/node/endpoints.rs
+++ b/crates/nutmeggrade-relay/src/node/endpoints.rs
@@ -137,11 +137,11 @@
     pub fn announce_unreachable(&self, endpoint: &EndpointId) {
         let now = self.now();
         let mut tables = lock(&self.tables);
-        let health = tables.dispatcher.book.health_mut(endpoint);
+        let health = tables.dispatcher.load_table.health_mut(endpoint);
         if health.has_recent_gone_notice(now) {
             return;
         }
-        health.gone(now);
+        health.record_gone_notice(now);
         drop(tables);
         tracing::info!(event = "endpoint_gone", %endpoint);
         self.broadcast(FleetMessage::Gone(vec![endpoint.clone()]));
@@ -154,7 +154,7 @@
         let mut tables = lock(&self.tables);
         for endpoint in endpoints {
             if tables.registry.get(endpoint).is_some() {
-                tables.dispatcher.book.health_mut(endpoint).gone(now);
+                tables.dispatcher.load_table.health_mut(endpoint).record_gone_notice(now);
             }
         }
     }
@@ -166,7 +166,11 @@
         let mut tables = lock(&self.tables);
         for (endpoint, counted) in &outcomes.answers {
             if tables.registry.get(endpoint).is_some() {
-                tables.dispatcher.book.health_mut(endpoint).record_counts(*counted, is_local, now);
+                tables
+                    .dispatcher
+                    .load_table
+                    .health_mut(endpoint)
+                    .record_counts(*counted, is_local, now);
             }
         }
     }
@@ -174,7 +178,7 @@
     /// Updates an endpoint's health after an answer or a failure.
     pub fn update_health(&self, endpoint: &EndpointId, update: impl FnOnce(&mut Health, Moment)) {
         let now = self.now();
-        update(lock(&self.tables).dispatcher.book.health_mut(endpoint), now);
+        update(lock(&self.tables).dispatcher.load_table.health_mut(endpoint), now);
         self.failures_counted.notify_one();
     }
 }
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -124,7 +124,7 @@
     pub async fn send_placements(&self, node: &Arc<Node>) {
         loop {
             node.placed.notified().await;
-            let changes = lock(&node.tables).dispatcher.book.take_changes();
+            let changes = lock(&node.tables).dispatcher.load_table.take_changes();
             if changes.placed.is_empty() {
                 continue;
             }
@@ -144,7 +144,7 @@
     pub async fn send_failures(&self, node: &Arc<Node>) {
         loop {
             node.failures_counted.notified().await;
-            let answers = lock(&node.tables).dispatcher.book.take_failures();
+            let answers = lock(&node.tables).dispatcher.load_table.take_failures();
             if answers.is_empty() {
                 continue;
             }
@@ -244,7 +244,7 @@
             leaving: node.phase() > Phase::Serving,
             reads: node.read_state.is_available(),
             revisions: node.revisions(),
-            placed: tables.dispatcher.book.own().clone(),
+            placed: tables.dispatcher.load_table.own_loads().clone(),
             rollouts: tables.rollouts.notices(now),
         }
     }
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -37,7 +37,7 @@
     let mut tables = lock(&node.tables);
     // This instance's own placements come back when they are forwarded through its failure domain.
     for InstanceLoad { instance, placed } in all.iter().filter(|p| p.instance != *own) {
-        tables.dispatcher.book.change_peer(instance, placed);
+        tables.dispatcher.load_table.change_peer(instance, placed);
     }
 }
 
@@ -49,7 +49,7 @@
         if !tables.fleet.receive_heartbeat(&beacon, now) {
             return;
         }
-        tables.dispatcher.book.set_peer(&beacon.instance, &beacon.placed);
+        tables.dispatcher.load_table.set_peer(&beacon.instance, &beacon.placed);
         if !was_live {
             tracing::info!(event = "peer_heard", peer = %beacon.instance,
                 incarnation = beacon.incarnation);
--- a/crates/nutmeggrade-relay/src/probes.rs
+++ b/crates/nutmeggrade-relay/src/probes.rs
@@ -40,7 +40,11 @@
     let is_reported = {
         let tables = lock(&node.tables);
         let now = node.now();
-        tables.dispatcher.book.health(&endpoint.id).is_some_and(|h| h.has_recent_gone_notice(now))
+        tables
+            .dispatcher
+            .load_table
+            .health(&endpoint.id)
+            .is_some_and(|h| h.has_recent_gone_notice(now))
     };
     if is_reported || !lock(&node.probed).insert(endpoint.id.clone()) {
         return;
@@ -60,7 +64,7 @@
             if tables.registry.should_move_work(&endpoint.id) {
                 return;
             }
-            tables.dispatcher.book.health(&endpoint.id).and_then(Health::gone_notice_at)
+            tables.dispatcher.load_table.health(&endpoint.id).and_then(Health::gone_notice_at)
         };
         // A peer probes it too.
         if reported > last_reported || probe(node, endpoint).await == ProbeResult::Answers {
--- a/crates/nutmeggrade-relay/src/relay/handler.rs
+++ b/crates/nutmeggrade-relay/src/relay/handler.rs
@@ -165,13 +165,13 @@
             Err(SendError::NotSent(reason)) => {
                 self.attempt.not_sent();
                 self.record_send("not_sent", &endpoint.id);
-                self.node.update_health(&endpoint.id, Health::lost);
+                self.node.update_health(&endpoint.id, Health::record_loss);
                 self.retry_unsent(&endpoint.id, &reason)
             }
             Err(SendError::ConnectionRefused) => {
                 self.attempt.not_sent();
                 self.record_send("not_sent", &endpoint.id);
-                self.node.update_health(&endpoint.id, Health::lost);
+                self.node.update_health(&endpoint.id, Health::record_loss);
                 self.node.announce_unreachable(&endpoint.id);
                 self.retry_unsent(&endpoint.id, "nobody listens at the endpoint's address")
             }
@@ -183,7 +183,7 @@
                 self.attempt.lost();
                 self.record_outcome(&endpoint, Outcome::Failed);
                 self.record_send("silent", &endpoint.id);
-                self.node.update_health(&endpoint.id, Health::failed);
+                self.node.update_health(&endpoint.id, Health::record_failure);
                 self.retry_or_finish(&endpoint.id, "no answer in time", Code::DeadlinePassed)
             }
             Err(SendError::Lost(reason)) => {
@@ -191,7 +191,7 @@
                 self.record_outcome(&endpoint, Outcome::Failed);
                 crash::check_endpoint(&self.node, &self.request, &endpoint);
                 self.record_send("lost", &endpoint.id);
-                self.node.update_health(&endpoint.id, Health::lost);
+                self.node.update_health(&endpoint.id, Health::record_loss);
                 self.retry_or_finish(&endpoint.id, &reason, Code::OutcomeUnknown)
             }
         }
@@ -227,7 +227,7 @@
                 self.attempt.lost();
                 self.record_outcome(&reservation.endpoint, Outcome::Failed);
                 self.record_send("broken", &endpoint);
-                self.node.update_health(&endpoint, Health::failed);
+                self.node.update_health(&endpoint, Health::record_failure);
                 return self.retry_or_finish(&endpoint, &reason, Code::OutcomeUnknown);
             }
         };
@@ -235,7 +235,7 @@
             self.attempt.failed();
             self.record_outcome(&reservation.endpoint, Outcome::Failed);
             self.record_send("failed", &endpoint);
-            self.node.update_health(&endpoint, Health::failed);
+            self.node.update_health(&endpoint, Health::record_failure);
             if self.claim_retry() {
                 self.failed_response = Some((head, body));
                 self.need.avoid.insert(endpoint);
@@ -245,7 +245,7 @@
             self.attempt.answer();
             self.record_outcome(&reservation.endpoint, Outcome::FirstResponse(elapsed));
             self.record_send("answered", &endpoint);
-            self.node.update_health(&endpoint, Health::succeeded);
+            self.node.update_health(&endpoint, Health::record_success);
         }
         Ok(SendStep::Done(FinalResponse::Buffered(head, body)))
     }
--- a/crates/nutmeggrade-relay/src/relay/migration.rs
+++ b/crates/nutmeggrade-relay/src/relay/migration.rs
@@ -131,7 +131,7 @@
     Abandoned,
 }
 
-/// Marks the load book entries of a generation as being copied, for all instances, until dropped.
+/// Marks the load table entries of a generation as being copied, for all instances, until dropped.
 struct CopyGuard {
     node: Arc<Node>,
     tickets: [Ticket; 2],
@@ -147,7 +147,7 @@
     fn set_tokens(&self, tokens: u64) {
         let mut tables = lock(&self.node.tables);
         for ticket in self.tickets {
-            tables.dispatcher.book.set_moving(ticket, tokens);
+            tables.dispatcher.load_table.set_moving(ticket, tokens);
         }
         self.node.placed.notify_one();
     }
@@ -179,7 +179,7 @@
         loop {
             let delay = rand::rng().random_range(LINK_CHECK_DELAY_MS);
             sleep(Duration::from_millis(delay)).await;
-            if lock(&self.node.tables).dispatcher.book.at(&self.source.id).moving == 0 {
+            if lock(&self.node.tables).dispatcher.load_table.load(&self.source.id).moving == 0 {
                 return;
             }
         }
@@ -191,7 +191,9 @@
         let guard =
             CopyGuard::new(&self.node, [self.source_ticket, target.ticket], self.memory_tokens);
         sleep(ANNOUNCE_DELAY).await;
-        if lock(&self.node.tables).dispatcher.book.at(&self.source.id).moving > self.memory_tokens {
+        if lock(&self.node.tables).dispatcher.load_table.load(&self.source.id).moving
+            > self.memory_tokens
+        {
             return FirstCopy::Conflict;
         }
         let result = self.request_copy(&target.endpoint, false).await;
--- a/crates/nutmeggrade-relay/src/relay/reservation.rs
+++ b/crates/nutmeggrade-relay/src/relay/reservation.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Reservation {
     node: Arc<Node>,
-    /// Identifies the reservation in the load book.
+    /// Identifies the reservation in the load table.
     pub ticket: Ticket,
     /// The endpoint.
     pub endpoint: EndpointInfo,
@@ -32,7 +32,7 @@
     fn drop(&mut self) {
         let now = self.node.now();
         let mut tables = lock(&self.node.tables);
-        tables.dispatcher.book.end(self.ticket);
+        tables.dispatcher.load_table.end(self.ticket);
         tables.release(now);
         self.node.placed.notify_one();
     }
@@ -106,7 +106,7 @@
     reservation: Option<&Reservation>,
     waited: Duration,
 ) {
-    let load = lock(&node.tables).dispatcher.book.at(endpoint);
+    let load = lock(&node.tables).dispatcher.load_table.load(endpoint);
     let version =
         reservation.and_then(|r| r.endpoint.version.as_ref()).map_or("-", VersionId::as_str);
     tracing::info!(event = "placed", request = %request.id, endpoint = %endpoint, version,
@@ -119,7 +119,7 @@
 /// meantime.
 pub fn claim(node: &Arc<Node>, ticket: Ticket, id: &EndpointId) -> Option<Reservation> {
     let Some(endpoint) = node.endpoint(id) else {
-        lock(&node.tables).dispatcher.book.end(ticket);
+        lock(&node.tables).dispatcher.load_table.end(ticket);
         return None;
     };
     node.placed.notify_one();
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -110,7 +110,11 @@
             self.record_pace(FINISHED_PACE_EVENTS, now);
             let mut tables = lock(&self.node.tables);
             tables.pace.ended(self.generated_tokens(), now.since(self.request.arrived_at));
-            tables.dispatcher.book.health_mut(&self.reservation.endpoint.id).succeeded(now);
+            tables
+                .dispatcher
+                .load_table
+                .health_mut(&self.reservation.endpoint.id)
+                .record_success(now);
         }
     }
 
@@ -182,12 +186,15 @@
             self.first_event = Some(now);
             let first = Outcome::FirstResponse(now.since(self.sent_at));
             tables.note_outcome(&self.reservation.endpoint, &self.request.route.name, first, now);
-            tables.dispatcher.book.record_prompt_read(self.reservation.ticket);
+            tables.dispatcher.load_table.record_prompt_read(self.reservation.ticket);
             tables.release(now);
             self.node.placed.notify_one();
         }
         let prompt = self.request.prompt.as_ref().map_or(0, |p| p.tokens);
-        tables.dispatcher.book.grow(self.reservation.ticket, prompt + self.generated_tokens());
+        tables
+            .dispatcher
+            .load_table
+            .grow(self.reservation.ticket, prompt + self.generated_tokens());
         drop(tables);
         self.record_pace(PACE_EVENTS, now);
     }
@@ -264,14 +271,14 @@
         self.upstream = Some(upstream);
         self.reservation = reservation;
         self.moves += 1;
-        lock(&self.node.tables).dispatcher.book.record_prompt_read(self.reservation.ticket);
+        lock(&self.node.tables).dispatcher.load_table.record_prompt_read(self.reservation.ticket);
     }
 
     /// Runs the request again after its endpoint broke the stream off, if its route allows that;
     /// returns whether the stream continues.
     async fn recover(&mut self, error: Option<hyper::Error>) -> bool {
         let endpoint = self.reservation.endpoint.id.clone();
-        self.node.update_health(&endpoint, Health::lost);
+        self.node.update_health(&endpoint, Health::record_loss);
         let reason = error.map_or_else(|| "ended".to_owned(), |e| e.to_string());
         tracing::info!(event = "stream_broke", request = %self.request.id, endpoint = %endpoint,
             events = self.splitter.passed(), why = reason);
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -28,7 +28,7 @@
 
 /// State on which decisions depend.
 ///
-/// There is one lock for all of it: choosing an endpoint reads the registry, the load book, the
+/// There is one lock for all of it: choosing an endpoint reads the registry, the load table, the
 /// budgets and the cold shares together, and holds the lock for some microseconds. Lock order: the
 /// route map is read before this lock is taken, never under it.
 #[derive(Debug)]
@@ -97,7 +97,7 @@
             let delivered = self.waiters.remove(&ticket).map(|s| s.send(endpoint));
             // A request that gave up at the same moment frees its slot for the next one.
             if !matches!(delivered, Some(Ok(()))) {
-                self.dispatcher.book.end(ticket);
+                self.dispatcher.load_table.end(ticket);
             }
         }
     }
@@ -105,7 +105,7 @@
     /// Removes a request that gave up waiting; returns the time after which it may retry.
     pub fn give_up(&mut self, need: &DispatchRequest) -> Duration {
         self.waiters.remove(&need.ticket);
-        self.dispatcher.book.end(need.ticket);
+        self.dispatcher.load_table.end(need.ticket);
         self.dispatcher.give_up(need)
     }
 
@@ -154,7 +154,7 @@
     /// Counts a request against an endpoint's cold share, if it has one.
     pub fn count_cold_request(&mut self, endpoint: &EndpointId, now: Moment) {
         if let Some(share) = self.cold_shares.get_mut(endpoint) {
-            share.sent(now);
+            share.record_sent(now);
         }
     }
 
@@ -166,11 +166,11 @@
         now: Moment,
     ) -> ServiceLoad {
         let engine = map.service(service).and_then(|s| s.engine);
-        let book = &self.dispatcher.book;
+        let load_table = &self.dispatcher.load_table;
         let load = |info: &EndpointInfo| EndpointLoad {
             slots: engine.map_or(info.slots, |e| e.slots),
-            running: book.at(&info.id).requests,
-            own: book.own().get(&info.id).map_or(0, |p| p.requests),
+            running: load_table.load(&info.id).requests,
+            own: load_table.own_loads().get(&info.id).map_or(0, |p| p.requests),
             is_movable: engine.is_some_and(|e| e.can_move),
         };
         ServiceLoad::new(&self.registry, (service, version), load, now)
@@ -201,7 +201,7 @@
             if let Some(bound) = cold_rate_limit(entry, spec, settings, now) {
                 let rank = self.fleet.rank(&entry.info.id, now);
                 let share = self.cold_shares.entry(entry.info.id.clone()).or_default();
-                candidate.cold_left = Some(share.left(bound, rank, instance_count, now));
+                candidate.cold_left = Some(share.remaining(bound, rank, instance_count, now));
                 cold_ids.insert(entry.info.id.clone());
             }
             if self.registry.role(&entry.info) != VersionRole::Canary {
@@ -217,7 +217,7 @@
         }
         self.cold_shares.retain(|id, _| cold_ids.contains(id));
         let registry = &self.registry;
-        self.dispatcher.book.retain_endpoints(|id| registry.get(id).is_some());
+        self.dispatcher.load_table.retain_endpoints(|id| registry.get(id).is_some());
         self.dispatcher.set_candidates(candidates);
     }
 }
--- a/crates/nutmeggrade-relay/src/ticker.rs
+++ b/crates/nutmeggrade-relay/src/ticker.rs
@@ -39,7 +39,7 @@
     for peer in live_before.difference(&live_now) {
         tracing::info!(event = "peer_silent", %peer);
     }
-    tables.dispatcher.book.retain_peers(|peer| live_now.contains(peer));
+    tables.dispatcher.load_table.retain_peers(|peer| live_now.contains(peer));
     let waiting = tables.dispatcher.waiting();
     drop(tables);
     node.metrics.peers.set(i64::try_from(live_now.len()).unwrap_or(i64::MAX));
--- a/crates/nutmeggrade/src/explain.rs
+++ b/crates/nutmeggrade/src/explain.rs
@@ -19,15 +19,15 @@
     pub fn record_admission(
         &self,
         request: &RequestId,
-        ask: &GenerationRequest,
+        generation: &GenerationRequest,
         queued_at: Moment,
         verdict: &Result<Placement<P>, Failure>,
     ) {
         let now = self.now();
         let waited = now.since(queued_at).as_millis();
-        let left = ask.deadline.since(now).as_millis();
+        let left = generation.deadline.since(now).as_millis();
         let waiting = lock(&self.tables.scheduler).waiting();
-        let (prompt, max) = (ask.prompt, ask.max_tokens);
+        let (prompt, max) = (generation.prompt, generation.max_tokens);
         let figures = format!(
             "waited_ms={waited} left_ms={left} waiting={waiting} prompt={prompt} max_tokens={max}"
         );
--- a/crates/nutmeggrade/src/generation/admission.rs
+++ b/crates/nutmeggrade/src/generation/admission.rs
@@ -65,12 +65,12 @@
 /// Requests admission from the scheduler and waits in its queue if needed.
 pub async fn admit<P: Platform>(
     node: &Arc<Node<P>>,
-    ask: &GenerationRequest,
+    request: &GenerationRequest,
 ) -> Result<Placement<P>, Failure> {
-    let ticket = ask.ticket;
+    let ticket = request.ticket;
     let (verdict, waiter) = {
         let mut scheduler = lock(&node.tables.scheduler);
-        let verdict = scheduler.ask(ask, node.now());
+        let verdict = scheduler.admit(request, node.now());
         // Inserted while the scheduler is locked, so that the release task always finds the waiter
         // of its verdict.
         let waiter = (verdict == Verdict::Wait).then(|| {
--- a/crates/nutmeggrade/src/generation/start.rs
+++ b/crates/nutmeggrade/src/generation/start.rs
@@ -31,19 +31,19 @@
     node: &Arc<Node<P>>,
     caller: &Caller,
     completion: &Completion,
-    long: bool,
+    is_long: bool,
 ) -> Result<Session<P>, Failure> {
-    let mut ask = admission_request(node, caller, completion, long);
+    let mut request = admission_request(node, caller, completion, is_long);
     let mut summary = AttemptSummary { count: 0, run: RunStatus::NotRun, reason: String::new() };
     let mut suspect_guard = SuspectGuard::new(node, caller, completion);
     lock(&node.tables.retries).fresh();
     while summary.count < MAX_ATTEMPTS {
-        ask.ticket = node.ticket();
+        request.ticket = node.ticket();
         let with_run_state = |f: Failure| f.with_run(summary.run);
         suspect_guard.wait_until_allowed(caller.deadline).await.map_err(with_run_state)?;
         let queued_at = node.now();
-        let admitted = admit(node, &ask).await;
-        node.record_admission(&caller.request, &ask, queued_at, &admitted);
+        let admitted = admit(node, &request).await;
+        node.record_admission(&caller.request, &request, queued_at, &admitted);
         let placement = admitted.map_err(with_run_state)?;
         let endpoint = placement.endpoint.clone();
         match attempt(node, caller, completion, placement, suspect_guard).await {
@@ -63,7 +63,7 @@
                 suspect_guard.release();
                 record_failure(node, caller, &endpoint, &failed);
                 summary.add(failed);
-                ask.avoid.insert(endpoint);
+                request.avoid.insert(endpoint);
                 let can_retry = summary.count < MAX_ATTEMPTS;
                 if can_retry && !node.wait_for_retry(summary.count, caller.deadline).await {
                     break;
@@ -121,13 +121,13 @@
     node: &Node<P>,
     caller: &Caller,
     completion: &Completion,
-    long: bool,
+    is_long: bool,
 ) -> GenerationRequest {
     GenerationRequest {
         ticket: node.ticket(),
         workspace: caller.workspace.clone(),
         task: caller.task.clone(),
-        long,
+        is_long,
         model: completion.model.clone(),
         prompt: completion.prompt_tokens(),
         max_tokens: completion.max_tokens,
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -76,15 +76,15 @@
     scheduler
 }
 
-fn request(ticket: u64, long: bool) -> GenerationRequest {
+fn request(ticket: u64, is_long: bool) -> GenerationRequest {
     GenerationRequest {
         ticket: Ticket(ticket),
         workspace: workspace(0),
-        task: task(if long { "permit-draft" } else { "district-sort" }),
-        long,
+        task: task(if is_long { "permit-draft" } else { "district-sort" }),
+        is_long,
         model: model(),
         prompt: 400,
-        max_tokens: if long { 8_192 } else { 64 },
+        max_tokens: if is_long { 8_192 } else { 64 },
         prefix: 0,
         deadline: Moment::from_millis(3_600_000),
         avoid: BTreeSet::new(),
--- a/tests/suite/policy/cold.rs
+++ b/tests/suite/policy/cold.rs
@@ -39,11 +39,11 @@
 #[test]
 fn failed_engine_is_left_alone_until_it_reports_anew() {
     let mut scheduler = scheduler(1);
-    assert!(matches!(scheduler.ask(&request(1, false), Moment::ZERO), Verdict::Go { .. }));
+    assert!(matches!(scheduler.admit(&request(1, false), Moment::ZERO), Verdict::Go { .. }));
     scheduler.end(Ticket(1), End::Failed, Moment::from_millis(1_000));
     let old = LoadReport { age: SECOND, ..warm_report(0) };
     scheduler.report(&endpoint(0), &old, Moment::from_millis(1_500));
-    assert_eq!(scheduler.ask(&request(2, false), Moment::from_millis(1_501)), Verdict::Wait);
+    assert_eq!(scheduler.admit(&request(2, false), Moment::from_millis(1_501)), Verdict::Wait);
     let fresh = LoadReport { age: SECOND, ..warm_report(0) };
     scheduler.report(&endpoint(0), &fresh, Moment::from_millis(2_500));
     assert_eq!(scheduler.release(Moment::from_millis(2_501)).len(), 1);
@@ -56,11 +56,11 @@
     let mut scheduler = scheduler(1);
     let cold = LoadReport { cold: true, ..warm_report(0) };
     scheduler.report(&endpoint(0), &cold, Moment::ZERO);
-    assert_eq!(scheduler.ask(&request(1, false), Moment::ZERO), Verdict::Wait);
+    assert_eq!(scheduler.admit(&request(1, false), Moment::ZERO), Verdict::Wait);
     let owner = Engine { cold_right: 2, ..engine(0) };
     scheduler.set_engines(&[owner], Moment::ZERO);
     for number in 2..9 {
-        scheduler.ask(&request(number, false), Moment::ZERO);
+        scheduler.admit(&request(number, false), Moment::ZERO);
     }
     assert_eq!(scheduler.release(Moment::from_millis(7)).len(), 2);
     assert!(scheduler.release(Moment::from_millis(14)).is_empty());
@@ -117,7 +117,7 @@
     let mut counts = [0, 0];
     for ticket in 0..30 {
         let now = Moment::from_millis(returned_ms + 10 * ticket);
-        if let Verdict::Go { endpoint: id, .. } = scheduler.ask(&request(ticket, false), now) {
+        if let Verdict::Go { endpoint: id, .. } = scheduler.admit(&request(ticket, false), now) {
             counts[usize::from(id == endpoint(1))] += 1;
         }
         scheduler.token(Ticket(ticket), now);
--- a/tests/suite/policy/dispatch.rs
+++ b/tests/suite/policy/dispatch.rs
@@ -79,7 +79,7 @@
     let placed = offers.iter().filter(|o| chosen_endpoint(o).is_some()).count();
     assert_eq!(placed, 24);
     for number in 0..3 {
-        assert!(dispatcher.book.at(&endpoint(number)).memory <= 30_000);
+        assert!(dispatcher.load_table.load(&endpoint(number)).memory <= 30_000);
     }
     assert_eq!(dispatcher.waiting(), 36);
 }
@@ -96,7 +96,7 @@
         dispatcher.offer(&request(100, 1, 0, 2_000), MAX_WAIT, at(5)),
         DispatchDecision::Wait
     );
-    dispatcher.book.end(Ticket(0));
+    dispatcher.load_table.end(Ticket(0));
     let released: Vec<Ticket> = dispatcher.release(at(10)).into_iter().map(|(t, _)| t).collect();
     assert_eq!(released[0], Ticket(100));
 }
@@ -112,7 +112,7 @@
     dispatcher.offer(&request(100, 1, 1, 3_500), MAX_WAIT, at(1));
     let mut order = Vec::new();
     for ticket in 0..3 {
-        dispatcher.book.end(Ticket(ticket));
+        dispatcher.load_table.end(Ticket(ticket));
         order.extend(dispatcher.release(at(10 + ticket)).into_iter().map(|(t, _)| t));
     }
     assert!(order.contains(&Ticket(100)), "{order:?}");
@@ -125,12 +125,14 @@
     let mut dispatcher = dispatcher((0..2).map(engine).collect());
     let peer = InstanceId::new("i-2").expect("an id");
     let full = PlacedLoad { requests: 9, memory: 28_000, reading: 0, moving: 0 };
-    dispatcher.book.change_peer(&peer, &BTreeMap::from([(endpoint(0), full)]));
+    dispatcher.load_table.change_peer(&peer, &BTreeMap::from([(endpoint(0), full)]));
     for ticket in 0..6 {
         let offer = dispatcher.offer(&request(ticket, 0, 1, 3_500), MAX_WAIT, at(0));
         assert_eq!(chosen_endpoint(&offer), Some(endpoint(1)));
     }
-    dispatcher.book.change_peer(&peer, &BTreeMap::from([(endpoint(0), PlacedLoad::default())]));
+    dispatcher
+        .load_table
+        .change_peer(&peer, &BTreeMap::from([(endpoint(0), PlacedLoad::default())]));
     let offer = dispatcher.offer(&request(50, 0, 1, 3_500), MAX_WAIT, at(0));
     assert_eq!(chosen_endpoint(&offer), Some(endpoint(0)));
 }
@@ -151,7 +153,7 @@
         dispatcher.offer(&request, MAX_WAIT, at(0));
     }
     for number in 0..4 {
-        assert!(dispatcher.book.at(&endpoint(number)).reading <= 8_000);
+        assert!(dispatcher.load_table.load(&endpoint(number)).reading <= 8_000);
     }
 }
 
@@ -167,13 +169,13 @@
         let chosen = chosen_endpoint(&offer).expect("room");
         let number = (0..3).find(|n| endpoint(*n) == chosen).expect("an endpoint");
         request_counts[number] += 1;
-        let health = dispatcher.book.health_mut(&chosen);
+        let health = dispatcher.load_table.health_mut(&chosen);
         if number == 0 {
-            health.failed(now);
+            health.record_failure(now);
         } else {
-            health.succeeded(now);
+            health.record_success(now);
         }
-        dispatcher.book.end(Ticket(ticket));
+        dispatcher.load_table.end(Ticket(ticket));
     }
     assert!(request_counts[0] < 40 && request_counts[0] > 0, "{request_counts:?}");
     assert!(request_counts[1] > 90 && request_counts[2] > 90, "{request_counts:?}");
@@ -184,14 +186,14 @@
 #[test]
 fn unreachable_endpoint_is_left_alone() {
     let mut two = dispatcher((0..2).map(service_endpoint).collect());
-    two.book.health_mut(&endpoint(0)).lost(at(0));
+    two.load_table.health_mut(&endpoint(0)).record_loss(at(0));
     for ticket in 0..6 {
         let offer = two.offer(&request(ticket, 0, 1, 0), MAX_WAIT, at(100));
         assert_eq!(chosen_endpoint(&offer), Some(endpoint(1)));
-        two.book.end(Ticket(ticket));
+        two.load_table.end(Ticket(ticket));
     }
     let mut one = dispatcher(vec![service_endpoint(0)]);
-    one.book.health_mut(&endpoint(0)).lost(at(0));
+    one.load_table.health_mut(&endpoint(0)).record_loss(at(0));
     assert!(chosen_endpoint(&one.offer(&request(9, 0, 1, 0), MAX_WAIT, at(100))).is_some());
 }
 
@@ -214,7 +216,7 @@
         if ticket % 4 == 0
             && let Some(ended) = running.pop_front()
         {
-            dispatcher.book.end(ended);
+            dispatcher.load_table.end(ended);
             running.extend(dispatcher.release(now).into_iter().map(|(t, _)| t));
         }
     }
@@ -260,9 +262,9 @@
     dispatcher.release(at(600));
     let new = DispatchRequest { start_deadline: at(1_400), ..request(11, 0, 1, 0) };
     assert_eq!(dispatcher.offer(&new, MAX_WAIT, at(900)), DispatchDecision::Wait);
-    dispatcher.book.end(Ticket(0));
+    dispatcher.load_table.end(Ticket(0));
     assert_eq!(dispatcher.release(at(950)), [(Ticket(11), endpoint(0))]);
-    dispatcher.book.end(Ticket(1));
+    dispatcher.load_table.end(Ticket(1));
     assert_eq!(dispatcher.release(at(960)), [(Ticket(10), endpoint(0))]);
 }
 
@@ -274,9 +276,9 @@
     let mut dispatcher = dispatcher((0..2).map(engine).collect());
     let full = PlacedLoad { requests: 7, memory: 20_000, reading: 0, moving: 0 };
     let peer = InstanceId::new("i-2").expect("an id");
-    dispatcher.book.change_peer(&peer, &BTreeMap::from([(endpoint(1), full)]));
+    dispatcher.load_table.change_peer(&peer, &BTreeMap::from([(endpoint(1), full)]));
     assert_eq!(dispatcher.choose_move_target(&request(0, 0, 1, 3_500), at(0)), Some(endpoint(0)));
-    dispatcher.book.health_mut(&endpoint(0)).gone(at(0));
+    dispatcher.load_table.health_mut(&endpoint(0)).record_gone_notice(at(0));
     assert_eq!(dispatcher.choose_move_target(&request(1, 0, 1, 3_500), at(400)), Some(endpoint(1)));
     assert_eq!(
         chosen_endpoint(&dispatcher.offer(&request(2, 0, 1, 3_500), MAX_WAIT, at(400))),
@@ -308,21 +310,21 @@
             ticket += 1;
             let offer = dispatcher.offer(&request(ticket, 0, 1, 0), Duration::ZERO, at(ms));
             let id = chosen_endpoint(&offer).expect("room");
-            dispatcher.book.end(Ticket(ticket));
+            dispatcher.load_table.end(Ticket(ticket));
             let number = (0..5).find(|n| endpoint(*n) == id).expect("an endpoint");
             request_counts[number] += 1;
-            let health = dispatcher.book.health_mut(&id);
+            let health = dispatcher.load_table.health_mut(&id);
             if fails(number, usize::try_from(ticket).expect("a number")) {
                 failed += 1;
-                health.failed(at(ms));
+                health.record_failure(at(ms));
             } else {
-                health.succeeded(at(ms));
+                health.record_success(at(ms));
             }
         }
         for own in (0..INSTANCES).filter(|_| shares_failures && ms % 100 == 0) {
-            for (id, counted) in fleet[own].book.take_failures() {
+            for (id, counted) in fleet[own].load_table.take_failures() {
                 for (_, peer) in fleet.iter_mut().enumerate().filter(|(n, _)| *n != own) {
-                    peer.book.health_mut(&id).record_counts(counted, true, at(ms));
+                    peer.load_table.health_mut(&id).record_counts(counted, true, at(ms));
                 }
             }
         }
--- a/tests/suite/policy/fairness.rs
+++ b/tests/suite/policy/fairness.rs
@@ -73,8 +73,8 @@
     let passes = |used: u64| {
         let mut scheduler = scheduler(1);
         scheduler.report(&endpoint(0), &warm_report(used), Moment::ZERO);
-        let long = scheduler.ask(&request(1, true), Moment::ZERO);
-        let short = scheduler.ask(&small, Moment::ZERO);
+        let long = scheduler.admit(&request(1, true), Moment::ZERO);
+        let short = scheduler.admit(&small, Moment::ZERO);
         (long == Verdict::Wait).then_some(matches!(short, Verdict::Go { .. }))
     };
     // Checked at the lowest memory use at which a long request waits.
@@ -88,7 +88,7 @@
 fn request_that_waits_in_vain_is_refused_at_once() {
     let mut scheduler = scheduler(1);
     scheduler.report(&endpoint(0), &warm_report(MEMORY_TOKENS), Moment::ZERO);
-    scheduler.ask(&request(1, true), Moment::ZERO);
+    scheduler.admit(&request(1, true), Moment::ZERO);
     let mut now = 0;
     while now < 20_000 {
         now += 7;
@@ -101,7 +101,7 @@
             ..request(ticket, true)
         };
         let Verdict::Refuse { code, retry_after } =
-            scheduler.ask(&urgent, Moment::from_millis(now))
+            scheduler.admit(&urgent, Moment::from_millis(now))
         else {
             panic!("request {ticket} waits in vain");
         };
@@ -118,7 +118,7 @@
 fn cancelled_request_leaves_the_queue() {
     let mut scheduler = scheduler(1);
     scheduler.report(&endpoint(0), &warm_report(MEMORY_TOKENS), Moment::ZERO);
-    scheduler.ask(&request(1, true), Moment::ZERO);
+    scheduler.admit(&request(1, true), Moment::ZERO);
     scheduler.end(Ticket(1), nutmeggrade_policy::End::Cancelled, Moment::from_millis(5));
     assert_eq!(scheduler.waiting(), 0);
     scheduler.report(&endpoint(0), &warm_report(0), Moment::from_millis(6));
--- a/tests/suite/policy/fleet.rs
+++ b/tests/suite/policy/fleet.rs
@@ -52,8 +52,8 @@
     let mut sent = Vec::new();
     for ms in 0..5_000 {
         for (rank, share) in shares.iter_mut().enumerate() {
-            if share.left(bound, rank, instances, at(ms)) > 0 {
-                share.sent(at(ms));
+            if share.remaining(bound, rank, instances, at(ms)) > 0 {
+                share.record_sent(at(ms));
                 sent.push(ms);
             }
         }
--- a/tests/suite/policy/gaps.rs
+++ b/tests/suite/policy/gaps.rs
@@ -70,7 +70,7 @@
     let mut scheduler = scheduler(2);
     let mut now = Moment::ZERO;
     for ticket in 0..4 {
-        scheduler.ask(&request(ticket, true), now);
+        scheduler.admit(&request(ticket, true), now);
         scheduler.token(Ticket(ticket), now);
     }
     for step in 1..2_000 {
@@ -82,6 +82,6 @@
     for number in 0..2 {
         scheduler.report(&endpoint(number), &warm_report(10_000), now);
     }
-    let verdict = scheduler.ask(&request(9, true), now);
+    let verdict = scheduler.admit(&request(9, true), now);
     assert!(matches!(verdict, Verdict::Go { .. }), "{verdict:?}");
 }
--- a/tests/suite/policy/load_table.rs
+++ b/tests/suite/policy/load_table.rs
@@ -39,9 +39,9 @@
     table.set_peer(&peer, &[(ids[0].clone(), placed())].into());
     table.set_peer(&other, &[(ids[0].clone(), placed())].into());
     table.change_peer(&peer, &[(ids[1].clone(), placed())].into());
-    assert_eq!((table.at(&ids[0]).requests, table.at(&ids[1]).requests), (2, 1));
+    assert_eq!((table.load(&ids[0]).requests, table.load(&ids[1]).requests), (2, 1));
     table.set_peer(&peer, &[(ids[1].clone(), placed())].into());
-    assert_eq!((table.at(&ids[0]).requests, table.at(&ids[1]).requests), (1, 1));
+    assert_eq!((table.load(&ids[0]).requests, table.load(&ids[1]).requests), (1, 1));
     table.retain_peers(|instance| *instance == other);
-    assert_eq!((table.at(&ids[0]).requests, table.at(&ids[1]).requests), (1, 0));
+    assert_eq!((table.load(&ids[0]).requests, table.load(&ids[1]).requests), (1, 0));
 }
--- a/tests/suite/policy/memory.rs
+++ b/tests/suite/policy/memory.rs
@@ -19,7 +19,7 @@
     let mut scheduler = scheduler(1);
     let mut running: u64 = 0;
     for number in 0..200 {
-        if matches!(scheduler.ask(&request(number, true), Moment::ZERO), Verdict::Go { .. }) {
+        if matches!(scheduler.admit(&request(number, true), Moment::ZERO), Verdict::Go { .. }) {
             running += 1;
             // The prompt is prefilled at once, so that only memory limits the next request.
             scheduler.token(Ticket(number), Moment::ZERO);
@@ -72,7 +72,7 @@
 fn freed_memory_admits_the_next_request() {
     let mut scheduler = scheduler(1);
     scheduler.report(&endpoint(0), &warm_report(MEMORY_TOKENS), Moment::ZERO);
-    let verdict = scheduler.ask(&request(1, true), Moment::ZERO);
+    let verdict = scheduler.admit(&request(1, true), Moment::ZERO);
     assert_eq!(verdict, Verdict::Wait);
     assert!(scheduler.release(Moment::from_millis(7)).is_empty());
     scheduler.report(&endpoint(0), &warm_report(0), Moment::from_millis(20));
@@ -109,7 +109,7 @@
         scheduler.report(&endpoint(0), &report, Moment::ZERO);
         scheduler.set_peers(&[(endpoint(0), 12)].into(), Moment::ZERO);
         for number in 0..30 {
-            let verdict = scheduler.ask(&request(number, true), Moment::ZERO);
+            let verdict = scheduler.admit(&request(number, true), Moment::ZERO);
             admitted += u64::from(matches!(verdict, Verdict::Go { .. }));
             scheduler.token(Ticket(number), Moment::ZERO);
         }
--- a/tests/suite/policy/properties.rs
+++ b/tests/suite/policy/properties.rs
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask { workspace_index: usize, long: bool, deadline: u64 },
+    Ask { workspace_index: usize, is_long: bool, deadline: u64 },
     Token(prop::sample::Index),
     End(prop::sample::Index, bool),
     Release,
@@ -30,8 +30,8 @@
     let index = any::<prop::sample::Index>;
     prop_oneof![
         6 => (0..5_usize, any::<bool>(), 50..90_000_u64)
-            .prop_map(|(workspace_index, long, deadline)| {
-                Step::Ask { workspace_index, long, deadline }
+            .prop_map(|(workspace_index, is_long, deadline)| {
+                Step::Ask { workspace_index, is_long, deadline }
             }),
         8 => index().prop_map(Step::Token),
         3 => (index(), proptest::bool::ANY).prop_map(|(i, failed)| Step::End(i, failed)),
@@ -80,13 +80,13 @@
         for (number, step) in (0..).zip(steps) {
             let now = Moment::from_millis(self.now);
             match step {
-                Step::Ask { workspace_index, long, deadline } => {
+                Step::Ask { workspace_index, is_long, deadline } => {
                     let request = GenerationRequest {
                         workspace: workspace(*workspace_index),
                         deadline: Moment::from_millis(self.now + deadline),
-                        ..request(number, *long)
+                        ..request(number, *is_long)
                     };
-                    let verdict = scheduler.ask(&request, now);
+                    let verdict = scheduler.admit(&request, now);
                     self.record_verdict(request.ticket, verdict)?;
                 }
                 Step::Token(index) if !self.running.is_empty() => {
@@ -158,7 +158,7 @@
             deadline: Moment::from_millis(model.now + 400_000),
             ..request(9_999, false)
         };
-        let verdict = scheduler.ask(&final_request, retry_at);
+        let verdict = scheduler.admit(&final_request, retry_at);
         let is_admitted = matches!(verdict, Verdict::Go { .. });
         prop_assert!(is_admitted, "{:?}", verdict);
         Ok(())
--- a/tests/suite/policy/rollouts.rs
+++ b/tests/suite/policy/rollouts.rs
@@ -151,7 +151,7 @@
     }
 
     fn allowed(&self) -> f64 {
-        BOUND.of(self.duration.as_secs_f64() * 100.0)
+        BOUND.max_exposed(self.duration.as_secs_f64() * 100.0)
     }
 }
 
--- a/tests/suite/policy/routing.rs
+++ b/tests/suite/policy/routing.rs
@@ -30,7 +30,7 @@
             scheduler.report(&endpoint(number), &warm_report(used), Moment::ZERO);
         }
         for ticket in 0..6 {
-            let verdict = scheduler.ask(&request(ticket, true), Moment::ZERO);
+            let verdict = scheduler.admit(&request(ticket, true), Moment::ZERO);
             let endpoint = chosen_endpoint(&verdict).expect("an engine with room");
             *counts.entry(endpoint).or_default() += 1;
         }
@@ -49,14 +49,14 @@
     for ticket in 0..6 {
         let same = GenerationRequest { prefix: 77, ..request(ticket, false) };
         let now = Moment::from_millis(ticket * 3_000);
-        places.extend(chosen_endpoint(&scheduler.ask(&same, now)));
+        places.extend(chosen_endpoint(&scheduler.admit(&same, now)));
         scheduler.token(Ticket(ticket), now);
     }
     assert!(places.len() <= 2, "{places:?}");
     let mut spread = BTreeSet::new();
     for ticket in 100..160 {
         let same = GenerationRequest { prefix: 77, ..request(ticket, true) };
-        spread.extend(chosen_endpoint(&scheduler.ask(&same, Moment::from_millis(60_000))));
+        spread.extend(chosen_endpoint(&scheduler.admit(&same, Moment::from_millis(60_000))));
         scheduler.token(Ticket(ticket), Moment::from_millis(60_000));
     }
     assert!(spread.len() >= 6, "a hot prefix spreads: {spread:?}");
@@ -87,7 +87,7 @@
     scheduler.set_engines(&remaining, Moment::from_millis(10));
     for ticket in 0..40 {
         let now = Moment::from_millis(1_000 * ticket);
-        let endpoint = chosen_endpoint(&scheduler.ask(&request(ticket, false), now))
+        let endpoint = chosen_endpoint(&scheduler.admit(&request(ticket, false), now))
             .expect("an engine with room");
         assert!(remaining.iter().any(|e| e.id == endpoint), "{endpoint}");
         scheduler.token(Ticket(ticket), now);
@@ -99,6 +99,6 @@
 fn request_without_an_engine_left_is_refused_at_once() {
     let mut scheduler = scheduler(2);
     let avoid = BTreeSet::from([endpoint(0), endpoint(1)]);
-    let verdict = scheduler.ask(&GenerationRequest { avoid, ..request(1, false) }, Moment::ZERO);
+    let verdict = scheduler.admit(&GenerationRequest { avoid, ..request(1, false) }, Moment::ZERO);
     assert!(matches!(verdict, Verdict::Refuse { code: Code::NoEndpoint, .. }), "{verdict:?}");
 }
