--- a/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
@@ -32,7 +32,8 @@
     #[serde(rename = "seat")]
     pub sender: InstanceAddresses,
     /// Heartbeat addresses of a few other instances that the sender heard from recently.
-    pub others: Contacts,
+    #[serde(rename = "others")]
+    pub contacts: Contacts,
 }
 
 /// Number of heartbeats after a start that all carry an introduction; five seconds' worth.
--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -36,7 +36,7 @@
     Ok(InstanceId::new(&format!("instance-{number}"))?)
 }
 
-fn seat(number: u32) -> anyhow::Result<InstanceAddresses> {
+fn addresses(number: u32) -> anyhow::Result<InstanceAddresses> {
     let [_, _, high, low] = number.to_be_bytes();
     let at = |port| SocketAddr::from(([10, 0, high, low], port));
     let domain = DomainId::new(&format!("domain-{}", number % DOMAINS))?;
@@ -50,7 +50,7 @@
 }
 
 fn beacon(number: u32, sequence: u64) -> anyhow::Result<FleetBeacon> {
-    let introduction = Introduction { sender: seat(number)?, others: Contacts::new() };
+    let introduction = Introduction { sender: addresses(number)?, contacts: Contacts::new() };
     Ok(FleetBeacon {
         instance: name(number)?,
         incarnation: 1,
@@ -74,7 +74,7 @@
 
 impl Known {
     fn new(size: u32) -> anyhow::Result<Self> {
-        let view = FleetView::new(&name(0)?, &seat(0)?, &[]);
+        let view = FleetView::new(&name(0)?, &addresses(0)?, &[]);
         let now = Moment::from_millis(60_000);
         let mut known = Self { view, load_table: LoadTable::new(), size, now };
         for number in 1..size {
--- a/crates/nutmeggrade-policy/src/room_lottery.rs
+++ b/crates/nutmeggrade-policy/src/room_lottery.rs
@@ -27,15 +27,15 @@
     }
 
     /// Returns whether this instance may use the room, if each of `instance_count` instances needs
-    /// `need` of `room`.
-    pub fn win(&self, room: f64, need: f64, instance_count: u32, now: Moment) -> bool {
-        let total_need = need * f64::from(instance_count);
-        if room >= total_need {
+    /// `tokens` of `room`.
+    pub fn win(&self, room: f64, tokens: f64, instance_count: u32, now: Moment) -> bool {
+        let total_tokens = tokens * f64::from(instance_count);
+        if room >= total_tokens {
             return true;
         }
         let window = now.since_start().as_millis() / DRAW_WINDOW.as_millis();
         let window = u64::try_from(window).unwrap_or(u64::MAX);
         let uniform = (mix_bits(self.seed ^ mix_bits(window)) >> 11) as f64 / (1_u64 << 53) as f64;
-        uniform * total_need < room
+        uniform * total_tokens < room
     }
 }
--- a/crates/nutmeggrade-relay/src/admin.rs
+++ b/crates/nutmeggrade-relay/src/admin.rs
@@ -124,7 +124,7 @@
     if addresses.is_empty() {
         // No instance is known to serve; this one's own address helps a client more than an empty
         // list.
-        addresses.push(node.seat.client);
+        addresses.push(node.addresses.client);
     }
     let keep = MAX_ENTRY_AGE.min(node.settings().entry_keep);
     respond(StatusCode::OK, directory::write(&addresses, keep))
--- a/crates/nutmeggrade-relay/src/instance.rs
+++ b/crates/nutmeggrade-relay/src/instance.rs
@@ -76,13 +76,13 @@
             beacon: peers.address()?,
             metrics: admin.metrics()?,
         };
-        let seat = InstanceAddresses {
+        let own_addresses = InstanceAddresses {
             domain: settings.domain.clone(),
             client: addresses.client,
             beacon: addresses.beacon,
             control: addresses.control,
         };
-        let node = Arc::new(Node::new(settings, &seat, logs, incarnation)?);
+        let node = Arc::new(Node::new(settings, &own_addresses, logs, incarnation)?);
         tracing::info!(event = "started", instance = %settings.instance, domain = %settings.domain,
             clients = %addresses.client, directory = %addresses.directory,
             metrics = %addresses.metrics, incarnation);
--- a/crates/nutmeggrade-relay/src/node.rs
+++ b/crates/nutmeggrade-relay/src/node.rs
@@ -59,7 +59,7 @@
     /// Buffered log lines.
     pub logs: LogBuffer,
     /// Failure domain and addresses of this instance.
-    pub seat: InstanceAddresses,
+    pub addresses: InstanceAddresses,
     /// Distinguishes successive runs of an instance with the same name.
     pub incarnation: u64,
     /// Wakes the task that sends changed placements to the peers.
@@ -88,12 +88,12 @@
     /// Creates the state of an instance that has read nothing.
     pub fn new(
         settings: &Settings,
-        seat: &InstanceAddresses,
+        addresses: &InstanceAddresses,
         logs: &LogBuffer,
         incarnation: u64,
     ) -> anyhow::Result<Self> {
         let dispatcher = Dispatcher::new(&settings.domain, rand::random());
-        let fleet = FleetView::new(&settings.instance, seat, &settings.seeds);
+        let fleet = FleetView::new(&settings.instance, addresses, &settings.seeds);
         let (outbox, outbox_receiver) = mpsc::channel(OUTBOX_CAPACITY);
         Ok(Self {
             clock: Clock::new(),
@@ -102,7 +102,7 @@
             store: Store::new(settings.platform, STORE_TIMEOUT),
             read_state: ReadState::new(),
             logs: logs.clone(),
-            seat: seat.clone(),
+            addresses: addresses.clone(),
             incarnation,
             placed: Notify::new(),
             failures_counted: Notify::new(),
--- a/crates/nutmeggrade-relay/src/node/endpoints.rs
+++ b/crates/nutmeggrade-relay/src/node/endpoints.rs
@@ -162,7 +162,7 @@
     /// Adds a peer's counts of successes and failures to the endpoints' health.
     pub fn add_peer_outcomes(&self, outcomes: &FleetOutcomes) {
         let now = self.now();
-        let is_local = outcomes.domain == self.seat.domain;
+        let is_local = outcomes.domain == self.addresses.domain;
         let mut tables = lock(&self.tables);
         for (endpoint, counted) in &outcomes.answers {
             if tables.registry.get(endpoint).is_some() {
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -148,7 +148,7 @@
             if answers.is_empty() {
                 continue;
             }
-            let domain = node.seat.domain.clone();
+            let domain = node.addresses.domain.clone();
             let message = FleetMessage::Outcomes(FleetOutcomes { domain, answers });
             self.send_to_all(node, message).await;
             sleep(FAILURES_INTERVAL).await;
@@ -174,8 +174,8 @@
     async fn send_contacts(&self, node: &Node, message: &FleetMessage) {
         let FleetMessage::Beacon(beacon) = message else { return };
         let contacts = lock(&node.tables).fleet.contacts_for_newcomer(beacon);
-        if let Some((newcomer, others)) = contacts {
-            self.send_to(node, &FleetMessage::Met(others), &[newcomer]).await;
+        if let Some((newcomer, contacts)) = contacts {
+            self.send_to(node, &FleetMessage::Met(contacts), &[newcomer]).await;
         }
     }
 
@@ -235,7 +235,10 @@
         let tables = lock(&node.tables);
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed);
         let introduction = FleetBeacon::includes_introduction(sequence, rand::random::<f64>())
-            .then(|| Introduction { sender: node.seat.clone(), others: tables.fleet.others(now) });
+            .then(|| Introduction {
+                sender: node.addresses.clone(),
+                contacts: tables.fleet.introduced_contacts(now),
+            });
         FleetBeacon {
             instance: node.settings().instance.clone(),
             incarnation: node.incarnation,
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -20,7 +20,7 @@
         FleetMessage::News(news) => apply_endpoint_news(node, &news),
         FleetMessage::Leaving(endpoints) => node.note_leaving(&endpoints),
         FleetMessage::Gone(endpoints) => node.note_unreachable(&endpoints),
-        FleetMessage::Met(others) => lock(&node.tables).fleet.add_contacts(&others, node.now()),
+        FleetMessage::Met(contacts) => lock(&node.tables).fleet.add_contacts(&contacts, node.now()),
         FleetMessage::Crashed(crashed) => lock(&node.tables).crashes.note(&crashed, node.now()),
         FleetMessage::Outcomes(outcomes) => node.add_peer_outcomes(&outcomes),
         FleetMessage::Rollout(notice) => node.apply_rollout_notices(vec![notice]),
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -52,7 +52,7 @@
 
 #[derive(Debug, Clone)]
 struct Peer {
-    seat: InstanceAddresses,
+    addresses: InstanceAddresses,
     incarnation: u64,
     sequence: u64,
     heard: Moment,
@@ -89,7 +89,7 @@
     own_id: InstanceId,
     reader_key: u64,
     address_key: u64,
-    seat: InstanceAddresses,
+    own_addresses: InstanceAddresses,
     peers: BTreeMap<InstanceId, Peer>,
     contacts: BTreeMap<SocketAddr, Contact>,
     seeds: BTreeSet<SocketAddr>,
@@ -102,15 +102,19 @@
 
 impl FleetView {
     /// Creates the view of an instance that has only its seed addresses.
-    pub fn new(own_id: &InstanceId, seat: &InstanceAddresses, seeds: &[SocketAddr]) -> Self {
+    pub fn new(
+        own_id: &InstanceId,
+        own_addresses: &InstanceAddresses,
+        seeds: &[SocketAddr],
+    ) -> Self {
         let seeds: BTreeSet<SocketAddr> =
-            seeds.iter().copied().filter(|a| *a != seat.beacon).collect();
+            seeds.iter().copied().filter(|a| *a != own_addresses.beacon).collect();
         let seed = |a: &SocketAddr| (*a, Contact::new(*a, None, Moment::ZERO));
         Self {
             own_id: own_id.clone(),
             reader_key: hash_key(own_id.as_str()),
-            address_key: hash_key(&seat.beacon.to_string()),
-            seat: seat.clone(),
+            address_key: hash_key(&own_addresses.beacon.to_string()),
+            own_addresses: own_addresses.clone(),
             peers: BTreeMap::new(),
             contacts: seeds.iter().map(seed).collect(),
             seeds,
@@ -127,7 +131,7 @@
             return false;
         }
         if let Some(introduction) = &beacon.introduction {
-            self.add_contacts(&introduction.others, now);
+            self.add_contacts(&introduction.contacts, now);
         }
         let old = self.peers.get(&beacon.instance);
         // Incarnations are wall-clock times, and the clock may have been set back before the peer
@@ -140,11 +144,11 @@
             return false;
         }
         let introduction = beacon.introduction.as_ref().map(|introduction| &introduction.sender);
-        let known_seat = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.seat);
+        let known = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.addresses);
         // The addresses of this peer are unknown until its next introduction, which follows soon.
-        let Some(seat) = introduction.or(known_seat).cloned() else { return false };
+        let Some(addresses) = introduction.or(known).cloned() else { return false };
         let peer = Peer {
-            seat,
+            addresses,
             incarnation: beacon.incarnation,
             sequence: beacon.sequence,
             heard: now,
@@ -153,7 +157,7 @@
             revisions: beacon.revisions,
             reader_key: hash_key(beacon.instance.as_str()),
         };
-        self.add_contact(peer.seat.beacon, &peer.seat.domain, now);
+        self.add_contact(peer.addresses.beacon, &peer.addresses.domain, now);
         self.peers.insert(beacon.instance.clone(), peer);
         true
     }
@@ -171,11 +175,11 @@
         if let Some(contact) = self.contacts.get_mut(&address) {
             contact.last_announced = now;
             contact.domain = Some(domain.clone());
-        } else if address != self.seat.beacon && self.contacts.len() < MAX_CONTACTS {
+        } else if address != self.own_addresses.beacon && self.contacts.len() < MAX_CONTACTS {
             self.contacts.insert(address, Contact::new(address, Some(domain), now));
         }
         if self.contacts.contains_key(&address) {
-            if *domain == self.seat.domain {
+            if *domain == self.own_addresses.domain {
                 self.near.insert(address);
             } else {
                 self.near.remove(&address);
@@ -307,11 +311,11 @@
         is_leaving: bool,
         now: Moment,
     ) -> Vec<SocketAddr> {
-        let own_seat = (!is_leaving).then_some(&self.seat);
+        let own = (!is_leaving).then_some(&self.own_addresses);
         let live = self.peers.values().filter(|p| self.is_heard(p, now) && !p.leaving);
         let all: Vec<&InstanceAddresses> =
-            own_seat.into_iter().chain(live.map(|p| &p.seat)).collect();
-        let is_near = |seat: &&&InstanceAddresses| near == Some(&seat.domain);
+            own.into_iter().chain(live.map(|p| &p.addresses)).collect();
+        let is_near = |addresses: &&&InstanceAddresses| near == Some(&addresses.domain);
         let nearby: Vec<SocketAddr> = all.iter().filter(is_near).map(|s| s.client).collect();
         if nearby.len() >= MIN_NEARBY_ENTRIES {
             nearby
@@ -351,15 +355,15 @@
     }
 
     /// Returns the addresses of a few recently heard peers for an introduction.
-    pub fn others(&self, now: Moment) -> Contacts {
+    pub fn introduced_contacts(&self, now: Moment) -> Contacts {
         let live = self.peers.values().filter(|p| self.is_heard(p, now));
-        let all: Vec<&InstanceAddresses> = live.map(|p| &p.seat).collect();
-        let mut others = Contacts::new();
+        let all: Vec<&InstanceAddresses> = live.map(|p| &p.addresses).collect();
+        let mut contacts = Contacts::new();
         for i in 0..all.len().min(MAX_INTRODUCED_PEERS) {
-            let seat = all[(self.far_position + i) % all.len()];
-            others.entry(seat.domain.clone()).or_default().push(seat.beacon);
+            let addresses = all[(self.far_position + i) % all.len()];
+            contacts.entry(addresses.domain.clone()).or_default().push(addresses.beacon);
         }
-        others
+        contacts
     }
 }
 
--- a/crates/nutmeggrade-state/src/fleet_view/judges.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/judges.rs
@@ -35,12 +35,12 @@
         let mut ranked: Vec<_> = self
             .recently_heard(now)
             .filter(|(_, p)| !p.leaving)
-            .map(|(name, p)| ((p.reader_key, name), p.seat.beacon))
+            .map(|(name, p)| ((p.reader_key, name), p.addresses.beacon))
             .collect();
         ranked.sort_unstable();
         let ranks_before = |(key, _): &&(_, SocketAddr)| *key < (self.reader_key, &self.own_id);
         let own_rank = ranked.iter().take_while(ranks_before).count();
-        let others = if own_rank < JUDGE_COUNT { JUDGE_COUNT - 1 } else { JUDGE_COUNT };
-        ranked.into_iter().take(others).map(|(_, beacon)| beacon).collect()
+        let count = if own_rank < JUDGE_COUNT { JUDGE_COUNT - 1 } else { JUDGE_COUNT };
+        ranked.into_iter().take(count).map(|(_, beacon)| beacon).collect()
     }
 }
--- a/crates/nutmeggrade-state/src/fleet_view/recipients.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/recipients.rs
@@ -99,7 +99,7 @@
         }
         let mut recipients = BroadcastRecipients { direct: Vec::new(), relays: Vec::new() };
         for (domain, all) in domains {
-            let is_near = domain == Some(&self.seat.domain);
+            let is_near = domain == Some(&self.own_addresses.domain);
             let max_direct = match (is_near, relay_order) {
                 (true, RelayOrder::LastHeard) => INSTANCES_PER_RELAY,
                 (true, RelayOrder::Common) => MAX_DIRECT_NEIGHBOURS,
@@ -132,14 +132,14 @@
         now: Moment,
     ) -> Vec<SocketAddr> {
         let is_candidate =
-            |p: &&Peer| Some(&p.seat.domain) == domain && !p.leaving && self.is_heard(p, now);
+            |p: &&Peer| Some(&p.addresses.domain) == domain && !p.leaving && self.is_heard(p, now);
         let mut all: Vec<&Peer> = self.peers.values().filter(is_candidate).collect();
         let is_new = |p: &Peer| p.sequence <= STARTUP_HEARTBEATS;
         match relay_order {
             RelayOrder::LastHeard => all.sort_by_key(|p| (is_new(p), std::cmp::Reverse(p.heard))),
             RelayOrder::Common => all.sort_by_key(|p| (is_new(p), p.reader_key)),
         }
-        all.into_iter().take(count).map(|p| p.seat.beacon).collect()
+        all.into_iter().take(count).map(|p| p.addresses.beacon).collect()
     }
 
     /// Returns the address of a new instance that announced few peers, and contacts for it.
@@ -152,7 +152,7 @@
         beacon: &FleetBeacon,
     ) -> Option<(SocketAddr, Contacts)> {
         let introduction = beacon.introduction.as_ref()?;
-        let announced = introduction.others.values().map(Vec::len).sum::<usize>();
+        let announced = introduction.contacts.values().map(Vec::len).sum::<usize>();
         if self.contacts.len() <= MAX_FULL_FANOUT || announced >= super::MAX_INTRODUCED_PEERS {
             return None;
         }
@@ -162,13 +162,13 @@
             self.contacts.iter().filter(|(a, _)| **a != new_peer).filter_map(known).collect();
         // Each peer that replies starts at another contact, so that the replies together cover the
         // fleet.
-        let mut others = Contacts::new();
+        let mut contacts = Contacts::new();
         for (address, domain) in
             next_in_rotation(&all, MAX_NEWCOMER_CONTACTS, &mut self.newcomer_position)
         {
-            others.entry(domain).or_default().push(address);
+            contacts.entry(domain).or_default().push(address);
         }
-        Some((new_peer, others))
+        Some((new_peer, contacts))
     }
 
     /// Lists the neighbours in one part of the failure domain, to forward a message to.
@@ -186,7 +186,11 @@
     /// Returns the silence after which a peer counts as gone. In a large fleet heartbeats rotate
     /// among the peers, so each peer hears from the others less often.
     fn peer_timeout(&self, peer: &Peer) -> Duration {
-        if peer.seat.domain == self.seat.domain { self.near_timeout() } else { self.far_timeout() }
+        if peer.addresses.domain == self.own_addresses.domain {
+            self.near_timeout()
+        } else {
+            self.far_timeout()
+        }
     }
 
     fn near_timeout(&self) -> Duration {
--- a/crates/nutmeggrade-state/src/fleet_view/sources.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/sources.rs
@@ -33,15 +33,18 @@
         now: Moment,
     ) -> Option<(SocketAddr, bool)> {
         let is_source = |p: &&Peer| self.is_heard(p, now) && !p.leaving && is_ahead(&p.revisions);
-        let (near, far): (Vec<&Peer>, Vec<&Peer>) =
-            self.peers.values().filter(is_source).partition(|p| p.seat.domain == self.seat.domain);
+        let (near, far): (Vec<&Peer>, Vec<&Peer>) = self
+            .peers
+            .values()
+            .filter(is_source)
+            .partition(|p| p.addresses.domain == self.own_addresses.domain);
         let is_near = !near.is_empty();
         if !is_near && scope == SourceScope::Near && !self.is_first_in_domain(now) {
             return None;
         }
         let all = if is_near { near } else { far };
         let peer = all.get(random.checked_rem(all.len())?)?;
-        Some((peer.seat.control, is_near))
+        Some((peer.addresses.control, is_near))
     }
 
     /// Lists the heartbeat addresses of the instances in the same failure domain.
@@ -51,7 +54,7 @@
 
     /// Returns whether this instance ranks first as a reader in its failure domain.
     fn is_first_in_domain(&self, now: Moment) -> bool {
-        let is_neighbour = |p: &Peer| p.seat.domain == self.seat.domain && !p.leaving;
+        let is_neighbour = |p: &Peer| p.addresses.domain == self.own_addresses.domain && !p.leaving;
         let mut live = self.peers.iter().filter(|(_, p)| is_neighbour(p) && self.is_heard(p, now));
         !live.any(|(name, p)| self.ranks_after(name, p))
     }
--- a/crates/nutmeggrade-state/src/registry/versions.rs
+++ b/crates/nutmeggrade-state/src/registry/versions.rs
@@ -52,8 +52,8 @@
     /// Returns whether no other endpoint of the service has the same version.
     pub fn is_first_of_version(&self, info: &EndpointInfo) -> bool {
         let of_service = |e: &&Registered| e.info.service == info.service && e.info.id != info.id;
-        let mut others = self.endpoints.values().filter(of_service).peekable();
-        others.peek().is_some() && others.all(|e| e.info.version != info.version)
+        let mut endpoints = self.endpoints.values().filter(of_service).peekable();
+        endpoints.peek().is_some() && endpoints.all(|e| e.info.version != info.version)
     }
 
     /// Returns what an endpoint may get because of its version. If a service has only endpoints of
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -264,10 +264,10 @@
 
     /// Returns whether no trial runs anywhere and no waiting suspect goes first.
     fn is_next(&self, request: PromptHash, id: TrialId, now: Moment) -> bool {
-        let others = self.trials.iter().filter(|(other, _)| **other != id);
+        let other_trials = self.trials.iter().filter(|(other, _)| **other != id);
         let goes_first =
             |(other, t): (&TrialId, &Trial)| t.running || (t.request, *other) < (request, id);
-        if others.into_iter().any(goes_first) {
+        if other_trials.into_iter().any(goes_first) {
             return false;
         }
         let recent = self.peers.iter().filter(|(_, p)| now.since(p.heard) <= PEER_TIMEOUT);
--- a/tests/suite/state/fleet_view.rs
+++ b/tests/suite/state/fleet_view.rs
@@ -94,8 +94,8 @@
             .iter_mut()
             .zip(1..)
             .map(|(view, number)| {
-                let others = view.others(NOW);
-                let introduction = Some(Introduction { sender: addresses(number), others });
+                let contacts = view.introduced_contacts(NOW);
+                let introduction = Some(Introduction { sender: addresses(number), contacts });
                 (view.targets(), FleetBeacon { introduction, ..beacon(number, round) })
             })
             .collect();
@@ -176,7 +176,7 @@
         if number > 3 {
             addresses.domain = far.clone();
         }
-        let introduction = Some(Introduction { sender: addresses, others: Contacts::new() });
+        let introduction = Some(Introduction { sender: addresses, contacts: Contacts::new() });
         view.receive_heartbeat(&FleetBeacon { introduction, ..beacon(number, 1) }, NOW);
     }
     let near = DomainId::new("veluwe").expect("an id");
@@ -221,7 +221,7 @@
 
 fn domain_beacon(number: u8, sequence: u64) -> FleetBeacon {
     let introduction =
-        Some(Introduction { sender: domain_addresses(number), others: Contacts::new() });
+        Some(Introduction { sender: domain_addresses(number), contacts: Contacts::new() });
     FleetBeacon { introduction, ..beacon(number, sequence) }
 }
 
@@ -266,15 +266,15 @@
 #[test]
 fn new_instance_gets_the_contacts_of_others() {
     let mut views = large_fleet();
-    let (newcomer, others) = views[0].contacts_for_newcomer(&beacon(77, 1)).expect("a newcomer");
-    let count = others.values().map(Vec::len).sum::<usize>();
+    let (newcomer, contacts) = views[0].contacts_for_newcomer(&beacon(77, 1)).expect("a newcomer");
+    let count = contacts.values().map(Vec::len).sum::<usize>();
     assert_eq!((newcomer, count), (addresses(77).beacon, 59));
     let mut fresh = view(77);
-    fresh.add_contacts(&others, NOW);
+    fresh.add_contacts(&contacts, NOW);
     assert_eq!(fresh.targets().len(), 12);
-    let others = (1..=8).map(|n| addresses(n).beacon).collect();
-    let others = Contacts::from([(addresses(1).domain, others)]);
-    let introduction = Some(Introduction { sender: addresses(78), others });
+    let addresses_of_domain = (1..=8).map(|n| addresses(n).beacon).collect();
+    let contacts = Contacts::from([(addresses(1).domain, addresses_of_domain)]);
+    let introduction = Some(Introduction { sender: addresses(78), contacts });
     assert_eq!(
         views[0].contacts_for_newcomer(&FleetBeacon { introduction, ..beacon(78, 1) }),
         None
--- a/tests/suite/state/heartbeat.rs
+++ b/tests/suite/state/heartbeat.rs
@@ -15,7 +15,7 @@
         instance: instance.clone(),
         incarnation: 100,
         sequence,
-        introduction: Some(Introduction { sender: addresses.clone(), others: Contacts::new() }),
+        introduction: Some(Introduction { sender: addresses.clone(), contacts: Contacts::new() }),
         leaving: false,
         reads: true,
         revisions: Revisions::default(),
--- a/tests/suite/state/large_fleet.rs
+++ b/tests/suite/state/large_fleet.rs
@@ -46,8 +46,8 @@
     for host in 1..=4 {
         let mut host = self::view(host, INSTANCES, &[]);
         for _ in 0..3 {
-            let (_, others) = host.contacts_for_newcomer(&beacon(own, 1)).expect("contacts");
-            view.add_contacts(&others, NOW);
+            let (_, contacts) = host.contacts_for_newcomer(&beacon(own, 1)).expect("contacts");
+            view.add_contacts(&contacts, NOW);
         }
     }
 }
