--- a/crates/nutmeggrade-core/src/code.rs
+++ b/crates/nutmeggrade-core/src/code.rs
@@ -143,7 +143,7 @@
     LastDomain = 5012, "last_domain", 409;
     /// None of the queried instances has a record of the request.
     RequestUnknown = 5013, "request_unknown", 404;
-    /// A roll-out order lacks its service or version, or its service differs from its object's.
+    /// A rollout order lacks its service or version, or its service differs from its object's.
     BadRollout = 5014, "bad_rollout", 400;
     /// A flag or environment variable is unknown.
     UnknownSetting = 6001, "unknown_setting", 400;
--- a/crates/nutmeggrade-core/src/config/preset.rs
+++ b/crates/nutmeggrade-core/src/config/preset.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelClass {
-    /// Maximum length of prompt and answer together, in tokens.
+    /// Maximum length of prompt and response together, in tokens.
     pub context: u64,
     /// Engines that may serve the model; if empty, every engine that has it loaded.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
--- a/crates/nutmeggrade-core/src/config/task_class.rs
+++ b/crates/nutmeggrade-core/src/config/task_class.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskClass {
-    /// Whether answers are long; long and short generations queue separately.
+    /// Whether responses are long; long and short generations queue separately.
     pub long: bool,
-    /// Maximum length of an answer, in tokens.
+    /// Maximum length of a response, in tokens.
     pub max_tokens: u64,
     /// Deadline of a request that sets none.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
--- a/crates/nutmeggrade-core/src/engine/token.rs
+++ b/crates/nutmeggrade-core/src/engine/token.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model ended its answer.
+    /// The model ended its response.
     Stop,
     /// The token limit was reached.
     Length,
@@ -19,7 +19,7 @@
 pub struct Token {
     /// The generation it belongs to.
     pub generation: GenerationId,
-    /// Position in the answer, from 0.
+    /// Position in the response, from 0.
     pub offset: u64,
     /// Text of the token.
     pub text: String,
--- a/crates/nutmeggrade-core/src/event_id.rs
+++ b/crates/nutmeggrade-core/src/event_id.rs
@@ -5,7 +5,7 @@
 use crate::id::{EndpointId, GenerationId, WorkspaceId};
 
 const TAG_HEX_DIGITS: usize = 32;
-/// Suffix of the offset if the token is the answer's last.
+/// Suffix of the offset if the token is the response's last.
 const LAST_TOKEN_SUFFIX: &str = ".";
 
 /// The position in a generation that an event id stands for.
@@ -20,7 +20,7 @@
     pub generation: GenerationId,
     /// Offset of the event's token.
     pub offset: u64,
-    /// Whether the token was the last of the answer.
+    /// Whether the token was the last of the response.
     pub last: bool,
 }
 
@@ -30,10 +30,10 @@
         Self { endpoint, generation, offset, last: false }
     }
 
-    /// Sets whether the token was the last of the answer.
+    /// Sets whether the token was the last of the response.
     ///
     /// A caller whose connection broke between the last token and the end of the stream resumes
-    /// after the last token. An engine can't distinguish this from a lost answer; the id does.
+    /// after the last token. An engine can't distinguish this from a lost response; the id does.
     #[must_use]
     pub const fn with_last(mut self, last: bool) -> Self {
         self.last = last;
@@ -42,8 +42,8 @@
 
     /// Encodes the id as text with an authentication tag that binds it to the workspace.
     ///
-    /// Without the tag a caller could read another workspace's answer by guessing or copying ids;
-    /// it would show as answers logged under the wrong workspace. The tag is keyed with a secret
+    /// Without the tag a caller could read another workspace's response by guessing or copying ids;
+    /// it would show as responses logged under the wrong workspace. The tag is keyed with a secret
     /// shared by the instances, so an id is valid only for the workspace that it was created for.
     pub fn seal(&self, workspace: &WorkspaceId, key: &[u8; 32]) -> String {
         let suffix = if self.last { LAST_TOKEN_SUFFIX } else { "" };
--- a/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
@@ -55,7 +55,7 @@
     /// Revision of the set of failure domains out of service.
     #[serde(rename = "o")]
     pub out: u64,
-    /// Revision of the roll-outs.
+    /// Revision of the rollouts.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub rollouts: u64,
 }
@@ -95,7 +95,7 @@
     /// The sender's load at each endpoint.
     #[serde(rename = "p")]
     pub placed: BTreeMap<EndpointId, PlacedLoad>,
-    /// Roll-outs in the sender's state.
+    /// Rollouts in the sender's state.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub rollouts: Vec<RolloutNotice>,
 }
--- a/crates/nutmeggrade-core/src/peer/fleet_message.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_message.rs
@@ -83,9 +83,9 @@
     Gone(Vec<EndpointId>),
     /// Outcomes of the sender's requests at endpoints.
     Outcomes(FleetOutcomes),
-    /// A change of a roll-out's phase.
+    /// A change of a rollout's phase.
     Rollout(RolloutNotice),
-    /// The sender's counts of a roll-out, for the instances that evaluate it.
+    /// The sender's counts of a rollout, for the instances that evaluate it.
     RolloutReport(RolloutReport),
     /// Heartbeat addresses of other instances, for a newly started instance.
     Met(Contacts),
--- a/crates/nutmeggrade-core/src/peer/suspect.rs
+++ b/crates/nutmeggrade-core/src/peer/suspect.rs
@@ -57,7 +57,7 @@
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "cleared_ms")]
     pub cleared: Option<Duration>,
-    /// Time since the request's answer completed after a crash.
+    /// Time since the request's response completed after a crash.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "whole_ms")]
     pub whole: Option<Duration>,
--- a/crates/nutmeggrade-core/src/rollout.rs
+++ b/crates/nutmeggrade-core/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs, which move a service's traffic to endpoints of another version, and back if needed.
+//! Rollouts, which move a service's traffic to endpoints of another version, and back if needed.
 
 mod latencies;
 mod notice;
--- a/crates/nutmeggrade-core/src/rollout/notice.rs
+++ b/crates/nutmeggrade-core/src/rollout/notice.rs
@@ -1,4 +1,4 @@
-//! Roll-out state shared between instances.
+//! Rollout state shared between instances.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::{RolloutOrder, RolloutPhase};
 
-/// State of a roll-out, sent with each heartbeat and immediately when it changes.
+/// State of a rollout, sent with each heartbeat and immediately when it changes.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutNotice {
@@ -17,11 +17,11 @@
     /// Revision of the stored object that the sender has read.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// Phase of the roll-out.
+    /// Phase of the rollout.
     #[serde(rename = "p")]
     pub phase: RolloutPhase,
     /// Share of the service's requests that may go to the new version for a short time; only the
-    /// instances that evaluate the roll-out grant any.
+    /// instances that evaluate the rollout grant any.
     #[serde(rename = "s")]
     pub share: f32,
     /// Time since the first instance received the order.
--- a/crates/nutmeggrade-core/src/rollout/order.rs
+++ b/crates/nutmeggrade-core/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! Roll-out orders from operators.
+//! Rollout orders from operators.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     /// Id of the order among those of the service.
     #[serde(rename = "i")]
     pub id: RolloutId,
-    /// Time within which the roll-out must be decided.
+    /// Time within which the rollout must be decided.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "d")]
     pub duration: Duration,
--- a/crates/nutmeggrade-core/src/rollout/outcomes.rs
+++ b/crates/nutmeggrade-core/src/rollout/outcomes.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the number of requests that were answered or failed.
+    /// Returns the number of requests that got a response or failed.
     pub fn count(&self) -> u32 {
         self.failures.saturating_add(self.first_response.count())
     }
--- a/crates/nutmeggrade-core/src/rollout/phase.rs
+++ b/crates/nutmeggrade-core/src/rollout/phase.rs
@@ -1,10 +1,10 @@
-//! Phases of a roll-out.
+//! Phases of a rollout.
 
 use serde::{Deserialize, Serialize};
 
-/// Phase of a roll-out.
+/// Phase of a rollout.
 ///
-/// If instances report different phases, the later one wins, so that a roll-out never goes back.
+/// If instances report different phases, the later one wins, so that a rollout never goes back.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[repr(u8)]
 #[serde(into = "u8", try_from = "u8")]
@@ -40,7 +40,7 @@
         Self::Withdrawn,
     ];
 
-    /// Returns whether the roll-out's decision is recorded in the store or its order was withdrawn.
+    /// Returns whether the rollout's decision is recorded in the store or its order was withdrawn.
     pub const fn is_over(self) -> bool {
         matches!(self, Self::Completed | Self::Reverted | Self::Withdrawn)
     }
--- a/crates/nutmeggrade-core/src/rollout/report.rs
+++ b/crates/nutmeggrade-core/src/rollout/report.rs
@@ -1,11 +1,11 @@
-//! Reports to the instances that evaluate a roll-out.
+//! Reports to the instances that evaluate a rollout.
 
 use serde::{Deserialize, Serialize};
 
 use super::{RolloutId, RolloutPhase, RolloutTally};
 use crate::id::{InstanceId, ServiceId};
 
-/// An instance's counts since its start, sent to the instances that evaluate the roll-out.
+/// An instance's counts since its start, sent to the instances that evaluate the rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutReport {
     /// The sender.
--- a/crates/nutmeggrade-core/src/rollout/state.rs
+++ b/crates/nutmeggrade-core/src/rollout/state.rs
@@ -1,9 +1,9 @@
-//! State of a roll-out shown to operators.
+//! State of a rollout shown to operators.
 
-/// State of a roll-out that operators read in the platform's store.
+/// State of a rollout that operators read in the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RolloutState {
-    /// The roll-out is not decided.
+    /// The rollout is not decided.
     InProgress,
     /// The new version serves.
     Completed,
--- a/crates/nutmeggrade-core/src/rollout/stored.rs
+++ b/crates/nutmeggrade-core/src/rollout/stored.rs
@@ -1,10 +1,10 @@
-//! Roll-outs in the platform's store.
+//! Rollouts in the platform's store.
 
 use serde::{Deserialize, Serialize};
 
 use super::{RolloutOrder, RolloutPhase, RolloutState};
 
-/// A roll-out read from the platform's store.
+/// A rollout read from the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRollout {
     /// The order.
@@ -18,7 +18,7 @@
 }
 
 impl StoredRollout {
-    /// Creates a roll-out with the state that was written for this order, if any.
+    /// Creates a rollout with the state that was written for this order, if any.
     pub const fn new(order: RolloutOrder, revision: u64, state: Option<RolloutState>) -> Self {
         let phase = match state {
             None | Some(RolloutState::InProgress) => RolloutPhase::Held,
--- a/crates/nutmeggrade-core/src/rollout/tally.rs
+++ b/crates/nutmeggrade-core/src/rollout/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of requests and outcomes during a roll-out.
+//! Counts of requests and outcomes during a rollout.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 /// Name of the entry that combines the remaining routes.
 const OTHER_ROUTES: &str = "*";
 
-/// Counts of a roll-out, of one instance or of the fleet.
+/// Counts of a rollout, of one instance or of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutTally {
     /// Number of requests for the service.
--- a/crates/nutmeggrade-core/src/routing/prompt.rs
+++ b/crates/nutmeggrade-core/src/routing/prompt.rs
@@ -18,16 +18,16 @@
     pub model: ModelId,
     /// Length of the prompt, in tokens.
     pub tokens: u64,
-    /// Maximum length of the answer, in tokens.
+    /// Maximum length of the response, in tokens.
     pub max_tokens: u64,
-    /// The client's estimate of the answer's length, in tokens; accurate only at the median.
+    /// The client's estimate of the response's length, in tokens; accurate only at the median.
     pub hint: Option<u64>,
     /// The leading parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// Returns the answer's expected length in tokens: the client's estimate, up to the maximum.
+    /// Returns the response's expected length in tokens: the client's estimate, up to the maximum.
     pub fn expected(&self) -> u64 {
         self.hint.unwrap_or(self.max_tokens).min(self.max_tokens)
     }
--- a/crates/nutmeggrade-core/src/routing/route.rs
+++ b/crates/nutmeggrade-core/src/routing/route.rs
@@ -23,11 +23,11 @@
     pub host: String,
     /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// Whether requests may be repeated and answers are streams.
+    /// Whether requests may be repeated and responses are streams.
     pub kind: RouteKind,
-    /// Maximum time from the request to the end of its answer.
+    /// Maximum time from the request to the end of its response.
     pub timeout: Duration,
-    /// Target time to the answer, or to a stream's first event.
+    /// Target time to the response, or to a stream's first event.
     pub target: Duration,
     /// Priority; 0 is the highest.
     pub priority: u8,
--- a/crates/nutmeggrade-core/src/routing/route_kind.rs
+++ b/crates/nutmeggrade-core/src/routing/route_kind.rs
@@ -1,15 +1,15 @@
 //! Kinds of routes.
 
-/// Whether a route's requests may be repeated, and whether its answers are streams.
+/// Whether a route's requests may be repeated, and whether its responses are streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// Requests may run more than once.
     Idempotent,
     /// Requests run at most once.
     NonIdempotent,
-    /// Requests run at most once; answers are event streams.
+    /// Requests run at most once; responses are event streams.
     Streaming,
-    /// Answers are event streams that can be resumed at another endpoint.
+    /// Responses are event streams that can be resumed at another endpoint.
     Resumable,
 }
 
@@ -19,7 +19,7 @@
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 
-    /// Returns whether answers are event streams.
+    /// Returns whether responses are event streams.
     pub const fn is_streaming(self) -> bool {
         matches!(self, Self::Streaming | Self::Resumable)
     }
--- a/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
@@ -44,7 +44,7 @@
 /// too long.
 ///
 /// Without it, excess requests queue at the endpoints, where urgent ones wait behind others, the
-/// largest workspace takes every slot and memory runs out in the middle of answers. Here requests
+/// largest workspace takes every slot and memory runs out in the middle of responses. Here requests
 /// are served by priority and, within a priority, fairly across workspaces.
 #[derive(Debug)]
 pub struct Dispatcher {
@@ -184,7 +184,7 @@
         self.lanes.range(first..=last).any(|(_, lane)| !lane.is_empty())
     }
 
-    /// Moves requests that can no longer be answered in time to the late lanes.
+    /// Moves requests that can no longer end in time to the late lanes.
     fn move_late(&mut self, now: Moment) {
         let mut late = Vec::new();
         for (key, lane) in self.lanes.iter_mut().filter(|(key, _)| !key.is_late) {
--- a/crates/nutmeggrade-policy/src/dispatch/failure_rate.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/failure_rate.rs
@@ -4,13 +4,13 @@
 
 use nutmeggrade_core::prelude::*;
 
-/// Time constant of the decay of an answer's weight. An endpoint that is avoided is tried again
+/// Time constant of the decay of a response's weight. An endpoint that is avoided is tried again
 /// after a few times as long without failures.
 const DECAY_TIME: Duration = Duration::from_secs(4);
-/// Failures and total answers that are assumed before any was counted.
+/// Failures and total responses that are assumed before any was counted.
 const PRIOR_COUNTS: (f64, f64) = (0.5, 10.0);
 
-/// Decaying fraction of an endpoint's answers that are failures, as counted by several instances.
+/// Decaying fraction of an endpoint's responses that are failures, as counted by several instances.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FailureRate {
     failures: f64,
@@ -19,7 +19,7 @@
 }
 
 impl FailureRate {
-    /// Records answers and how many of them are failures.
+    /// Records responses and how many of them are failures.
     pub fn add(&mut self, (failures, answers): (u32, u32), now: Moment) {
         let decay = self.decay(now);
         self.failures = self.failures * decay + f64::from(failures);
@@ -27,7 +27,7 @@
         self.updated_at = now;
     }
 
-    /// Returns the fraction of answers that are failures at present.
+    /// Returns the fraction of responses that are failures at present.
     pub fn value(&self, now: Moment) -> f64 {
         let decay = self.decay(now);
         (self.failures * decay + PRIOR_COUNTS.0) / (self.answers * decay + PRIOR_COUNTS.1)
--- a/crates/nutmeggrade-policy/src/dispatch/health.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/health.rs
@@ -1,4 +1,4 @@
-//! Health of an endpoint, judged by its answers.
+//! Health of an endpoint, judged by its responses.
 
 use std::time::Duration;
 
@@ -20,13 +20,13 @@
 /// Factor applied to the weight of earlier failures on each success.
 const SUCCESS_FACTOR: f64 = 0.7;
 
-/// Health of an endpoint as observed from its answers.
+/// Health of an endpoint as observed from its responses.
 ///
 /// An endpoint may fail or be unreachable while its registration is fine. Without this record each
 /// instance would go on sending it its share, and a fixed fraction of all requests would fail until
 /// the registry drops the entry, or permanently. An endpoint that can't be reached is paused, with
-/// the pause doubling each time. One that answers with failures only gets a worse score, since some
-/// kinds of request fail everywhere.
+/// the pause doubling each time. One that responds with failures only gets a worse score, since
+/// some kinds of request fail everywhere.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     failures: f64,
@@ -40,7 +40,7 @@
 }
 
 impl Health {
-    /// Records an answer that is not a failure.
+    /// Records a response that is not a failure.
     pub fn record_success(&mut self, now: Moment) {
         self.failures = self.recent_failures(now) * SUCCESS_FACTOR;
         self.updated_at = now;
@@ -50,7 +50,7 @@
         self.count((0, 1), now);
     }
 
-    /// Records that the endpoint answered with a failure.
+    /// Records that the endpoint responded with a failure.
     pub fn record_failure(&mut self, now: Moment) {
         self.failures = self.recent_failures(now) + 1.0;
         self.updated_at = now;
@@ -62,7 +62,7 @@
         self.record_counts((failures, answers), true, now);
     }
 
-    /// Records answers counted by this instance or a peer, and how many of them are failures.
+    /// Records responses counted by this instance or a peer, and how many of them are failures.
     /// `is_near` is true if the counting instance is in the same failure domain.
     pub fn record_counts(&mut self, counted: (u32, u32), is_near: bool, now: Moment) {
         self.total_rate.add(counted, now);
@@ -101,13 +101,14 @@
     }
 
     /// Returns whether all instances were notified recently enough that no further notice is due. A
-    /// pause alone does not imply a notice: it also follows a lost answer, which is not announced
+    /// pause alone does not imply a notice: it also follows a lost response, which is not announced
     /// to peers.
     pub fn has_recent_gone_notice(&self, now: Moment) -> bool {
         self.gone_at.is_some_and(|at| now.since(at) < GONE_NOTICE_INTERVAL)
     }
 
-    /// Returns the time of the last notice that the endpoint is gone, unless it has answered since.
+    /// Returns the time of the last notice that the endpoint is gone, unless it has responded
+    /// since.
     pub const fn gone_notice_at(&self) -> Option<Moment> {
         self.gone_at
     }
--- a/crates/nutmeggrade-policy/src/dispatch/load_table.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/load_table.rs
@@ -171,7 +171,7 @@
         &self.own_totals
     }
 
-    /// Returns the health of an endpoint, if any answer has been recorded.
+    /// Returns the health of an endpoint, if any response has been recorded.
     pub fn health(&self, endpoint: &EndpointId) -> Option<&Health> {
         self.health.get(endpoint)
     }
@@ -181,7 +181,7 @@
         self.health.entry(endpoint.clone()).or_default()
     }
 
-    /// Returns the answer counts not yet sent to peers, of endpoints with failures, and resets
+    /// Returns the response counts not yet sent to peers, of endpoints with failures, and resets
     /// them.
     pub fn take_failures(&mut self) -> BTreeMap<EndpointId, (u32, u32)> {
         let unsent = |(id, health): (&EndpointId, &mut Health)| {
--- a/crates/nutmeggrade-policy/src/dispatch/room.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/room.rs
@@ -5,7 +5,7 @@
 /// Fraction of an engine's memory that is committed to requests.
 ///
 /// Requests are counted with their final memory from their start, and most are halfway there, so
-/// that the engine itself is never full. The rest covers answers that grow beyond their clients'
+/// that the engine itself is never full. The rest covers responses that grow beyond their clients'
 /// estimates.
 const COMMITTED_MEMORY_SHARE: f64 = 0.95;
 /// Requests per slot sent to an endpoint of a plain service before further ones wait here. A short
@@ -13,7 +13,7 @@
 /// any more.
 const REQUESTS_PER_SLOT: f64 = 1.5;
 /// Prompt tokens that an engine has to read before further prompts wait here. An engine reads some
-/// ten tokens a millisecond beside its answers, so this is about a second; a prompt that waits
+/// ten tokens a millisecond beside its responses, so this is about a second; a prompt that waits
 /// longer at the engine can't move to another engine that becomes free, or when this one leaves.
 const MAX_PENDING_PROMPT_TOKENS: u64 = 8_000;
 /// Score penalty of a recent failure, as a fraction of an endpoint's capacity.
@@ -33,8 +33,8 @@
 
 /// Returns whether an endpoint has room for a request beside the load already placed there.
 ///
-/// Memory is counted by what answers will use in the end. Otherwise an engine would run out of
-/// memory in the middle of answers: it would preempt the newest and read its prompt again, the
+/// Memory is counted by what responses will use in the end. Otherwise an engine would run out of
+/// memory in the middle of responses: it would preempt the newest and read its prompt again, the
 /// client would see the stream stall, and the work would be wasted.
 pub fn fits(candidate: &Candidate, placed: &PlacedLoad, request: &DispatchRequest) -> bool {
     if candidate.cold_left == Some(0) {
--- a/crates/nutmeggrade-policy/src/engine_state.rs
+++ b/crates/nutmeggrade-policy/src/engine_state.rs
@@ -15,13 +15,13 @@
 use crate::unreported::UnreportedAdmissions;
 use crate::{Engine, GenerationRequest, Ticket};
 
-/// Part of the memory that answers may probably fill; the engine's own blocks take the rest.
+/// Part of the memory that responses may probably fill; the engine's own blocks take the rest.
 const USABLE_MEMORY_SHARE: f64 = 0.97;
-/// Part of the mean memory of an answer below which an engine counts as empty.
+/// Part of the mean memory of a response below which an engine counts as empty.
 const EMPTY_THRESHOLD: f64 = 0.1;
 /// Relative error of the memory held for peers: their counts are up to half a second old and their
-/// mix of answers differs from this instance's. Without it, out of seven instances the one with the
-/// lowest estimate would always admit the next request.
+/// mix of responses differs from this instance's. Without it, out of seven instances the one with
+/// the lowest estimate would always admit the next request.
 const PEER_MEMORY_ERROR: f64 = 0.15;
 /// Added to the score of a cold engine, so that any warm engine with room goes first.
 const COLD_PENALTY: f64 = 1.0;
@@ -31,9 +31,9 @@
 pub(crate) struct PlacementContext<'a> {
     pub request: &'a GenerationRequest,
     pub forecast: &'a Forecast,
-    /// Forecast of the memory of peers' answers, per token held.
+    /// Forecast of the memory of peers' responses, per token held.
     pub per_token: &'a Forecast,
-    /// Mean number of tokens that an answer holds.
+    /// Mean number of tokens that a response holds.
     pub mean_held: f64,
     pub settings: &'a DecisionSettings,
     pub now: Moment,
--- a/crates/nutmeggrade-policy/src/gap.rs
+++ b/crates/nutmeggrade-policy/src/gap.rs
@@ -15,10 +15,10 @@
 const REDUCTION_INTERVAL: Duration = Duration::from_millis(500);
 /// Factor applied to the limit by a reduction.
 const REDUCTION_FACTOR: f64 = 0.7;
-/// Increase of the limit by each gap while few gaps are over the target; about one answer a second
-/// on a busy engine.
+/// Increase of the limit by each gap while few gaps are over the target; about one response a
+/// second on a busy engine.
 const LIMIT_INCREMENT: f64 = 0.02;
-/// First wait before a closed engine is probed with one short answer.
+/// First wait before a closed engine is probed with one short response.
 const INITIAL_PROBE_WAIT: Duration = Duration::from_secs(3);
 /// Longest wait before a probe.
 const MAX_PROBE_WAIT: Duration = Duration::from_secs(24);
@@ -26,10 +26,10 @@
 /// AIMD concurrency limit (additive increase, multiplicative decrease) driven by gaps between
 /// tokens.
 ///
-/// An engine may become slow, or run more answers than it can decode in time. The number of
-/// requests in flight shows this only after its answers have piled up and stall; the gaps show it
-/// within a second. A limit below one closes the engine except for a probe of one short answer at a
-/// time, after increasing waits, which detects its recovery at little cost.
+/// An engine may become slow, or run more responses than it can decode in time. The number of
+/// requests in flight shows this only after its responses have piled up and stall; the gaps show it
+/// within a second. A limit below one closes the engine except for a probe of one short response at
+/// a time, after increasing waits, which detects its recovery at little cost.
 #[derive(Debug, Clone)]
 pub struct GapLimit {
     limit: f64,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Records a gap of an own stream while `running` answers were on the engine.
+    /// Records a gap of an own stream while `running` responses were on the engine.
     pub fn record_gap(&mut self, gap: Duration, target: Duration, running: u32, now: Moment) {
         let over_target = if gap > target { 1.0 } else { 0.0 };
         self.long_gaps += GAP_WEIGHT * (over_target - self.long_gaps);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns whether one more answer may start beside `running`; on a closed engine only a
+    /// Returns whether one more response may start beside `running`; on a closed engine only a
     /// `short` one, as a probe.
     pub fn allows(&self, running: u32, short: bool, own: usize, now: Moment) -> bool {
         if self.limit >= 1.0 {
--- a/crates/nutmeggrade-policy/src/generation_request.rs
+++ b/crates/nutmeggrade-policy/src/generation_request.rs
@@ -13,9 +13,9 @@
     pub ticket: Ticket,
     /// Workspace that sent it.
     pub workspace: WorkspaceId,
-    /// Task that the answer belongs to.
+    /// Task that the response belongs to.
     pub task: TaskId,
-    /// Whether the task's answers are long.
+    /// Whether the task's responses are long.
     pub is_long: bool,
     /// Requested model.
     pub model: ModelId,
@@ -25,7 +25,7 @@
     pub max_tokens: u64,
     /// Hash of the start of the prompt, for prefix affinity; 0 for none.
     pub prefix: u64,
-    /// Time after which the answer is useless to the client.
+    /// Time after which the response is useless to the client.
     pub deadline: Moment,
     /// Engines that failed this request before.
     pub avoid: BTreeSet<EndpointId>,
--- a/crates/nutmeggrade-policy/src/length.rs
+++ b/crates/nutmeggrade-policy/src/length.rs
@@ -1,4 +1,4 @@
-//! Online estimates of answer lengths, updated while answers run.
+//! Online estimates of response lengths, updated while responses run.
 
 mod estimator;
 mod hazard;
--- a/crates/nutmeggrade-policy/src/length/estimator.rs
+++ b/crates/nutmeggrade-policy/src/length/estimator.rs
@@ -1,4 +1,4 @@
-//! Remaining length of an answer, given its current length.
+//! Remaining length of a response, given its current length.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,7 +9,7 @@
 
 /// Workspaces of a task that have their own table; further ones use the pooled table.
 const MAX_WORKSPACE_TABLES: usize = 4_096;
-/// Most recently ended answers of a task that determine the pool weight of a workspace.
+/// Most recently ended responses of a task that determine the pool weight of a workspace.
 const RECENT_ANSWERS: usize = 16;
 
 #[derive(Debug, Default)]
@@ -18,14 +18,14 @@
     recent: VecDeque<WorkspaceId>,
 }
 
-/// Estimates the lengths of answers per workspace and task, online.
+/// Estimates the lengths of responses per workspace and task, online.
 ///
 /// Lengths are unknown beforehand and differ by task and client. Reserving the limit would leave
 /// four fifths of the memory empty; reserving nothing would overcommit it twofold. A workspace's
-/// own answers have priority, then those of its task in all workspaces while it has few, then a
-/// heavy-tailed prior. The more of a task's last 16 answers are from one workspace, the less each
-/// of its answers counts in the pool; otherwise two huge workspaces would dominate the estimate for
-/// all newcomers, whose longer answers would then run out of memory.
+/// own responses have priority, then those of its task in all workspaces while it has few, then a
+/// heavy-tailed prior. The more of a task's last 16 responses are from one workspace, the less each
+/// of its responses counts in the pool; otherwise two huge workspaces would dominate the estimate
+/// for all newcomers, whose longer responses would then run out of memory.
 #[derive(Debug, Default)]
 pub struct LengthEstimator {
     own: BTreeMap<TaskId, BTreeMap<WorkspaceId, Hazard>>,
@@ -38,7 +38,7 @@
         Self::default()
     }
 
-    /// Records that a running answer grew.
+    /// Records that a running response grew.
     pub fn grow(&mut self, workspace: &WorkspaceId, task: &TaskId, from: u64, to: u64) {
         if let Some(own) = self.own_table(workspace, task) {
             own.grow(from, to, 1.0);
@@ -48,7 +48,7 @@
         pool.hazard.grow(from, to, weight);
     }
 
-    /// Records that an answer ended by itself.
+    /// Records that a response ended by itself.
     pub fn end(&mut self, workspace: &WorkspaceId, task: &TaskId, length: u64) {
         if let Some(own) = self.own_table(workspace, task) {
             own.end(length, 1.0);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Returns the probabilities that an answer of length `done` continues for each of `ahead` more
-    /// tokens, which must ascend; none continues beyond `max`.
+    /// Returns the probabilities that a response of length `done` continues for each of `ahead`
+    /// more tokens, which must ascend; none continues beyond `max`.
     pub fn survival<const N: usize>(
         &self,
         workspace: &WorkspaceId,
@@ -90,7 +90,7 @@
         probabilities
     }
 
-    /// Returns the expected number of further tokens of an answer of length `done`.
+    /// Returns the expected number of further tokens of a response of length `done`.
     pub fn remaining(&self, workspace: &WorkspaceId, task: &TaskId, done: u64, max: u64) -> f64 {
         let mut survival: f64 = 1.0;
         let mut sum = 0.0;
--- a/crates/nutmeggrade-policy/src/length/hazard.rs
+++ b/crates/nutmeggrade-policy/src/length/hazard.rs
@@ -1,4 +1,4 @@
-//! Rate at which answers end, by their current length.
+//! Rate at which responses end, by their current length.
 
 /// Lower bounds of the length ranges, two per octave: lengths span three decades, and the rate of
 /// ending depends on their ratio rather than on their difference.
@@ -6,20 +6,20 @@
     0, 16, 32, 48, 64, 96, 128, 192, 256, 384, 512, 768, 1_024, 1_536, 2_048, 3_072, 4_096, 6_144,
     8_192, 12_288, 16_384, 24_576, 32_768, 49_152,
 ];
-/// Factor applied to earlier observations on each ended answer: a window of about 200 answers. A
-/// window of 50 doubles the error of the tail; one of 1,000 follows a drift only after minutes.
+/// Factor applied to earlier observations on each ended response: a window of about 200 responses.
+/// A window of 50 doubles the error of the tail; one of 1,000 follows a drift only after minutes.
 const DECAY_PER_ANSWER: f64 = 0.995;
-/// Weight of the parent's rate in each range, in answers; with two, the first observed answers soon
-/// prevail.
+/// Weight of the parent's rate in each range, in responses; with two, the first observed responses
+/// soon prevail.
 const PRIOR_ANSWERS: f64 = 2.0;
-/// Median length of the prior. Few answers end early, and the tail is heavy, so that an estimator
-/// without observations errs towards long answers.
+/// Median length of the prior. Few responses end early, and the tail is heavy, so that an estimator
+/// without observations errs towards long responses.
 const PRIOR_MEDIAN_TOKENS: f64 = 500.0;
 
-/// Ended answers and observed tokens in each range of lengths.
+/// Ended responses and observed tokens in each range of lengths.
 ///
-/// Counting the observed tokens takes running answers into account. An estimator that uses ended
-/// answers alone observes the short ones first, underestimates lengths after a drift or a start,
+/// Counting the observed tokens takes running responses into account. An estimator that uses ended
+/// responses alone observes the short ones first, underestimates lengths after a drift or a start,
 /// and admits too many requests, which the engine preempts when they grow.
 #[derive(Debug, Clone, Default)]
 pub struct Hazard {
@@ -33,7 +33,7 @@
         Self::default()
     }
 
-    /// Records that an answer grew from `from` to `to` tokens; `weight` is at most 1.
+    /// Records that a response grew from `from` to `to` tokens; `weight` is at most 1.
     pub fn grow(&mut self, from: u64, to: u64, weight: f64) {
         let mut at = from;
         while at < to {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Records that an answer ended by itself at `length`; `weight` is at most 1.
+    /// Records that a response ended by itself at `length`; `weight` is at most 1.
     pub fn end(&mut self, length: u64, weight: f64) {
         let factor = 1.0 - (1.0 - DECAY_PER_ANSWER) * weight;
         for value in self.ended.iter_mut().chain(&mut self.tokens) {
--- a/crates/nutmeggrade-policy/src/memory/forecast.rs
+++ b/crates/nutmeggrade-policy/src/memory/forecast.rs
@@ -1,4 +1,4 @@
-//! Forecast of the memory that answers will hold, as mean and variance at several distances.
+//! Forecast of the memory that responses will hold, as mean and variance at several distances.
 
 use std::ops::{AddAssign, SubAssign};
 
@@ -8,11 +8,11 @@
 
 /// Mean and variance of the memory held at each distance ahead, if nothing new is admitted.
 ///
-/// Neither the memory held at present nor that at full length of all answers shows whether one more
-/// answer fits, since most answers end before others have grown. The sums of means and variances
-/// over all answers on an engine give its probable peak; the more answers share an engine, the
-/// smaller the reserve for each. Without this forecast, engines run out of memory in the middle of
-/// answers.
+/// Neither the memory held at present nor that at full length of all responses shows whether one
+/// more response fits, since most responses end before others have grown. The sums of means and
+/// variances over all responses on an engine give its probable peak; the more responses share an
+/// engine, the smaller the reserve for each. Without this forecast, engines run out of memory in
+/// the middle of responses.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Forecast {
     /// Expected tokens held.
@@ -22,7 +22,7 @@
 }
 
 impl Forecast {
-    /// Creates the forecast of an answer that holds `held` tokens and reaches each distance with
+    /// Creates the forecast of a response that holds `held` tokens and reaches each distance with
     /// the given probability.
     pub fn new(held: u64, survival: &[f64; FORECAST_STEPS.len()]) -> Self {
         let mut forecast = Self::default();
--- a/crates/nutmeggrade-policy/src/memory/peer_usage.rs
+++ b/crates/nutmeggrade-policy/src/memory/peer_usage.rs
@@ -22,7 +22,7 @@
 
 /// Subtracts this instance's usage from a lagging load report.
 ///
-/// Reports are older than decisions. Counting this instance's answers both directly and in the
+/// Reports are older than decisions. Counting this instance's responses both directly and in the
 /// report would halve the engine's capacity; taking the report as current would miss everything
 /// admitted since. So this instance's usage at the time of the report is subtracted, and the rest
 /// is scaled by the change of the peers' counts since then.
--- a/crates/nutmeggrade-policy/src/pace.rs
+++ b/crates/nutmeggrade-policy/src/pace.rs
@@ -1,21 +1,21 @@
-//! Expected duration of answers.
+//! Expected duration of responses.
 
 use std::time::Duration;
 
-/// Time per token before any answer has ended: between that of an engine with few and with many
+/// Time per token before any response has ended: between that of an engine with few and with many
 /// generations.
 const INITIAL_TOKEN_TIME: Duration = Duration::from_millis(10);
-/// Weight of each further answer; the average covers some tens of answers.
+/// Weight of each further response; the average covers some tens of responses.
 const ANSWER_WEIGHT: f64 = 0.05;
 /// Factor applied to the expected length. A client's estimate is accurate at the median only:
-/// without a margin half of the answers would take longer.
+/// without a margin half of the responses would take longer.
 const LENGTH_MARGIN: f64 = 1.5;
 
-/// Average time per token of answers, from the request to the last token.
+/// Average time per token of responses, from the request to the last token.
 ///
-/// A stopping instance would cut a long answer that begins just before the end, with most of its
-/// work done. The pace shows at the start that the answer will not end in time, so that its client
-/// can begin at another instance at once.
+/// A stopping instance would cut a long response that begins just before the end, with most of its
+/// work done. The pace shows at the start that the response will not end in time, so that its
+/// client can begin at another instance at once.
 #[derive(Debug, Clone, Copy)]
 pub struct Pace {
     token_time: Duration,
@@ -27,7 +27,7 @@
         Self { token_time: INITIAL_TOKEN_TIME }
     }
 
-    /// Records the duration of an answer of `tokens` tokens.
+    /// Records the duration of a response of `tokens` tokens.
     pub fn ended(&mut self, tokens: u64, took: Duration) {
         if tokens == 0 {
             return;
@@ -37,7 +37,7 @@
             self.token_time.mul_f64(1.0 - ANSWER_WEIGHT) + token_time.mul_f64(ANSWER_WEIGHT);
     }
 
-    /// Returns the time within which an answer of this expected length probably ends.
+    /// Returns the time within which a response of this expected length probably ends.
     pub fn time(&self, tokens: u64) -> Duration {
         self.token_time.mul_f64(tokens as f64 * LENGTH_MARGIN)
     }
--- a/crates/nutmeggrade-policy/src/priority.rs
+++ b/crates/nutmeggrade-policy/src/priority.rs
@@ -1,17 +1,17 @@
-//! Preemption priority of answers on an engine.
+//! Preemption priority of responses on an engine.
 
 use std::time::Duration;
 
-/// Factor of the expected duration; an answer with less time left than that is likely to be late.
+/// Factor of the expected duration; a response with less time left than that is likely to be late.
 const MIN_SLACK_FACTOR: f64 = 2.0;
-/// Share of the engine's memory above which an answer is too costly to recompute.
+/// Share of the engine's memory above which a response is too costly to recompute.
 const COSTLY_MEMORY_SHARE: f64 = 0.25;
 
-/// Preemption priority of an answer, which lets the engine preempt what loses least.
+/// Preemption priority of a response, which lets the engine preempt what loses least.
 ///
 /// Memory may fill up despite admission control. Without a priority the engine would preempt the
-/// youngest answer, also a short one that needs only another second, or one that would miss its
-/// deadline. The engine preempts the lowest priority and within it the youngest answer, which is
+/// youngest response, also a short one that needs only another second, or one that would miss its
+/// deadline. The engine preempts the lowest priority and within it the youngest response, which is
 /// the cheapest to recompute.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
--- a/crates/nutmeggrade-policy/src/queue/fair_queue.rs
+++ b/crates/nutmeggrade-policy/src/queue/fair_queue.rs
@@ -7,7 +7,7 @@
 
 /// Separate lanes for short and long tasks, each fair across workspaces.
 ///
-/// A short answer takes a second and little memory; behind a hundred long ones it would wait a
+/// A short response takes a second and little memory; behind a hundred long ones it would wait a
 /// minute. In its own lane it is placed even while a long one finds no memory, and a long one
 /// without memory blocks only other long ones.
 #[derive(Debug, Default)]
--- a/crates/nutmeggrade-policy/src/rollout/evidence.rs
+++ b/crates/nutmeggrade-policy/src/rollout/evidence.rs
@@ -11,24 +11,24 @@
 const SUSPECT_PROBABILITY: f64 = 0.02;
 /// Least excess failure rate that is detected; a smaller one always counts as chance.
 const MIN_FAILURE_EXCESS: f64 = 0.04;
-/// Least excess in the fraction of answers above a duration that is detected. Two versions never
+/// Least excess in the fraction of responses above a duration that is detected. Two versions never
 /// have exactly the same load.
 const MIN_LATENCY_EXCESS: f64 = 0.15;
-/// Answers of the new version required to judge it bad.
+/// Responses of the new version required to judge it bad.
 const MIN_ANSWERS_BAD: u32 = 6;
-/// Answers of the new version required to judge it good.
+/// Responses of the new version required to judge it good.
 const MIN_ANSWERS_GOOD: u32 = 20;
-/// Answers of the new version required on each route with at least [`ROUTE_SHARE`] of the requests
-/// to judge it good.
+/// Responses of the new version required on each route with at least [`ROUTE_SHARE`] of the
+/// requests to judge it good.
 const MIN_ANSWERS_ROUTE: u32 = 6;
-/// Fraction of a service's answers from which on a route needs its own evidence.
+/// Fraction of a service's responses from which on a route needs its own evidence.
 const ROUTE_SHARE: f64 = 0.1;
 
 /// Compares a new version with the old one by outcomes from the same period.
 ///
-/// The fractions of failures and of answers above each duration are compared between the versions.
-/// This assumes nothing about the distribution of durations, and the counts of several instances
-/// can be added.
+/// The fractions of failures and of responses above each duration are compared between the
+/// versions. This assumes nothing about the distribution of durations, and the counts of several
+/// instances can be added.
 pub fn compare(tally: &RolloutTally) -> Verdict {
     let all = tally.all_routes();
     let mut worst = compare_route("*", &all);
--- a/crates/nutmeggrade-policy/src/rollout/judge.rs
+++ b/crates/nutmeggrade-policy/src/rollout/judge.rs
@@ -21,7 +21,7 @@
 const TOTAL_EXPOSURE_SHARE: f64 = 0.9;
 /// Least and greatest share of the requests that the new version gets in the canary phase.
 const CANARY_SHARE_BOUNDS: (f64, f64) = (0.01, 0.5);
-/// Answers of the new version before it gets its full share; until then it gets half.
+/// Responses of the new version before it gets its full share; until then it gets half.
 const HALF_SHARE_ANSWERS: u32 = 10;
 /// Time before the end of the order at which the switch may begin for a service without
 /// generations; its longest calls end within this time.
--- a/crates/nutmeggrade-policy/src/rollout/verdict.rs
+++ b/crates/nutmeggrade-policy/src/rollout/verdict.rs
@@ -7,7 +7,7 @@
 pub enum Regression {
     /// It fails more often than the old one.
     Fails,
-    /// It answers or begins its streams later.
+    /// It responds or begins its streams later.
     StartsLate,
     /// Its streams run slower.
     StreamsSlowly,
@@ -28,7 +28,7 @@
 pub enum Verdict {
     /// There is too little evidence.
     Unclear,
-    /// It shows no difference from the old one at the current number of answers.
+    /// It shows no difference from the old one at the current number of responses.
     Good,
     /// It may be worse.
     Suspect,
--- a/crates/nutmeggrade-policy/src/room_lottery.rs
+++ b/crates/nutmeggrade-policy/src/room_lottery.rs
@@ -11,8 +11,8 @@
 
 /// Draws which instances may use the room of an engine.
 ///
-/// When several instances see the same room for one answer in a report, each would fill it, and the
-/// engine would preempt the excess answers a second later. Where the room is less than all
+/// When several instances see the same room for one response in a report, each would fill it, and
+/// the engine would preempt the excess responses a second later. Where the room is less than all
 /// instances together would take, on average as many instances win the draw as fit. Draws depend on
 /// seed and time alone, so that a repeated call gives no second chance.
 #[derive(Debug, Clone, Copy)]
--- a/crates/nutmeggrade-policy/src/scheduler.rs
+++ b/crates/nutmeggrade-policy/src/scheduler.rs
@@ -172,7 +172,7 @@
         self.queue.len()
     }
 
-    /// Updates the length estimates from a running answer and renews its memory forecast.
+    /// Updates the length estimates from a running response and renews its memory forecast.
     fn update_forecast(&mut self, ticket: Ticket) {
         let Some(stream) = self.streams.get_mut(&ticket) else { return };
         let Stream { workspace, task, generated, max_tokens, .. } = &*stream;
--- a/crates/nutmeggrade-policy/src/scheduler/placing.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/placing.rs
@@ -53,7 +53,7 @@
         Some(Verdict::Go { endpoint, priority })
     }
 
-    /// Returns the expected duration of an answer from its start on an engine.
+    /// Returns the expected duration of a response from its start on an engine.
     pub(super) fn expected_duration(&self, request: &GenerationRequest) -> Duration {
         let GenerationRequest { workspace, task, max_tokens, .. } = request;
         let tokens = self.lengths.remaining(workspace, task, 0, *max_tokens);
--- a/crates/nutmeggrade-policy/src/scheduler/waiting.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/waiting.rs
@@ -13,7 +13,7 @@
 /// Longest retry delay; a longer one keeps clients away after the load has gone. The shortest is
 /// half of [`DEFAULT_RETRY_AFTER`]; with a shorter one all would return in one wave.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Least probability of a complete answer before the deadline for which a request is admitted.
+/// Least probability of a complete response before the deadline for which a request is admitted.
 const MIN_COMPLETION_PROBABILITY: f64 = 0.05;
 /// Interval of the search for waiting requests that can no longer finish in time.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Returns whether an answer is unlikely to complete in time even if it starts immediately.
+    /// Returns whether a response is unlikely to complete in time even if it starts immediately.
     fn is_unlikely_to_finish(&self, request: &GenerationRequest, now: Moment) -> bool {
         let seconds_left = request.deadline.since(now).as_secs_f64();
         let steps = seconds_left / self.mean_gap.as_secs_f64().max(1e-4);
--- a/crates/nutmeggrade-policy/src/slow_start.rs
+++ b/crates/nutmeggrade-policy/src/slow_start.rs
@@ -4,7 +4,8 @@
 
 use nutmeggrade_core::prelude::*;
 
-/// Initial limit of answers on an engine, over all instances; about the capacity of a cold engine.
+/// Initial limit of responses on an engine, over all instances; about the capacity of a cold
+/// engine.
 const INITIAL_LIMIT: f64 = 3.0;
 /// Doublings after which the limit ends; 3 times 2 to the 6th is a full batch.
 const DOUBLINGS: f64 = 6.0;
@@ -13,7 +14,7 @@
 ///
 /// When a whole failure domain returns, its engines are empty, and without a limit every instance
 /// would send them all its work at once. The engines would then read prompts instead of generating
-/// tokens, their new streams would stall together, and their answers would be of one age and grow
+/// tokens, their new streams would stall together, and their responses would be of one age and grow
 /// at the same time. The limit doubles once per `ramp`, which is about the time until admitted
 /// requests show in reports and heartbeats.
 #[derive(Debug, Clone, Copy, Default)]
@@ -32,7 +33,7 @@
         self.began = Some(now);
     }
 
-    /// Returns the most answers allowed on the engine; `None` once the ramp is over.
+    /// Returns the most responses allowed on the engine; `None` once the ramp is over.
     pub fn limit(&self, ramp: Duration, now: Moment) -> Option<f64> {
         let doublings = now.since(self.began?).as_secs_f64() / ramp.as_secs_f64().max(1e-3);
         if doublings >= DOUBLINGS {
--- a/crates/nutmeggrade-policy/src/stream.rs
+++ b/crates/nutmeggrade-policy/src/stream.rs
@@ -4,8 +4,8 @@
 
 use crate::memory::Forecast;
 
-/// Tokens between two updates of the length estimates and the forecast of a running answer; half of
-/// the narrowest of the wider length ranges.
+/// Tokens between two updates of the length estimates and the forecast of a running response; half
+/// of the narrowest of the wider length ranges.
 pub(crate) const UPDATE_INTERVAL_TOKENS: u64 = 32;
 
 /// A generation that this instance runs on an engine.
--- a/crates/nutmeggrade-policy/src/verdict.rs
+++ b/crates/nutmeggrade-policy/src/verdict.rs
@@ -32,7 +32,7 @@
 /// How an admitted request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The answer is complete.
+    /// The response is complete.
     Finished,
     /// The engine failed.
     Failed,
--- a/crates/nutmeggrade-policy/src/wait.rs
+++ b/crates/nutmeggrade-policy/src/wait.rs
@@ -4,8 +4,8 @@
 
 use nutmeggrade_core::prelude::*;
 
-/// Averaging time of the release rate: long enough to include some tens of answers, short enough to
-/// follow the loss of a failure domain.
+/// Averaging time of the release rate: long enough to include some tens of responses, short enough
+/// to follow the loss of a failure domain.
 const AVERAGING_TIME: Duration = Duration::from_secs(8);
 /// Fraction of the time to spare that the estimated wait may use. The rest covers the error of the
 /// expected length; without it, half of the requests at the end of the queue would start and not
--- a/crates/nutmeggrade-state/src/attempt.rs
+++ b/crates/nutmeggrade-state/src/attempt.rs
@@ -10,9 +10,9 @@
 pub enum Stage {
     /// Not at any endpoint.
     Waiting,
-    /// Sent to an endpoint that has not answered.
+    /// Sent to an endpoint that has not responded.
     Sent,
-    /// The endpoint's answer is being passed on to the client.
+    /// The endpoint's response is being passed on to the client.
     Answering,
     /// Ended; nothing more is sent.
     Ended,
@@ -64,19 +64,19 @@
         self.return_to_waiting();
     }
 
-    /// Records that another endpoint answered at this address and did not run the request. The
+    /// Records that another endpoint responded at this address and did not run the request. The
     /// intended one received nothing, so the send does not count.
     pub fn misdirected(&mut self) {
         self.not_sent();
     }
 
-    /// Records that the endpoint answered with a failure of its own.
+    /// Records that the endpoint responded with a failure of its own.
     pub fn failed(&mut self) {
         self.run = RunStatus::Ran;
         self.return_to_waiting();
     }
 
-    /// Records that the connection ended without an answer to the request, or in the middle of one
+    /// Records that the connection ended without a response to the request, or in the middle of one
     /// that was being passed on. A request that may continue elsewhere waits for an endpoint again.
     pub fn lost(&mut self) {
         if self.run == RunStatus::NotRun {
@@ -88,7 +88,7 @@
         self.return_to_waiting();
     }
 
-    /// Records that the answer is being passed on.
+    /// Records that the response is being passed on.
     pub fn answer(&mut self) {
         self.run = RunStatus::Ran;
         self.stage = Stage::Answering;
--- a/crates/nutmeggrade-state/src/claiming.rs
+++ b/crates/nutmeggrade-state/src/claiming.rs
@@ -34,7 +34,7 @@
     Conflict,
     /// Nothing was written.
     Refused,
-    /// The answer was lost; the write may have taken effect or may still do so.
+    /// The response was lost; the write may have taken effect or may still do so.
     Lost,
     /// The record as read, with its version and the state of its owner.
     Found(Box<Intent>, u64, Owner),
@@ -45,9 +45,9 @@
 /// State machine that claims a record. It does no I/O: the caller executes each step and passes in
 /// the response.
 ///
-/// The answer of a write can be lost after the write took effect, and a write can take effect long
-/// after its sender gave up on it. The record is then read back, and its nonce shows whether it
-/// belongs to this attempt. If that cannot be determined, the call is never sent.
+/// The response of a write can be lost after the write took effect, and a write can take effect
+/// long after its sender gave up on it. The record is then read back, and its nonce shows whether
+/// it belongs to this attempt. If that cannot be determined, the call is never sent.
 #[derive(Debug)]
 pub struct Claiming {
     intent: Intent,
--- a/crates/nutmeggrade-state/src/cold_rights.rs
+++ b/crates/nutmeggrade-state/src/cold_rights.rs
@@ -33,7 +33,7 @@
 /// An endpoint in cold start crashes under more than a little work, and seven instances that each
 /// send a little send too much; the symptom is an engine that crashes repeatedly as it starts. So
 /// each cold endpoint has one owner at a time, by three rules. A right is valid only while the last
-/// platform answer that showed this epoch as the newest was *requested* less than a lease ago; an
+/// platform response that showed this epoch as the newest was *requested* less than a lease ago; an
 /// instance that was frozen or partitioned detects that gap on its own clock before it sends. A new
 /// epoch takes effect only after the longest earlier lease, counted from the moment at which this
 /// instance learned of the epoch, since no earlier epoch can be confirmed after that moment. And a
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Processes the newest assignment from a platform answer requested at `asked`.
+    /// Processes the newest assignment from a platform response requested at `asked`.
     pub fn learn(&mut self, assignment: &Assignment, asked: Moment, now: Moment) {
         self.note_peer_assignment(assignment, now);
         if assignment.epoch == self.epoch() {
@@ -140,7 +140,7 @@
         self.loads.entry(endpoint.clone()).or_default().note_load(sample);
     }
 
-    /// Drops an endpoint's last load report: it did not answer, so it may have restarted cold.
+    /// Drops an endpoint's last load report: it did not respond, so it may have restarted cold.
     pub fn forget_load(&mut self, endpoint: &EndpointId) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.forget_load();
--- a/crates/nutmeggrade-state/src/delivery.rs
+++ b/crates/nutmeggrade-state/src/delivery.rs
@@ -43,7 +43,7 @@
         self
     }
 
-    /// Marks the answer as ended: the caller has its last token.
+    /// Marks the response as ended: the caller has its last token.
     pub const fn end(&mut self) {
         self.ended = true;
     }
--- a/crates/nutmeggrade-state/src/endpoint_table.rs
+++ b/crates/nutmeggrade-state/src/endpoint_table.rs
@@ -34,7 +34,7 @@
     /// Replaces the listing.
     ///
     /// The listing lags, so an endpoint seen as leaving stays so until the listing drops it or has
-    /// shown it as live for long. Otherwise an older answer would revert it, and it would get new
+    /// shown it as live for long. Otherwise an older response would revert it, and it would get new
     /// work while it shuts down.
     pub fn set_list(&mut self, list: &[Endpoint]) {
         let mut listed = BTreeMap::new();
--- a/crates/nutmeggrade-state/src/fence.rs
+++ b/crates/nutmeggrade-state/src/fence.rs
@@ -8,7 +8,7 @@
 ///
 /// An instance partitioned from the platform and from most peers keeps an old configuration in
 /// force and would send work into a failure domain that was taken out of service; the symptom is
-/// requests at that domain's engines after the change. Only two kinds of evidence count: an answer
+/// requests at that domain's engines after the change. Only two kinds of evidence count: a response
 /// of the platform about the configuration, as of the moment of the request, and contact with more
 /// than half of the instances, as of this instance's heartbeats that they echoed. During an outage
 /// of the platform all instances hear from each other and continue; a minority that is partitioned
@@ -28,7 +28,7 @@
         Self { limit, platform_contact: None, peer_contact: None }
     }
 
-    /// Records an answer of the platform to a configuration request sent at `asked`.
+    /// Records a response of the platform to a configuration request sent at `asked`.
     pub fn record_platform_contact(&mut self, asked: Moment) {
         self.platform_contact = self.platform_contact.max(Some(asked));
     }
@@ -38,7 +38,7 @@
         self.peer_contact = self.peer_contact.max(as_of);
     }
 
-    /// Returns the moment of the last answered configuration request.
+    /// Returns the moment of the last configuration request that got a response.
     pub const fn platform(&self) -> Option<Moment> {
         self.platform_contact
     }
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -30,7 +30,7 @@
 /// rank.
 const STANDBY_COUNT: usize = 6;
 /// Delay for each rank behind the standby instances before an instance takes over from readers that
-/// the store does not answer.
+/// the store does not respond.
 const TAKEOVER_STEP: Duration = Duration::from_millis(500);
 /// Silence after which a reader of the endpoints counts as gone: three missed heartbeats. This
 /// leaves its successor most of the time in which a draining endpoint may still get its last
@@ -244,7 +244,7 @@
     }
 
     /// Returns how long this instance waits before it takes over from readers that the store does
-    /// not answer.
+    /// not respond.
     ///
     /// Each instance that cannot reach the store is passed over. Without a delay, the whole fleet
     /// would call the store within seconds of an outage.
--- a/crates/nutmeggrade-state/src/fleet_view/judges.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/judges.rs
@@ -1,4 +1,4 @@
-//! Selection of the instances that judge roll-outs.
+//! Selection of the instances that judge rollouts.
 
 use std::net::SocketAddr;
 
@@ -6,11 +6,11 @@
 
 use super::{FleetView, Peer};
 
-/// Number of instances that receive the roll-out counts: the judge and its next replacements.
+/// Number of instances that receive the rollout counts: the judge and its next replacements.
 const JUDGE_COUNT: usize = 3;
 
 impl FleetView {
-    /// Returns whether this instance judges roll-outs. The judge is the first instance in reader
+    /// Returns whether this instance judges rollouts. The judge is the first instance in reader
     /// order, with or without access to the store, so that a bad version is reverted during an
     /// outage too.
     pub fn is_judge(&self, now: Moment) -> bool {
@@ -30,7 +30,7 @@
         heard * 2 > 1 + self.members(now).count()
     }
 
-    /// Lists the heartbeat addresses of the peers that judge roll-outs or are next in line.
+    /// Lists the heartbeat addresses of the peers that judge rollouts or are next in line.
     pub fn judges(&self, now: Moment) -> Vec<SocketAddr> {
         let mut ranked: Vec<_> = self
             .recently_heard(now)
--- a/crates/nutmeggrade-state/src/intent.rs
+++ b/crates/nutmeggrade-state/src/intent.rs
@@ -14,14 +14,14 @@
 pub enum Progress {
     /// Claimed; the call may have been sent.
     Started,
-    /// Finished with this answer of the endpoint.
+    /// Finished with this response of the endpoint.
     Done {
-        /// The answer.
+        /// The response.
         answer: RecordedAnswer,
     },
     /// Proved not to have run; the next attempt may take over the record.
     Released,
-    /// Sent, and its answer was lost for good.
+    /// Sent, and its response was lost for good.
     Unknown,
 }
 
@@ -35,7 +35,7 @@
 /// released instead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// Random id of the attempt; identifies the owner of the record after a lost answer.
+    /// Random id of the attempt; identifies the owner of the record after a lost response.
     pub nonce: GenerationId,
     /// The instance that claimed the record.
     pub instance: InstanceId,
@@ -68,7 +68,7 @@
     Send,
     /// Nothing was sent under the record: replace it by this attempt's own.
     TakeOver,
-    /// The call has ended: return this answer.
+    /// The call has ended: return this response.
     Answer(RecordedAnswer),
     /// Reject the request with this code.
     Refuse(Code),
--- a/crates/nutmeggrade-state/src/read_range.rs
+++ b/crates/nutmeggrade-state/src/read_range.rs
@@ -3,7 +3,7 @@
 /// Read position for one kind of object, in a store whose revision counts the changes of all kinds.
 ///
 /// A watch without changes advances the read revision of its reader alone. Updates for peers
-/// therefore start at the last change; a range that started at the last answer would look
+/// therefore start at the last change; a range that started at the last response would look
 /// incomplete to them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadRange {
@@ -18,7 +18,7 @@
         self.read_revision
     }
 
-    /// Returns the revision of the last answer that contained a change.
+    /// Returns the revision of the last response that contained a change.
     pub const fn last_change(&self) -> u64 {
         self.last_change
     }
@@ -29,8 +29,8 @@
         self.last_change.max(self.last_listing)
     }
 
-    /// Records an answer that is complete up to `read`; `last_change` is the revision of the
-    /// last change in it, 0 for none.
+    /// Records a response that is complete up to `read`; `last_change` is the revision of the last
+    /// change in it, 0 for none.
     pub fn note(&mut self, read: u64, last_change: u64) {
         self.read_revision = self.read_revision.max(read);
         self.last_change = self.last_change.max(last_change);
--- a/crates/nutmeggrade-state/src/recorded.rs
+++ b/crates/nutmeggrade-state/src/recorded.rs
@@ -1,4 +1,4 @@
-//! Stored form of an endpoint's answer.
+//! Stored form of an endpoint's response.
 
 use serde::{Deserialize, Serialize};
 use serde_with::hex::Hex;
@@ -8,11 +8,11 @@
 /// needs far less than the remainder.
 const MAX_ENCODED_BYTES: usize = 960 << 10;
 
-/// Stored form of an endpoint's answer.
+/// Stored form of an endpoint's response.
 ///
 /// In JSON, control characters and quotes take up to six bytes, and a body that is not UTF-8 takes
 /// two per byte. The platform would reject a record that is too large, and every retry would then
-/// be told that the call is still running. An answer that does not fit is therefore stored without
+/// be told that the call is still running. A response that does not fit is therefore stored without
 /// its body, so that a retry at least learns that the call ran.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
 }
 
 impl RecordedAnswer {
-    /// Creates the record of an answer, without its body if that is too large.
+    /// Creates the record of a response, without its body if that is too large.
     pub fn new(status: u16, body: &[u8]) -> Self {
         let text = std::str::from_utf8(body).ok();
         let fits = text.map_or(body.len() * 2, json_len) <= MAX_ENCODED_BYTES;
--- a/crates/nutmeggrade-state/src/registry/versions.rs
+++ b/crates/nutmeggrade-state/src/registry/versions.rs
@@ -9,14 +9,14 @@
 use super::{Registered, Registry};
 use crate::rollout::{VersionRole, VersionRule};
 
-/// Time for which a new version of a service gets no work, unless a roll-out order applies to it.
+/// Time for which a new version of a service gets no work, unless a rollout order applies to it.
 const NEW_VERSION_HOLD: Duration = Duration::from_secs(1);
 
 /// First appearance of a version: when this instance saw it, and when its endpoint started.
 type FirstSeen = (Moment, u64);
 
 impl Registry {
-    /// Replaces the version rules of all services that have a roll-out.
+    /// Replaces the version rules of all services that have a rollout.
     pub fn set_versions(&mut self, versions: BTreeMap<ServiceId, VersionRule>) {
         self.versions = versions;
     }
--- a/crates/nutmeggrade-state/src/rollout.rs
+++ b/crates/nutmeggrade-state/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of new versions, as seen by one instance.
+//! Rollouts of new versions, as seen by one instance.
 
 mod entry;
 mod last_report;
--- a/crates/nutmeggrade-state/src/rollout/entry.rs
+++ b/crates/nutmeggrade-state/src/rollout/entry.rs
@@ -1,4 +1,4 @@
-//! State of one roll-out, as seen by one instance.
+//! State of one rollout, as seen by one instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 /// Time limit for the decision if the order sets none.
 const DEFAULT_TIME_LIMIT: Duration = Duration::from_mins(1);
 
-/// State of one roll-out, as seen by one instance.
+/// State of one rollout, as seen by one instance.
 #[derive(Debug, Clone)]
 pub struct RolloutEntry {
     /// The order.
@@ -25,14 +25,14 @@
     pub revision: u64,
     /// The last phase recorded in the store.
     pub stored_phase: RolloutPhase,
-    /// Whether the store records that the roll-out has begun.
+    /// Whether the store records that the rollout has begun.
     pub is_begun: bool,
     /// Current phase.
     pub phase: RolloutPhase,
     /// Age of the order at a moment of this instance's clock, which may have started after the
     /// order.
     known_age: (Moment, Duration),
-    /// When this instance learned that the roll-out is over; `None` if it was over when first seen.
+    /// When this instance learned that the rollout is over; `None` if it was over when first seen.
     pub over_since: Option<Moment>,
     /// Counts of this instance.
     pub own_tally: RolloutTally,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Applies the stored roll-out; returns whether the phase changed.
+    /// Applies the stored rollout; returns whether the phase changed.
     pub fn apply_stored(&mut self, stored: &StoredRollout, now: Moment) -> bool {
         if stored.revision < self.revision {
             return false;
--- a/crates/nutmeggrade-state/src/rollout/peer_count.rs
+++ b/crates/nutmeggrade-state/src/rollout/peer_count.rs
@@ -1,8 +1,8 @@
-//! Counts that a peer reported for a roll-out.
+//! Counts that a peer reported for a rollout.
 
 use nutmeggrade_core::rollout::{RolloutPhase, RolloutReport, RolloutTally};
 
-/// Counts that one incarnation of a peer reported for a roll-out.
+/// Counts that one incarnation of a peer reported for a rollout.
 #[derive(Debug, Clone)]
 pub struct PeerCount {
     /// Phase in force at the peer.
--- a/crates/nutmeggrade-state/src/rollout/service_load.rs
+++ b/crates/nutmeggrade-state/src/rollout/service_load.rs
@@ -1,4 +1,4 @@
-//! Load of the endpoints of a service during a roll-out.
+//! Load of the endpoints of a service during a rollout.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::routing::EndpointInfo;
@@ -19,7 +19,7 @@
     pub is_movable: bool,
 }
 
-/// Load of the endpoints of a service during a roll-out.
+/// Load of the endpoints of a service during a rollout.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServiceLoad {
     /// Capacity and load by version.
--- a/crates/nutmeggrade-state/src/rollout/table.rs
+++ b/crates/nutmeggrade-state/src/rollout/table.rs
@@ -1,4 +1,4 @@
-//! Table of all roll-outs, as seen by one instance.
+//! Table of all rollouts, as seen by one instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use super::peer_count::PeerCount;
 use super::version_rule::VersionRule;
 
-/// Time after the end of a roll-out for which endpoints of other versions get nothing: they shut
+/// Time after the end of a rollout for which endpoints of other versions get nothing: they shut
 /// down, and their entries lapse some heartbeats later. Endpoints that register after that serve,
 /// whatever their version.
 const SHUTDOWN_PERIOD: Duration = Duration::from_secs(10);
@@ -33,7 +33,7 @@
     pub state: RolloutState,
 }
 
-/// One roll-out, as shown to operators.
+/// One rollout, as shown to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutView {
     /// The service.
@@ -54,7 +54,7 @@
     pub verdict: &'static str,
 }
 
-/// Table of all roll-outs, as seen by one instance.
+/// Table of all rollouts, as seen by one instance.
 ///
 /// The order and its outcome are in the platform's store; the progress between them is gossiped.
 /// Phases only advance, so the path and the number of deliveries do not matter. If all instances
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Returns the version rule of each service with a roll-out.
+    /// Returns the version rule of each service with a rollout.
     pub fn rules(&self, now: Moment) -> BTreeMap<ServiceId, VersionRule> {
         let has_stopped = |e: &RolloutEntry| {
             e.phase == RolloutPhase::Completed
@@ -201,13 +201,13 @@
         self.entries.get_mut(service).filter(|e| !e.phase.is_over())
     }
 
-    /// Lists the services whose roll-out is not over, with their orders.
+    /// Lists the services whose rollout is not over, with their orders.
     pub fn open(&self) -> impl Iterator<Item = (&ServiceId, &RolloutId)> {
         let open = self.entries.iter().filter(|(_, e)| !e.phase.is_over());
         open.map(|(service, e)| (service, &e.order.id))
     }
 
-    /// Returns whether a service has a roll-out that is not over.
+    /// Returns whether a service has a rollout that is not over.
     pub fn is_open(&self, service: &ServiceId) -> bool {
         self.entries.get(service).is_some_and(|e| !e.phase.is_over())
     }
@@ -277,7 +277,7 @@
         present.map(RolloutEntry::stored_rollout).collect()
     }
 
-    /// Returns the report to the judges on a service's roll-out, unless it is over. `instance` and
+    /// Returns the report to the judges on a service's rollout, unless it is over. `instance` and
     /// `incarnation` identify this instance, which has `running` requests at other versions.
     pub fn report(
         &self,
@@ -297,12 +297,12 @@
         })
     }
 
-    /// Lists all roll-outs.
+    /// Lists all rollouts.
     pub fn views(&self, now: Moment) -> Vec<RolloutView> {
         self.entries.keys().filter_map(|service| self.view(service, now)).collect()
     }
 
-    /// Returns one roll-out.
+    /// Returns one rollout.
     pub fn view(&self, service: &ServiceId, now: Moment) -> Option<RolloutView> {
         let entry = self.entries.get(service)?;
         Some(RolloutView {
--- a/crates/nutmeggrade-state/src/settling.rs
+++ b/crates/nutmeggrade-state/src/settling.rs
@@ -19,9 +19,9 @@
 /// State machine that writes the outcome of an attempt. It does no I/O: the caller executes each
 /// step and passes in the response.
 ///
-/// An outage or a lost answer just after the call would leave the record at "started", and a retry
-/// at another instance would be told that the call is still running. The write is repeated until
-/// the record contains the outcome. Only this attempt's own record is ever replaced.
+/// An outage or a lost response just after the call would leave the record at "started", and a
+/// retry at another instance would be told that the call is still running. The write is repeated
+/// until the record contains the outcome. Only this attempt's own record is ever replaced.
 #[derive(Debug)]
 pub struct Settling {
     intent: Intent,
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -135,7 +135,7 @@
     }
 
     /// Records that the first token of a request arrived, or, with `completed`, its complete
-    /// answer. Earlier crashes before a first token stop counting against the request, or with
+    /// response. Earlier crashes before a first token stop counting against the request, or with
     /// `completed` all earlier crashes.
     pub fn clear(&mut self, request: PromptHash, completed: bool, now: Moment) {
         if self.counted_crashes(request, now).is_empty() {
