--- a/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
@@ -10,7 +10,7 @@
 use super::lane_key::LaneKey;
 use super::{Candidate, DispatchRequest, LoadTable, PlacedLoad, failure_rate_penalty, fits, score};
 use crate::queue::Lane;
-use crate::wait::WaitEstimate;
+use crate::wait_estimate::WaitEstimate;
 use crate::{RetryJitter, Ticket};
 
 /// Upper bound of the random part of an endpoint's score. It keeps instances that see the same load
--- a/crates/nutmeggrade-policy/src/dispatch/failure_rate.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/failure_rate.rs
@@ -14,23 +14,23 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FailureRate {
     failures: f64,
-    answers: f64,
+    responses: f64,
     updated_at: Moment,
 }
 
 impl FailureRate {
     /// Records responses and how many of them are failures.
-    pub fn add(&mut self, (failures, answers): (u32, u32), now: Moment) {
+    pub fn add(&mut self, (failures, responses): (u32, u32), now: Moment) {
         let decay = self.decay(now);
         self.failures = self.failures * decay + f64::from(failures);
-        self.answers = self.answers * decay + f64::from(answers);
+        self.responses = self.responses * decay + f64::from(responses);
         self.updated_at = now;
     }
 
     /// Returns the fraction of responses that are failures at present.
     pub fn value(&self, now: Moment) -> f64 {
         let decay = self.decay(now);
-        (self.failures * decay + PRIOR_COUNTS.0) / (self.answers * decay + PRIOR_COUNTS.1)
+        (self.failures * decay + PRIOR_COUNTS.0) / (self.responses * decay + PRIOR_COUNTS.1)
     }
 
     fn decay(&self, now: Moment) -> f64 {
--- a/crates/nutmeggrade-policy/src/dispatch/health.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/health.rs
@@ -57,9 +57,9 @@
         self.count((1, 1), now);
     }
 
-    fn count(&mut self, (failures, answers): (u32, u32), now: Moment) {
-        self.unsent = (self.unsent.0 + failures, self.unsent.1 + answers);
-        self.record_counts((failures, answers), true, now);
+    fn count(&mut self, (failures, responses): (u32, u32), now: Moment) {
+        self.unsent = (self.unsent.0 + failures, self.unsent.1 + responses);
+        self.record_counts((failures, responses), true, now);
     }
 
     /// Records responses counted by this instance or a peer, and how many of them are failures.
--- a/crates/nutmeggrade-policy/src/engine_state.rs
+++ b/crates/nutmeggrade-policy/src/engine_state.rs
@@ -7,12 +7,12 @@
 
 use crate::cold_watch::ColdWatch;
 use crate::decision_settings::DecisionSettings;
-use crate::gap::GapLimit;
+use crate::gap_limit::GapLimit;
 use crate::memory::{Forecast, PeerUsage};
-use crate::prefill::PrefillLimit;
+use crate::prefill_limit::PrefillLimit;
 use crate::room_lottery::RoomLottery;
 use crate::slow_start::SlowStart;
-use crate::unreported::UnreportedAdmissions;
+use crate::unreported_admissions::UnreportedAdmissions;
 use crate::{Engine, GenerationRequest, Ticket};
 
 /// Part of the memory that responses may probably fill; the engine's own blocks take the rest.
--- a/crates/nutmeggrade-policy/src/length/estimator.rs
+++ b/crates/nutmeggrade-policy/src/length/estimator.rs
@@ -10,7 +10,7 @@
 /// Workspaces of a task that have their own table; further ones use the pooled table.
 const MAX_WORKSPACE_TABLES: usize = 4_096;
 /// Most recently ended responses of a task that determine the pool weight of a workspace.
-const RECENT_ANSWERS: usize = 16;
+const RECENT_RESPONSES: usize = 16;
 
 #[derive(Debug, Default)]
 struct TaskPool {
@@ -57,7 +57,7 @@
         let weight = pool_weight(pool, workspace);
         pool.hazard.end(length, weight);
         pool.recent.push_back(workspace.clone());
-        if pool.recent.len() > RECENT_ANSWERS {
+        if pool.recent.len() > RECENT_RESPONSES {
             pool.recent.pop_front();
         }
     }
--- a/crates/nutmeggrade-policy/src/length/hazard.rs
+++ b/crates/nutmeggrade-policy/src/length/hazard.rs
@@ -8,10 +8,10 @@
 ];
 /// Factor applied to earlier observations on each ended response: a window of about 200 responses.
 /// A window of 50 doubles the error of the tail; one of 1,000 follows a drift only after minutes.
-const DECAY_PER_ANSWER: f64 = 0.995;
+const DECAY_PER_RESPONSE: f64 = 0.995;
 /// Weight of the parent's rate in each range, in responses; with two, the first observed responses
 /// soon prevail.
-const PRIOR_ANSWERS: f64 = 2.0;
+const PRIOR_RESPONSES: f64 = 2.0;
 /// Median length of the prior. Few responses end early, and the tail is heavy, so that an estimator
 /// without observations errs towards long responses.
 const PRIOR_MEDIAN_TOKENS: f64 = 500.0;
@@ -46,7 +46,7 @@
 
     /// Records that a response ended by itself at `length`; `weight` is at most 1.
     pub fn end(&mut self, length: u64, weight: f64) {
-        let factor = 1.0 - (1.0 - DECAY_PER_ANSWER) * weight;
+        let factor = 1.0 - (1.0 - DECAY_PER_RESPONSE) * weight;
         for value in self.ended.iter_mut().chain(&mut self.tokens) {
             *value *= factor;
         }
@@ -56,7 +56,7 @@
     /// Returns the rate of ending per token in a range, weighted towards the parent's rate while
     /// there are few observations.
     pub(super) fn rate(&self, range: usize, parent: f64) -> f64 {
-        let prior_tokens = PRIOR_ANSWERS * width(range);
+        let prior_tokens = PRIOR_RESPONSES * width(range);
         (self.ended[range] + parent * prior_tokens) / (self.tokens[range] + prior_tokens)
     }
 }
--- a/crates/nutmeggrade-policy/src/memory.rs
+++ b/crates/nutmeggrade-policy/src/memory.rs
@@ -1,9 +1,9 @@
 //! Memory forecasts of engines.
 
-mod answer_mix;
 mod forecast;
 mod peer_usage;
+mod response_mix;
 
-pub use answer_mix::AnswerMix;
 pub use forecast::{FORECAST_STEPS, Forecast};
 pub use peer_usage::PeerUsage;
+pub use response_mix::ResponseMix;
--- a/crates/nutmeggrade-policy/src/memory/answer_mix.rs
+++ b/crates/nutmeggrade-policy/src/memory/response_mix.rs
@@ -16,13 +16,13 @@
 /// Reports show how much memory peers' responses hold, but not how far the responses are. Clients
 /// are spread over instances at random, so that the peers' mix resembles this instance's.
 #[derive(Debug, Clone, Default)]
-pub struct AnswerMix {
+pub struct ResponseMix {
     /// Sum of the forecasts of this instance's responses.
     pub sum: Forecast,
     count: usize,
 }
 
-impl AnswerMix {
+impl ResponseMix {
     /// Adds a response.
     pub fn add(&mut self, forecast: &Forecast) {
         self.sum += forecast;
--- a/crates/nutmeggrade-policy/src/pace.rs
+++ b/crates/nutmeggrade-policy/src/pace.rs
@@ -6,7 +6,7 @@
 /// generations.
 const INITIAL_TOKEN_TIME: Duration = Duration::from_millis(10);
 /// Weight of each further response; the average covers some tens of responses.
-const ANSWER_WEIGHT: f64 = 0.05;
+const RESPONSE_WEIGHT: f64 = 0.05;
 /// Factor applied to the expected length. A client's estimate is accurate at the median only:
 /// without a margin half of the responses would take longer.
 const LENGTH_MARGIN: f64 = 1.5;
@@ -34,7 +34,7 @@
         }
         let token_time = took.div_f64(tokens as f64);
         self.token_time =
-            self.token_time.mul_f64(1.0 - ANSWER_WEIGHT) + token_time.mul_f64(ANSWER_WEIGHT);
+            self.token_time.mul_f64(1.0 - RESPONSE_WEIGHT) + token_time.mul_f64(RESPONSE_WEIGHT);
     }
 
     /// Returns the time within which a response of this expected length probably ends.
--- a/crates/nutmeggrade-policy/src/rollout/evidence.rs
+++ b/crates/nutmeggrade-policy/src/rollout/evidence.rs
@@ -15,12 +15,12 @@
 /// have exactly the same load.
 const MIN_LATENCY_EXCESS: f64 = 0.15;
 /// Responses of the new version required to judge it bad.
-const MIN_ANSWERS_BAD: u32 = 6;
+const MIN_RESPONSES_BAD: u32 = 6;
 /// Responses of the new version required to judge it good.
-const MIN_ANSWERS_GOOD: u32 = 20;
+const MIN_RESPONSES_GOOD: u32 = 20;
 /// Responses of the new version required on each route with at least [`ROUTE_SHARE`] of the
 /// requests to judge it good.
-const MIN_ANSWERS_ROUTE: u32 = 6;
+const MIN_RESPONSES_ROUTE: u32 = 6;
 /// Fraction of a service's responses from which on a route needs its own evidence.
 const ROUTE_SHARE: f64 = 0.1;
 
@@ -41,12 +41,12 @@
     if worst != Verdict::Good {
         return worst;
     }
-    let answers = f64::from(all.old.count());
+    let responses = f64::from(all.old.count());
     let has_evidence = |o: &RouteOutcomes| {
-        f64::from(o.old.count()) < ROUTE_SHARE * answers || o.new.count() >= MIN_ANSWERS_ROUTE
+        f64::from(o.old.count()) < ROUTE_SHARE * responses || o.new.count() >= MIN_RESPONSES_ROUTE
     };
     let is_sufficient =
-        all.new.count() >= MIN_ANSWERS_GOOD && tally.routes.values().all(has_evidence);
+        all.new.count() >= MIN_RESPONSES_GOOD && tally.routes.values().all(has_evidence);
     if is_sufficient { Verdict::Good } else { Verdict::Unclear }
 }
 
@@ -60,7 +60,7 @@
     let lowest = probabilities.into_iter().min_by(|a, b| a.1.total_cmp(&b.1));
     match lowest {
         Some((complaint, probability))
-            if probability < BAD_PROBABILITY && new.count() >= MIN_ANSWERS_BAD =>
+            if probability < BAD_PROBABILITY && new.count() >= MIN_RESPONSES_BAD =>
         {
             Verdict::Bad { route: route.to_owned(), complaint }
         }
--- a/crates/nutmeggrade-policy/src/rollout/judge.rs
+++ b/crates/nutmeggrade-policy/src/rollout/judge.rs
@@ -22,7 +22,7 @@
 /// Least and greatest share of the requests that the new version gets in the canary phase.
 const CANARY_SHARE_BOUNDS: (f64, f64) = (0.01, 0.5);
 /// Responses of the new version before it gets its full share; until then it gets half.
-const HALF_SHARE_ANSWERS: u32 = 10;
+const HALF_SHARE_RESPONSES: u32 = 10;
 /// Time before the end of the order at which the switch may begin for a service without
 /// generations; its longest calls end within this time.
 const CALL_SWITCH_LEAD: Duration = Duration::from_millis(1_800);
@@ -212,7 +212,7 @@
         }
         let share = (allowed / (rate * time_left).max(1.0))
             .clamp(CANARY_SHARE_BOUNDS.0, CANARY_SHARE_BOUNDS.1);
-        let is_initial = inputs.tally.all_routes().new.count() < HALF_SHARE_ANSWERS;
+        let is_initial = inputs.tally.all_routes().new.count() < HALF_SHARE_RESPONSES;
         if is_initial { share / 2.0 } else { share }
     }
 
--- a/crates/nutmeggrade-policy/src/scheduler.rs
+++ b/crates/nutmeggrade-policy/src/scheduler.rs
@@ -13,11 +13,11 @@
 use crate::decision_settings::DecisionSettings;
 use crate::engine_state::EngineState;
 use crate::length::LengthEstimator;
-use crate::memory::{AnswerMix, FORECAST_STEPS, Forecast};
+use crate::memory::{FORECAST_STEPS, Forecast, ResponseMix};
 use crate::queue::FairQueue;
 use crate::router::Router;
 use crate::stream::{Stream, UPDATE_INTERVAL_TOKENS};
-use crate::wait::WaitEstimate;
+use crate::wait_estimate::WaitEstimate;
 use crate::{End, Engine, GenerationRequest, RetryJitter, Ticket, Verdict};
 
 /// Mean gap between tokens before any has been measured.
@@ -38,7 +38,7 @@
     usable: Vec<Engine>,
     streams: BTreeMap<Ticket, Stream>,
     lengths: LengthEstimator,
-    answer_mix: AnswerMix,
+    response_mix: ResponseMix,
     router: Router,
     queue: FairQueue,
     queue_limit: usize,
@@ -58,7 +58,7 @@
             usable: Vec::new(),
             streams: BTreeMap::new(),
             lengths: LengthEstimator::new(),
-            answer_mix: AnswerMix::default(),
+            response_mix: ResponseMix::default(),
             router: Router::new(seed.wrapping_add(1)),
             queue: FairQueue::new(),
             queue_limit: 0,
@@ -147,7 +147,7 @@
     pub fn end(&mut self, ticket: Ticket, end: End, now: Moment) {
         self.queue.remove(ticket);
         let Some(stream) = self.streams.remove(&ticket) else { return };
-        self.answer_mix.remove(&stream.forecast);
+        self.response_mix.remove(&stream.forecast);
         if let Some(engine) = self.engines.get_mut(&stream.endpoint) {
             engine.record_end(ticket, &stream.forecast);
             if end == End::Failed {
@@ -182,8 +182,8 @@
         let forecast = Forecast::new(stream.prompt + *generated, &survival);
         let old = std::mem::replace(&mut stream.forecast, forecast);
         stream.recorded = stream.generated;
-        self.answer_mix.remove(&old);
-        self.answer_mix.add(&forecast);
+        self.response_mix.remove(&old);
+        self.response_mix.add(&forecast);
         if let Some(engine) = self.engines.get_mut(&stream.endpoint) {
             engine.replace_forecast(&old, &forecast);
         }
--- a/crates/nutmeggrade-policy/src/scheduler/placing.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/placing.rs
@@ -26,8 +26,8 @@
         let engine = self.engines.get_mut(&endpoint)?;
         let memory_share = forecast.peak(0.0) / engine.spec.memory.max(1) as f64;
         let priority = Priority::new(request.is_long, time_left, expected, memory_share).number();
-        let per_token = self.answer_mix.per_token();
-        let mean_held = self.answer_mix.mean_held();
+        let per_token = self.response_mix.per_token();
+        let mean_held = self.response_mix.mean_held();
         let settings = &self.settings;
         engine.record_start(&PlacementContext {
             request,
@@ -37,7 +37,7 @@
             settings,
             now,
         });
-        self.answer_mix.add(&forecast);
+        self.response_mix.add(&forecast);
         let stream = Stream {
             endpoint: endpoint.clone(),
             workspace: request.workspace.clone(),
@@ -66,8 +66,8 @@
         forecast: &Forecast,
         now: Moment,
     ) -> Option<EndpointId> {
-        let per_token = self.answer_mix.per_token();
-        let mean_held = self.answer_mix.mean_held();
+        let per_token = self.response_mix.per_token();
+        let mean_held = self.response_mix.mean_held();
         let context = PlacementContext {
             request,
             forecast,
--- a/crates/nutmeggrade-policy/src/scheduler/waiting.rs
+++ b/crates/nutmeggrade-policy/src/scheduler/waiting.rs
@@ -5,7 +5,7 @@
 use nutmeggrade_core::prelude::*;
 
 use super::Scheduler;
-use crate::wait::WaitEstimate;
+use crate::wait_estimate::WaitEstimate;
 use crate::{GenerationRequest, Ticket, Verdict};
 
 /// Retry delay for a refused request while no wait estimate exists.
--- a/crates/nutmeggrade-relay/src/relay/handler.rs
+++ b/crates/nutmeggrade-relay/src/relay/handler.rs
@@ -209,7 +209,7 @@
             response.parsed.length.is_some_and(|l| l > response::MAX_BUFFERED_BYTES as u64);
         let elapsed = self.node.now().since(response.sent_at);
         if is_stream || is_large {
-            self.attempt.answer();
+            self.attempt.begin_response();
             if !is_stream {
                 self.record_outcome(&reservation.endpoint, Outcome::FirstResponse(elapsed));
             }
@@ -242,7 +242,7 @@
                 return Ok(SendStep::Retry);
             }
         } else {
-            self.attempt.answer();
+            self.attempt.begin_response();
             self.record_outcome(&reservation.endpoint, Outcome::FirstResponse(elapsed));
             self.record_send("answered", &endpoint);
             self.node.update_health(&endpoint, Health::record_success);
--- a/crates/nutmeggrade-relay/src/relay/resume.rs
+++ b/crates/nutmeggrade-relay/src/relay/resume.rs
@@ -45,7 +45,7 @@
     stream.attempt.send();
     let options = SendOptions { position: stream.splitter.position(), resume: None };
     let upstream = open(stream, &reservation, &options).await?;
-    stream.attempt.answer();
+    stream.attempt.begin_response();
     Some((upstream, reservation))
 }
 
--- a/crates/nutmeggrade-state/src/attempt.rs
+++ b/crates/nutmeggrade-state/src/attempt.rs
@@ -13,7 +13,7 @@
     /// Sent to an endpoint that has not responded.
     Sent,
     /// The endpoint's response is being passed on to the client.
-    Answering,
+    Responding,
     /// Ended; nothing more is sent.
     Ended,
 }
@@ -82,16 +82,16 @@
         if self.run == RunStatus::NotRun {
             self.run = RunStatus::Unknown;
         }
-        if self.stage == Stage::Answering {
+        if self.stage == Stage::Responding {
             self.stage = Stage::Waiting;
         }
         self.return_to_waiting();
     }
 
     /// Records that the response is being passed on.
-    pub fn answer(&mut self) {
+    pub fn begin_response(&mut self) {
         self.run = RunStatus::Ran;
-        self.stage = Stage::Answering;
+        self.stage = Stage::Responding;
     }
 
     /// Records the end of the attempt, whatever its result.
--- a/crates/nutmeggrade-state/src/intent.rs
+++ b/crates/nutmeggrade-state/src/intent.rs
@@ -3,7 +3,7 @@
 use nutmeggrade_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::recorded::RecordedAnswer;
+use crate::recorded_response::RecordedResponse;
 
 /// Prefix of the platform keys that hold intents.
 pub const INTENT_PREFIX: &str = "intents/";
@@ -17,7 +17,7 @@
     /// Finished with this response of the endpoint.
     Done {
         /// The response.
-        answer: RecordedAnswer,
+        answer: RecordedResponse,
     },
     /// Proved not to have run; the next attempt may take over the record.
     Released,
@@ -69,7 +69,7 @@
     /// Nothing was sent under the record: replace it by this attempt's own.
     TakeOver,
     /// The call has ended: return this response.
-    Answer(RecordedAnswer),
+    Answer(RecordedResponse),
     /// Reject the request with this code.
     Refuse(Code),
 }
--- a/crates/nutmeggrade-state/src/lib.rs
+++ b/crates/nutmeggrade-state/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod own_intents;
 pub mod read_range;
 pub mod recent_changes;
-pub mod recorded;
+pub mod recorded_response;
 pub mod registry;
 pub mod rollout;
 pub mod settling;
--- a/crates/nutmeggrade-state/src/recorded.rs
+++ b/crates/nutmeggrade-state/src/recorded_response.rs
@@ -16,7 +16,7 @@
 /// its body, so that a retry at least learns that the call ran.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecordedAnswer {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type, if the endpoint sent one.
@@ -29,7 +29,7 @@
     bytes: Option<Vec<u8>>,
 }
 
-impl RecordedAnswer {
+impl RecordedResponse {
     /// Creates the record of a response, without its body if that is too large.
     pub fn new(status: u16, body: &[u8]) -> Self {
         let text = std::str::from_utf8(body).ok();
--- a/crates/nutmeggrade-state/src/rollout/last_report.rs
+++ b/crates/nutmeggrade-state/src/rollout/last_report.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LastReport {
     sent_at: Moment,
-    answers: u32,
+    responses: u32,
     exposed: u32,
     running: u32,
     phase: RolloutPhase,
@@ -23,7 +23,7 @@
     pub fn new(report: &RolloutReport, now: Moment) -> Self {
         Self {
             sent_at: now,
-            answers: report.tally.all_routes().new.count(),
+            responses: report.tally.all_routes().new.count(),
             exposed: report.tally.exposed,
             running: report.running,
             phase: report.phase,
@@ -34,7 +34,7 @@
     /// too old.
     pub fn is_outdated_by(&self, newer: &Self) -> bool {
         let running_changed = newer.phase.is_switched() && newer.running != self.running;
-        (self.answers, self.exposed, self.phase) != (newer.answers, newer.exposed, newer.phase)
+        (self.responses, self.exposed, self.phase) != (newer.responses, newer.exposed, newer.phase)
             || running_changed
             || newer.sent_at.since(self.sent_at) >= MAX_REPORT_INTERVAL
     }
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -90,13 +90,13 @@
 }
 
 impl Suspects {
-    /// Creates an empty table; `beacon` is the heartbeat interval.
-    pub fn new(own_id: &InstanceId, beacon: Duration) -> Self {
+    /// Creates an empty table; `heartbeat_interval` is that of all instances.
+    pub fn new(own_id: &InstanceId, heartbeat_interval: Duration) -> Self {
         Self {
             own_id: own_id.clone(),
             // A trial that started at a peer is announced within two heartbeats; the rest allows
             // for transit.
-            gossip_delay: beacon * 2 + beacon / 2,
+            gossip_delay: heartbeat_interval * 2 + heartbeat_interval / 2,
             records: BTreeMap::new(),
             trials: BTreeMap::new(),
             peers: BTreeMap::new(),
--- a/crates/nutmeggrade/src/service/once.rs
+++ b/crates/nutmeggrade/src/service/once.rs
@@ -7,7 +7,7 @@
 use nutmeggrade_platform::Platform;
 use nutmeggrade_state::claiming::{ClaimStep, Claiming, refused_run};
 use nutmeggrade_state::intent::{Claim, Intent, Progress};
-use nutmeggrade_state::recorded::RecordedAnswer;
+use nutmeggrade_state::recorded_response::RecordedResponse;
 use nutmeggrade_state::settling::Settling;
 
 use super::records::{claim_call, settle, settle_later};
@@ -129,7 +129,7 @@
 ) -> (Progress, Result<ServiceResponse, Failure>) {
     match last_result {
         Some(AttemptResult::Answered(response)) => {
-            let recorded = RecordedAnswer::new(response.status, &response.body);
+            let recorded = RecordedResponse::new(response.status, &response.body);
             let kept = recorded.with_content(response.content_type.as_deref());
             (Progress::Done { answer: kept }, Ok(response))
         }
@@ -159,7 +159,7 @@
     Err(failure)
 }
 
-fn replay(recorded: &RecordedAnswer) -> Result<ServiceResponse, Failure> {
+fn replay(recorded: &RecordedResponse) -> Result<ServiceResponse, Failure> {
     let Some(body) = recorded.body() else {
         let detail = "an earlier attempt ran; its answer was too large to be kept";
         return Err(Failure::new(Code::AnswerNotKept, detail).with_run(RunStatus::Ran));
--- a/tests/suite/policy/cold.rs
+++ b/tests/suite/policy/cold.rs
@@ -7,7 +7,7 @@
 use nutmeggrade_policy::cold_watch::ColdWatch;
 use nutmeggrade_policy::room_lottery::RoomLottery;
 use nutmeggrade_policy::slow_start::SlowStart;
-use nutmeggrade_policy::unreported::UnreportedAdmissions;
+use nutmeggrade_policy::unreported_admissions::UnreportedAdmissions;
 use nutmeggrade_policy::{End, Engine, Ticket, Verdict};
 
 use super::{endpoint, engine, request, scheduler, warm_report};
--- a/tests/suite/policy/fairness.rs
+++ b/tests/suite/policy/fairness.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_policy::queue::{FairQueue, Lane};
-use nutmeggrade_policy::wait::WaitEstimate;
+use nutmeggrade_policy::wait_estimate::WaitEstimate;
 use nutmeggrade_policy::{GenerationRequest, Ticket, Verdict};
 
 use super::{MEMORY_TOKENS, endpoint, request, scheduler, warm_report, workspace};
--- a/tests/suite/policy/gaps.rs
+++ b/tests/suite/policy/gaps.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_policy::gap::GapLimit;
-use nutmeggrade_policy::prefill::PrefillLimit;
+use nutmeggrade_policy::gap_limit::GapLimit;
+use nutmeggrade_policy::prefill_limit::PrefillLimit;
 use nutmeggrade_policy::{Ticket, Verdict};
 
 use super::{endpoint, request, scheduler, warm_report};
--- a/tests/suite/random/attempts.rs
+++ b/tests/suite/random/attempts.rs
@@ -101,7 +101,7 @@
                 actual.runs += 1;
             }
             Step::Answer if actual.at_endpoint => {
-                attempt.answer();
+                attempt.begin_response();
                 actual.at_endpoint = false;
                 actual.responding = true;
                 actual.runs += 1;
--- a/tests/suite/random/intents.rs
+++ b/tests/suite/random/intents.rs
@@ -6,7 +6,7 @@
 use nutmeggrade_state::claiming::{ClaimStep, Claiming, StoreResponse};
 use nutmeggrade_state::intent::{Claim, Intent, Owner, Progress};
 use nutmeggrade_state::own_intents::OwnIntents;
-use nutmeggrade_state::recorded::RecordedAnswer;
+use nutmeggrade_state::recorded_response::RecordedResponse;
 use nutmeggrade_state::settling::{SettleStep, Settling};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -120,7 +120,7 @@
     delayed_writes: Vec<Write>,
     delayed_calls: Vec<usize>,
     runs: [u32; KEYS],
-    responses: BTreeMap<usize, RecordedAnswer>,
+    responses: BTreeMap<usize, RecordedResponse>,
     response_count: u8,
     nonce_count: u64,
 }
@@ -252,7 +252,7 @@
             CallOutcome::Responds => {
                 self.record_run(key);
                 self.response_count += 1;
-                let answer = RecordedAnswer::new(200, &[self.response_count]);
+                let answer = RecordedResponse::new(200, &[self.response_count]);
                 self.responses.insert(key, answer.clone());
                 Progress::Done { answer }
             }
--- a/tests/suite/state/intent.rs
+++ b/tests/suite/state/intent.rs
@@ -2,7 +2,7 @@
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::intent::{Claim, Intent, Owner, Progress};
-use nutmeggrade_state::recorded::RecordedAnswer;
+use nutmeggrade_state::recorded_response::RecordedResponse;
 use rstest::rstest;
 
 fn intent(nonce: u8, request: &str) -> Intent {
@@ -11,7 +11,7 @@
 }
 
 fn done() -> Progress {
-    Progress::Done { answer: RecordedAnswer::new(200, b"{}") }
+    Progress::Done { answer: RecordedResponse::new(200, b"{}") }
 }
 
 fn judges(existing: &Intent, owner: &Owner, claim: &Claim) {
@@ -24,7 +24,7 @@
     owner_gone: &intent(2, "a"), &Owner::Gone, &Claim::Refuse(Code::OutcomeUnknown);
     never_sent: &intent(2, "a"), &Owner::NeverSent, &Claim::TakeOver;
     ended_unrecorded: &intent(2, "a"), &Owner::Ended(done()),
-        &Claim::Answer(RecordedAnswer::new(200, b"{}"));
+        &Claim::Answer(RecordedResponse::new(200, b"{}"));
     released: &intent(2, "b").with_progress(Progress::Released), &Owner::Gone, &Claim::TakeOver;
     other_request: &intent(2, "b").with_progress(done()), &Owner::Gone,
         &Claim::Refuse(Code::KeyReused);
@@ -33,10 +33,10 @@
 });
 
 fn keeps(body: &[u8], kept: bool) {
-    let recorded = RecordedAnswer::new(200, body).with_content(Some("text/plain"));
+    let recorded = RecordedResponse::new(200, body).with_content(Some("text/plain"));
     let text = serde_json::to_string(&recorded).expect("encode");
     assert!(text.len() < 1 << 20, "{} bytes don't fit a platform value", text.len());
-    let back: RecordedAnswer = serde_json::from_str(&text).expect("decode");
+    let back: RecordedResponse = serde_json::from_str(&text).expect("decode");
     assert_eq!(back.body(), kept.then_some(body));
 }
 
@@ -54,5 +54,5 @@
 #[rstest]
 fn large_bytes_that_fit_are_kept() {
     let body = vec![0xff; 480 << 10];
-    assert_eq!(RecordedAnswer::new(200, &body).body(), Some(body.as_slice()));
+    assert_eq!(RecordedResponse::new(200, &body).body(), Some(body.as_slice()));
 }
