--- a/crates/nutmeggrade-state/src/registry/versions.rs
+++ b/crates/nutmeggrade-state/src/registry/versions.rs
@@ -59,9 +59,13 @@
     /// Returns what an endpoint may get because of its version. If a service has only endpoints of
     /// the target version, these serve it even if the version is held.
     pub fn role(&self, info: &EndpointInfo) -> VersionRole {
-        let Some(rule) = self.versions.get(&info.service) else { return VersionRole::Serving };
-        let role = rule.role(info.version.as_ref());
-        if role == VersionRole::Held && !self.has_other_version(&info.service, &rule.version) {
+        let Some(version_rule) = self.versions.get(&info.service) else {
+            return VersionRole::Serving;
+        };
+        let role = version_rule.role(info.version.as_ref());
+        if role == VersionRole::Held
+            && !self.has_other_version(&info.service, &version_rule.version)
+        {
             return VersionRole::Serving;
         }
         role
