--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -129,7 +129,7 @@
     fn look(&mut self) -> f64 {
         let began = Instant::now();
         for _ in 0..ROUNDS {
-            self.view.forget(self.now);
+            self.view.remove_silent(self.now);
             let live: Vec<&InstanceId> = self.view.live(self.now).collect();
             black_box((
                 live.len(),
--- a/crates/nutmeggrade-relay/src/rollouts/judging.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/judging.rs
@@ -37,7 +37,7 @@
                 tables.rollouts.stop_granting();
                 return;
             }
-            let open = tables.rollouts.open();
+            let open = tables.rollouts.open_rollouts();
             let open: Vec<_> = open.map(|(service, id)| (service.clone(), id.clone())).collect();
             self.0.retain(|order, _| open.contains(order));
             for order in open {
@@ -92,8 +92,9 @@
         _ => ("", String::new()),
     };
     tracing::info!(event = "rollout_decided", %service, version = %id.version,
-        phase = decision.phase.as_str(), why = decision.why, verdict = decision.verdict.as_str(), route,
-        complaint, age_ms = inputs.age.as_millis(), duration_ms = inputs.duration.as_millis(),
+        phase = decision.phase.as_str(), why = decision.why, verdict = decision.verdict.as_str(),
+        route, complaint, age_ms = inputs.age.as_millis(),
+        duration_ms = inputs.duration.as_millis(),
         requests = inputs.tally.requests, exposed = inputs.tally.exposed,
         answers = answers.new.count(), failures = answers.new.failures,
         old_answers = answers.old.count(), old_failures = answers.old.failures,
--- a/crates/nutmeggrade-relay/src/rollouts/reporting.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/reporting.rs
@@ -46,5 +46,5 @@
         let running = tables.surroundings(&map, (service, &id.version), now).own_running;
         tables.rollouts.report(service, own, running)
     };
-    tables.rollouts.open().filter_map(report).collect()
+    tables.rollouts.open_rollouts().filter_map(report).collect()
 }
--- a/crates/nutmeggrade-relay/src/ticker.rs
+++ b/crates/nutmeggrade-relay/src/ticker.rs
@@ -34,7 +34,7 @@
 fn expire_peers(node: &Node, live_before: &mut BTreeSet<InstanceId>) {
     let now = node.now();
     let mut tables = lock(&node.tables);
-    tables.fleet.forget(now);
+    tables.fleet.remove_silent(now);
     let live_now: BTreeSet<InstanceId> = tables.fleet.live(now).cloned().collect();
     for peer in live_before.difference(&live_now) {
         tracing::info!(event = "peer_silent", %peer);
@@ -51,7 +51,7 @@
 fn prune_rollouts(node: &Node) {
     let tables = &mut *lock(&node.tables);
     let registry = &tables.registry;
-    tables.rollouts.forget(|service, version| {
+    tables.rollouts.remove_withdrawn(|service, version| {
         let runs_version =
             |e: &Registered| e.info.service == *service && e.info.version.as_ref() == Some(version);
         registry.all().any(runs_version)
--- a/crates/nutmeggrade-state/src/cold_load.rs
+++ b/crates/nutmeggrade-state/src/cold_load.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns the number of this instance's generations at the endpoint.
-    pub fn own(&self) -> u32 {
+    pub fn own_count(&self) -> u32 {
         count(self.slots.values().filter(|s| s.released.is_none()))
     }
 
--- a/crates/nutmeggrade-state/src/cold_rights.rs
+++ b/crates/nutmeggrade-state/src/cold_rights.rs
@@ -59,11 +59,16 @@
         }
     }
 
-    /// Processes the newest assignment from a platform response requested at `asked`.
-    pub fn learn(&mut self, assignment: &Assignment, asked: Moment, now: Moment) {
+    /// Processes the newest assignment from a platform response, requested at `requested_at`.
+    pub fn confirm_assignment(
+        &mut self,
+        assignment: &Assignment,
+        requested_at: Moment,
+        now: Moment,
+    ) {
         self.note_peer_assignment(assignment, now);
         if assignment.epoch == self.epoch() {
-            self.confirmed = self.confirmed.max(Some(asked));
+            self.confirmed = self.confirmed.max(Some(requested_at));
         }
     }
 
@@ -156,7 +161,7 @@
     /// endpoint.
     pub fn cold_right(&self, endpoint: &EndpointId, now: Moment) -> u32 {
         let Some(since) = self.owned_since(endpoint, now) else { return 0 };
-        self.loads.get(endpoint).map_or(0, |load| load.own() + load.room(since))
+        self.loads.get(endpoint).map_or(0, |load| load.own_count() + load.room(since))
     }
 
     /// Takes a slot for one generation; this is the last check before its first byte is sent.
--- a/crates/nutmeggrade-state/src/fence.rs
+++ b/crates/nutmeggrade-state/src/fence.rs
@@ -28,9 +28,9 @@
         Self { limit, platform_contact: None, peer_contact: None }
     }
 
-    /// Records a response of the platform to a configuration request sent at `asked`.
-    pub fn record_platform_contact(&mut self, asked: Moment) {
-        self.platform_contact = self.platform_contact.max(Some(asked));
+    /// Records a response of the platform to a configuration request sent at `requested_at`.
+    pub fn record_platform_contact(&mut self, requested_at: Moment) {
+        self.platform_contact = self.platform_contact.max(Some(requested_at));
     }
 
     /// Records the moment as of which this instance was in contact with a majority.
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -193,7 +193,7 @@
     /// The seeds are kept: an instance that was partitioned from all others for longer would
     /// otherwise have no address left to send heartbeats to, would get none either, and would stay
     /// isolated for good.
-    pub fn forget(&mut self, now: Moment) {
+    pub fn remove_silent(&mut self, now: Moment) {
         let member_timeout = self.member_timeout();
         self.peers.retain(|_, peer| now.since(peer.heard) <= member_timeout);
         let seeds = &self.seeds;
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -57,7 +57,7 @@
 
     /// Adds an instance listed by the platform; returns whether it is new or has a newer
     /// incarnation.
-    pub fn learn(&mut self, entry: &InstanceEntry) -> bool {
+    pub fn add_instance(&mut self, entry: &InstanceEntry) -> bool {
         if entry.instance == self.own_entry.instance {
             return false;
         }
@@ -80,7 +80,7 @@
     }
 
     /// Removes an instance that deregistered itself from the platform.
-    pub fn forget(&mut self, instance: &InstanceId) -> Option<InstanceEntry> {
+    pub fn remove_instance(&mut self, instance: &InstanceId) -> Option<InstanceEntry> {
         self.peers.remove(instance).map(|p| p.entry)
     }
 
@@ -91,7 +91,7 @@
             return false;
         }
         if let Some(entry) = &beacon.entry {
-            self.learn(entry);
+            self.add_instance(entry);
         }
         let Some(peer) = self.peers.get_mut(&beacon.instance) else { return false };
         let same_incarnation = peer.entry.incarnation == beacon.incarnation;
@@ -147,7 +147,7 @@
     }
 
     /// Returns the number of known instances, including this one.
-    pub fn known(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         self.peers.len() + 1
     }
 
@@ -169,7 +169,7 @@
 
     /// Lists the peers that callers may be sent to: those with a recent heartbeat that are not
     /// leaving.
-    pub fn open(&self, now: Moment) -> Vec<&InstanceEntry> {
+    pub fn accepting(&self, now: Moment) -> Vec<&InstanceEntry> {
         self.recently_heard(now).filter(|p| !p.leaving).map(|p| &p.entry).collect()
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Lists the peers whose configuration in force has at least this version.
-    pub fn holders(&self, version: u64) -> Vec<InstanceEntry> {
+    pub fn peers_with_config(&self, version: u64) -> Vec<InstanceEntry> {
         let holders = self.peers.values().filter(|p| p.config_version >= version);
         holders.map(|p| p.entry.clone()).collect()
     }
--- a/crates/nutmeggrade-state/src/own_intents.rs
+++ b/crates/nutmeggrade-state/src/own_intents.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the number of unsettled attempts.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.attempts.len()
     }
 }
--- a/crates/nutmeggrade-state/src/registry/versions.rs
+++ b/crates/nutmeggrade-state/src/registry/versions.rs
@@ -59,16 +59,12 @@
     /// Returns what an endpoint may get because of its version. If a service has only endpoints of
     /// the target version, these serve it even if the version is held.
     pub fn role(&self, info: &EndpointInfo) -> VersionRole {
-        let Some(version_rule) = self.versions.get(&info.service) else {
-            return VersionRole::Serving;
-        };
-        let role = version_rule.role(info.version.as_ref());
-        if role == VersionRole::Held
-            && !self.has_other_version(&info.service, &version_rule.version)
-        {
+        let Some(rule) = self.versions.get(&info.service) else { return VersionRole::Serving };
+        let assigned = rule.role(info.version.as_ref());
+        if assigned == VersionRole::Held && !self.has_other_version(&info.service, &rule.version) {
             return VersionRole::Serving;
         }
-        role
+        assigned
     }
 
     /// Returns whether the service has a registered endpoint of another version.
--- a/crates/nutmeggrade-state/src/rollout/table.rs
+++ b/crates/nutmeggrade-state/src/rollout/table.rs
@@ -202,7 +202,7 @@
     }
 
     /// Lists the services whose rollout is not over, with their orders.
-    pub fn open(&self) -> impl Iterator<Item = (&ServiceId, &RolloutId)> {
+    pub fn open_rollouts(&self) -> impl Iterator<Item = (&ServiceId, &RolloutId)> {
         let open = self.entries.iter().filter(|(_, e)| !e.phase.is_over());
         open.map(|(service, e)| (service, &e.order.id))
     }
@@ -318,9 +318,9 @@
     }
 
     /// Removes withdrawn orders once no endpoint of their version is registered.
-    pub fn forget(&mut self, is_there: impl Fn(&ServiceId, &VersionId) -> bool) {
+    pub fn remove_withdrawn(&mut self, is_registered: impl Fn(&ServiceId, &VersionId) -> bool) {
         self.entries.retain(|service, e| {
-            e.phase != RolloutPhase::Withdrawn || is_there(service, &e.order.id.version)
+            e.phase != RolloutPhase::Withdrawn || is_registered(service, &e.order.id.version)
         });
     }
 }
--- a/crates/nutmeggrade/src/front/entries.rs
+++ b/crates/nutmeggrade/src/front/entries.rs
@@ -32,7 +32,7 @@
         |domain: &DomainId| config.as_ref().is_some_and(|c| c.out_domains.contains(domain));
     let mut available: Vec<InstanceEntry> = {
         let members = lock(&node.tables.members);
-        members.open(node.now()).into_iter().cloned().collect()
+        members.accepting(node.now()).into_iter().cloned().collect()
     };
     if node.phase() == Phase::Serving && node.check_ready().is_ok() {
         available.push(node.entry.clone());
--- a/crates/nutmeggrade/src/node.rs
+++ b/crates/nutmeggrade/src/node.rs
@@ -177,7 +177,7 @@
 
     /// Adds an instance to the members and subscribes to its heartbeats.
     pub fn add_peer(&self, entry: &InstanceEntry) {
-        let is_new = lock(&self.tables.members).learn(entry);
+        let is_new = lock(&self.tables.members).add_instance(entry);
         if is_new && let Err(error) = self.peers.subscribe(entry) {
             tracing::warn!(event = "subscribe_failed", peer = %entry.instance, %error);
         }
--- a/crates/nutmeggrade/src/server/stop.rs
+++ b/crates/nutmeggrade/src/server/stop.rs
@@ -72,11 +72,11 @@
 /// stop.
 async fn settle_calls<P: Platform>(node: &Node<P>) {
     let settled = async {
-        while lock(&node.tables.intents).open() > 0 {
+        while lock(&node.tables.intents).open_count() > 0 {
             sleep(SETTLE_POLL_INTERVAL).await;
         }
     };
     if timeout(node.settings.drain, settled).await.is_err() {
-        tracing::warn!(event = "calls_not_settled", open = lock(&node.tables.intents).open());
+        tracing::warn!(event = "calls_not_settled", open = lock(&node.tables.intents).open_count());
     }
 }
--- a/crates/nutmeggrade/src/tasks/catch_up.rs
+++ b/crates/nutmeggrade/src/tasks/catch_up.rs
@@ -52,7 +52,7 @@
             return;
         }
     }
-    let holders = lock(&node.tables.members).holders(wanted);
+    let holders = lock(&node.tables.members).peers_with_config(wanted);
     for entry in holders {
         match send_request(node, entry.admin_address, SyncTopic::Config).await {
             Ok(reply) => {
--- a/crates/nutmeggrade/src/tasks/heartbeat_receiver.rs
+++ b/crates/nutmeggrade/src/tasks/heartbeat_receiver.rs
@@ -30,7 +30,8 @@
         let mut members = lock(&node.tables.members);
         let is_new = members.receive_heartbeat(beacon, now);
         // Without an assignment, the quorum is based on all known instances.
-        let instance_count = if instance_count == 0 { members.known() } else { instance_count };
+        let instance_count =
+            if instance_count == 0 { members.instance_count() } else { instance_count };
         (is_new, members.quorum_since(instance_count))
     };
     if is_new {
--- a/crates/nutmeggrade/src/tasks/registration.rs
+++ b/crates/nutmeggrade/src/tasks/registration.rs
@@ -91,7 +91,7 @@
     let Some(entry) = entry(object) else {
         let name = object.key.trim_start_matches(PREFIX);
         if let Ok(instance) = InstanceId::new(name) {
-            lock(&node.tables.members).forget(&instance);
+            lock(&node.tables.members).remove_instance(&instance);
             peers.unsubscribe(&instance);
         }
         return;
--- a/crates/nutmeggrade/src/tasks/rights.rs
+++ b/crates/nutmeggrade/src/tasks/rights.rs
@@ -101,7 +101,7 @@
     let changed = {
         let mut rights = lock(&node.tables.rights);
         let before = rights.epoch();
-        rights.learn(assignment, requested_at, now);
+        rights.confirm_assignment(assignment, requested_at, now);
         rights.epoch() > before
     };
     if changed {
--- a/tests/suite/random/cold.rs
+++ b/tests/suite/random/cold.rs
@@ -215,7 +215,7 @@
         let node = &mut self.nodes[n];
         if let Some((requested_at, version, assignment)) = node.response.take() {
             node.version = version;
-            node.rights.learn(&assignment, requested_at, now);
+            node.rights.confirm_assignment(&assignment, requested_at, now);
         }
     }
 
--- a/tests/suite/state/cold_rights.rs
+++ b/tests/suite/state/cold_rights.rs
@@ -34,8 +34,8 @@
 /// Returns the rights of an owner since 1250 ms that confirmed its lease at 1500 ms.
 fn owner() -> ColdRights {
     let mut rights = ColdRights::new(&own_id(), 7);
-    rights.learn(&sole_owner(7), at(0), at(0));
-    rights.learn(&sole_owner(7), at(1_500), at(1_510));
+    rights.confirm_assignment(&sole_owner(7), at(0), at(0));
+    rights.confirm_assignment(&sole_owner(7), at(1_500), at(1_510));
     rights
 }
 
@@ -57,17 +57,17 @@
     rights.note_load(&engine(), sample(1_520, 0));
     assert!(!rights.take_slot(&engine(), SlotId(1), at(2_600)));
     // A response from the buffer belongs to a request from before the freeze.
-    rights.learn(&sole_owner(7), at(1_590), at(2_610));
+    rights.confirm_assignment(&sole_owner(7), at(1_590), at(2_610));
     assert_eq!(rights.owner_epoch(&engine(), at(2_610)), None);
-    rights.learn(&sole_owner(7), at(2_620), at(2_630));
+    rights.confirm_assignment(&sole_owner(7), at(2_620), at(2_630));
     assert_eq!(rights.owner_epoch(&engine(), at(2_630)), Some(1));
 }
 
 #[rstest]
 fn new_epoch_waits_for_the_old_lease() {
     let mut rights = ColdRights::new(&own_id(), 7);
-    rights.learn(&sole_owner(7), at(0), at(0));
-    rights.learn(&sole_owner(7), at(1_200), at(1_200));
+    rights.confirm_assignment(&sole_owner(7), at(0), at(0));
+    rights.confirm_assignment(&sole_owner(7), at(1_200), at(1_200));
     assert_eq!(rights.owner_epoch(&engine(), at(1_249)), None);
     assert_eq!(rights.owner_epoch(&engine(), at(1_250)), Some(1));
 }
@@ -76,7 +76,11 @@
 #[rstest]
 fn former_incarnation_owns_nothing() {
     let mut rights = owner();
-    rights.learn(&sole_owner(7).next(BTreeMap::from([(own_id(), 8)]), LEASE), at(1_600), at(1_600));
+    rights.confirm_assignment(
+        &sole_owner(7).next(BTreeMap::from([(own_id(), 8)]), LEASE),
+        at(1_600),
+        at(1_600),
+    );
     assert_eq!(rights.owner_epoch(&engine(), at(1_600)), None);
     assert_eq!(rights.owner_epoch(&engine(), at(9_000)), None);
 }
@@ -85,7 +89,7 @@
 fn owner_that_stays_waits_for_nobody() {
     let mut rights = owner();
     let more = BTreeMap::from([(own_id(), 7)]);
-    rights.learn(&sole_owner(7).next(more, LEASE), at(1_600), at(1_600));
+    rights.confirm_assignment(&sole_owner(7).next(more, LEASE), at(1_600), at(1_600));
     assert_eq!(rights.owner_epoch(&engine(), at(1_600)), Some(2));
 }
 
--- a/tests/suite/state/large_fleet.rs
+++ b/tests/suite/state/large_fleet.rs
@@ -171,6 +171,6 @@
 fn partitioned_instance_rejoins() {
     let seeds = [addresses(1).beacon, addresses(2).beacon];
     let mut view = view(0, 7, &seeds);
-    view.forget(NOW.after(Duration::from_mins(2)));
+    view.remove_silent(NOW.after(Duration::from_mins(2)));
     assert_eq!(view.targets(), seeds);
 }
--- a/tests/suite/state/membership.rs
+++ b/tests/suite/state/membership.rs
@@ -44,7 +44,7 @@
 #[rstest]
 fn known_peer_is_accepted_without_addresses() {
     let mut members = Membership::new(&entry("node-0", 1), SILENCE_TIMEOUT);
-    members.learn(&entry("node-1", 1));
+    members.add_instance(&entry("node-1", 1));
     assert!(members.receive_heartbeat(&beacon(&entry("node-1", 1), 2), NOW));
     assert_eq!(members.live(NOW).len(), 1);
 }
@@ -55,7 +55,7 @@
 #[rstest]
 fn new_incarnation_counts_once_its_addresses_arrived() {
     let mut members = Membership::new(&entry("node-0", 1), SILENCE_TIMEOUT);
-    members.learn(&entry("node-1", 1));
+    members.add_instance(&entry("node-1", 1));
     let restarted = entry("node-1", 2);
     assert!(!members.receive_heartbeat(&beacon(&restarted, 2), NOW));
     assert!(members.live(NOW).is_empty());
--- a/tests/suite/state/rollouts.rs
+++ b/tests/suite/state/rollouts.rs
@@ -213,9 +213,9 @@
     table.put(&stored(10, None), NOW);
     let notices = table.replace(&[], NOW);
     assert_eq!(notices.first().map(|n| n.phase), Some(RolloutPhase::Withdrawn));
-    table.forget(|_, _| true);
+    table.remove_withdrawn(|_, _| true);
     assert!(table.rules(NOW).contains_key(&service()));
-    table.forget(|_, _| false);
+    table.remove_withdrawn(|_, _| false);
     assert!(table.rules(NOW).is_empty());
 }
 
