--- a/crates/nutmeggrade-core/src/peer/fleet_message.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_message.rs
@@ -43,7 +43,7 @@
 /// Fingerprint of a request's content, independent of the sender.
 pub type Fingerprint = [u8; 16];
 
-/// Death of an endpoint while it ran a request.
+/// Crash of an endpoint while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointCrash {
     /// The request.
@@ -75,7 +75,7 @@
     /// Load of a sender that starts or finishes copying a generation; forwarded immediately,
     /// because instances use it to take turns in copying.
     Moving(InstanceLoad),
-    /// An endpoint died while running a request of the sender.
+    /// An endpoint crashed while running a request of the sender.
     Crashed(EndpointCrash),
     /// Endpoints that announced to the sender that they are shutting down.
     Leaving(Vec<EndpointId>),
--- a/crates/nutmeggrade-policy/src/cold_watch.rs
+++ b/crates/nutmeggrade-policy/src/cold_watch.rs
@@ -1,4 +1,4 @@
-//! Detection of engines that turn cold while their reports still say warm.
+//! Detection of engines that turn cold while their reports still show them as warm.
 
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
         now < self.suspect_until
     }
 
-    /// Returns the mean gap, or that of most engines before enough steps have been measured.
+    /// Returns the mean gap; until enough steps have been measured, the 15 ms of most engines.
     pub fn mean_gap(&self) -> Duration {
         let seconds = if self.measured_steps >= MIN_MEASURED_STEPS { self.mean_gap } else { 0.015 };
         Duration::from_secs_f64(seconds)
--- a/crates/nutmeggrade-policy/src/memory/response_mix.rs
+++ b/crates/nutmeggrade-policy/src/memory/response_mix.rs
@@ -4,7 +4,7 @@
 
 /// Weight of the assumed mix, in tokens; ten typical responses.
 const PRIOR_TOKENS: f64 = 20_000.0;
-/// Assumed mean per token held: most responses grow on and end within a thousand steps.
+/// Assumed mean per token held: most responses keep growing and end within a thousand steps.
 const PRIOR_MEAN: [f64; FORECAST_STEPS.len()] =
     [1.0, 1.02, 1.03, 1.0, 0.85, 0.55, 0.25, 0.1, 0.0, 0.0];
 /// Assumed variance per token held.
@@ -13,8 +13,8 @@
 
 /// Forecast of all responses of this instance, which also stands for those of its peers.
 ///
-/// Reports show how much memory peers' responses hold, but not how far the responses are. Clients
-/// are spread over instances at random, so that the peers' mix resembles this instance's.
+/// Reports show how much memory peers' responses hold, but not how far they have progressed.
+/// Clients are spread over instances at random, so the peers' mix resembles this instance's.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseMix {
     /// Sum of the forecasts of this instance's responses.
@@ -47,6 +47,7 @@
 
     /// Returns the mean number of tokens that a response holds.
     pub fn mean_held(&self) -> f64 {
+        // The assumed mix counts as ten responses.
         let count = self.count as f64 + 10.0;
         (self.sum.mean[0] + PRIOR_TOKENS) / count
     }
--- a/crates/nutmeggrade-state/src/attempt.rs
+++ b/crates/nutmeggrade-state/src/attempt.rs
@@ -21,9 +21,9 @@
 /// State of one client attempt, which decides what may be sent and what the client is told.
 ///
 /// A client repeats a request that must not run twice only if it is told that the request did not
-/// run. If a request that ran is reported so, or one that may have run is sent again, a plot is
-/// booked twice, and the customer is the first to notice. The execution state is derived from each
-/// send and its result in this one place, so that no other code has to decide it.
+/// run. If a request that ran is reported so, or one that may have run is sent again, its operation,
+/// such as a booking, takes effect twice. The execution state is derived from each send and its
+/// result in this one place, so that no other code has to decide it.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     kind: RouteKind,
