--- a/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_beacon.rs
@@ -7,7 +7,7 @@
 
 use crate::id::{DomainId, EndpointId, InstanceId};
 use crate::rollout::RolloutNotice;
-use crate::routing::Placed;
+use crate::routing::PlacedLoad;
 
 /// Failure domain and addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,8 @@
     #[serde(rename = "seat")]
     pub sender: InstanceAddresses,
     /// Heartbeat addresses of a few other instances that the sender heard from recently.
-    pub others: Contacts,
+    #[serde(rename = "others")]
+    pub contacts: Contacts,
 }
 
 /// Number of heartbeats after a start that all carry an introduction; five seconds' worth.
@@ -54,7 +55,7 @@
     /// Revision of the set of failure domains out of service.
     #[serde(rename = "o")]
     pub out: u64,
-    /// Revision of the roll-outs.
+    /// Revision of the rollouts.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub rollouts: u64,
 }
@@ -93,8 +94,8 @@
     pub revisions: Revisions,
     /// The sender's load at each endpoint.
     #[serde(rename = "p")]
-    pub placed: BTreeMap<EndpointId, Placed>,
-    /// Roll-outs in the sender's state.
+    pub placed: BTreeMap<EndpointId, PlacedLoad>,
+    /// Rollouts in the sender's state.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub rollouts: Vec<RolloutNotice>,
 }
--- a/crates/nutmeggrade-core/src/peer/fleet_message.rs
+++ b/crates/nutmeggrade-core/src/peer/fleet_message.rs
@@ -7,7 +7,7 @@
 use super::{Contacts, FleetBeacon};
 use crate::id::{DomainId, EndpointId, InstanceId};
 use crate::rollout::{RolloutNotice, RolloutReport};
-use crate::routing::{EndpointInfo, Placed};
+use crate::routing::{EndpointInfo, PlacedLoad};
 
 /// An endpoint's new entry, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,13 +37,13 @@
     /// The sender.
     pub instance: InstanceId,
     /// The sender's total load at each of these endpoints; zeros if it has none.
-    pub placed: BTreeMap<EndpointId, Placed>,
+    pub placed: BTreeMap<EndpointId, PlacedLoad>,
 }
 
 /// Fingerprint of a request's content, independent of the sender.
 pub type Fingerprint = [u8; 16];
 
-/// Death of an endpoint while it ran a request.
+/// Crash of an endpoint while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointCrash {
     /// The request.
@@ -75,7 +75,7 @@
     /// Load of a sender that starts or finishes copying a generation; forwarded immediately,
     /// because instances use it to take turns in copying.
     Moving(InstanceLoad),
-    /// An endpoint died while running a request of the sender.
+    /// An endpoint crashed while running a request of the sender.
     Crashed(EndpointCrash),
     /// Endpoints that announced to the sender that they are shutting down.
     Leaving(Vec<EndpointId>),
@@ -83,9 +83,9 @@
     Gone(Vec<EndpointId>),
     /// Outcomes of the sender's requests at endpoints.
     Outcomes(FleetOutcomes),
-    /// A change of a roll-out's phase.
+    /// A change of a rollout's phase.
     Rollout(RolloutNotice),
-    /// The sender's counts of a roll-out, for the instances that evaluate it.
+    /// The sender's counts of a rollout, for the instances that evaluate it.
     RolloutReport(RolloutReport),
     /// Heartbeat addresses of other instances, for a newly started instance.
     Met(Contacts),
--- a/crates/nutmeggrade-fakes/examples/decision_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/decision_cost.rs
@@ -103,7 +103,7 @@
         models: BTreeSet::from([model()]),
         memory: MEMORY_TOKENS,
         cold_right: 0,
-        sharers: 7,
+        instance_count: 7,
     };
     let engines: Vec<_> = (0..size).map(engine).collect();
     scheduler.set_engines(&engines, Moment::ZERO);
@@ -133,7 +133,7 @@
         ticket: Ticket(number),
         workspace: WorkspaceId::new(&format!("workspace-{}", number % 10)).expect("a valid id"),
         task: TaskId::new("permit-draft").expect("a valid id"),
-        long: true,
+        is_long: true,
         model: model(),
         prompt: 600,
         max_tokens: 2_048,
@@ -160,7 +160,7 @@
             meter = Meter::start();
         }
         let now = arrival_time(number, size);
-        let verdict = black_box(scheduler.ask(generation_request, now));
+        let verdict = black_box(scheduler.admit(generation_request, now));
         // The first token ends the prefill, during which the scheduler holds back the next request.
         scheduler.token(Ticket(number), now);
         if matches!(verdict, Verdict::Wait) {
@@ -181,7 +181,7 @@
     let requests: Vec<_> = (0..ROUNDS).map(generation_request).collect();
     let meter = Meter::start();
     for generation_request in &requests {
-        black_box(scheduler.ask(generation_request, Moment::ZERO));
+        black_box(scheduler.admit(generation_request, Moment::ZERO));
         scheduler.end(generation_request.ticket, End::Cancelled, Moment::ZERO);
     }
     Ok(meter.mean(ROUNDS))
@@ -190,7 +190,7 @@
 fn measure_queue_check(size: usize) -> anyhow::Result<MeanCost> {
     let mut scheduler = scheduler(size, MEMORY_TOKENS)?;
     for number in 0..256 {
-        scheduler.ask(&generation_request(number), Moment::ZERO);
+        scheduler.admit(&generation_request(number), Moment::ZERO);
     }
     anyhow::ensure!(scheduler.waiting() > 200, "the queue did not fill");
     let meter = Meter::start();
@@ -204,7 +204,7 @@
     let mut scheduler = scheduler(size, 5_000)?;
     let in_flight_target = size as u64 * GENERATIONS_PER_ENGINE;
     for number in 0..in_flight_target {
-        scheduler.ask(&generation_request(number), arrival_time(number, size));
+        scheduler.admit(&generation_request(number), arrival_time(number, size));
         scheduler.token(Ticket(number), arrival_time(number, size));
     }
     let meter = Meter::start();
--- a/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
+++ b/crates/nutmeggrade-fakes/examples/decisions/baseline.rs
@@ -152,7 +152,7 @@
         }
     }
 
-    fn ask(&mut self, request: &GenerationRequest, _now: Moment) -> Verdict {
+    fn admit(&mut self, request: &GenerationRequest, _now: Moment) -> Verdict {
         if self.queue.is_empty()
             && let Some(endpoint) = self.select_engine(request)
         {
--- a/crates/nutmeggrade-fakes/examples/fleet_cost.rs
+++ b/crates/nutmeggrade-fakes/examples/fleet_cost.rs
@@ -14,7 +14,7 @@
     open, seal,
 };
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::routing::Placed;
+use nutmeggrade_core::routing::PlacedLoad;
 use nutmeggrade_policy::dispatch::LoadTable;
 use nutmeggrade_state::fleet_view::{FleetView, HEARTBEAT_INTERVAL, RelayOrder};
 
@@ -36,21 +36,21 @@
     Ok(InstanceId::new(&format!("instance-{number}"))?)
 }
 
-fn seat(number: u32) -> anyhow::Result<InstanceAddresses> {
+fn addresses(number: u32) -> anyhow::Result<InstanceAddresses> {
     let [_, _, high, low] = number.to_be_bytes();
     let at = |port| SocketAddr::from(([10, 0, high, low], port));
     let domain = DomainId::new(&format!("domain-{}", number % DOMAINS))?;
     Ok(InstanceAddresses { domain, client: at(80), beacon: at(90), control: at(70) })
 }
 
-fn placed(number: u32) -> anyhow::Result<BTreeMap<EndpointId, Placed>> {
-    let counts = Placed { requests: 1, memory: 3_500, reading: 0, moving: 0 };
+fn placed(number: u32) -> anyhow::Result<BTreeMap<EndpointId, PlacedLoad>> {
+    let counts = PlacedLoad { requests: 1, memory: 3_500, reading: 0, moving: 0 };
     let place = |n| Ok((EndpointId::new(&format!("engine-{}", (number * 7 + n) % 97))?, counts));
     (0..ENGINES_PER_INSTANCE).map(place).collect()
 }
 
 fn beacon(number: u32, sequence: u64) -> anyhow::Result<FleetBeacon> {
-    let introduction = Introduction { sender: seat(number)?, others: Contacts::new() };
+    let introduction = Introduction { sender: addresses(number)?, contacts: Contacts::new() };
     Ok(FleetBeacon {
         instance: instance_id(number)?,
         incarnation: 1,
@@ -74,7 +74,7 @@
 
 impl InstanceView {
     fn new(size: u32) -> anyhow::Result<Self> {
-        let view = FleetView::new(&instance_id(0)?, &seat(0)?, &[]);
+        let view = FleetView::new(&instance_id(0)?, &addresses(0)?, &[]);
         let now = Moment::from_millis(60_000);
         let mut instance = Self { view, load_table: LoadTable::new(), size, now };
         for number in 1..size {
@@ -84,7 +84,7 @@
     }
 
     fn receive(&mut self, beacon: &FleetBeacon) {
-        if self.view.hear(beacon, self.now) {
+        if self.view.receive_heartbeat(beacon, self.now) {
             self.load_table.set_peer(&beacon.instance, &beacon.placed);
         }
     }
@@ -129,9 +129,13 @@
     fn check_micros(&mut self) -> f64 {
         let start = Instant::now();
         for _ in 0..ROUNDS {
-            self.view.forget(self.now);
+            self.view.remove_silent(self.now);
             let live: Vec<&InstanceId> = self.view.live(self.now).collect();
-            black_box((live.len(), self.view.sharers(self.now), self.view.is_reader(self.now)));
+            black_box((
+                live.len(),
+                self.view.instance_count(self.now),
+                self.view.is_reader(self.now),
+            ));
         }
         mean_micros(start)
     }
--- a/crates/nutmeggrade-fakes/src/driver.rs
+++ b/crates/nutmeggrade-fakes/src/driver.rs
@@ -179,7 +179,7 @@
         state.ticket = ticket;
         state.attempts += 1;
         let generation_request = arrival.to_request(Ticket(ticket), &state.avoid);
-        let verdict = self.nodes[Self::node_index(request)].ask(&generation_request, now);
+        let verdict = self.nodes[Self::node_index(request)].admit(&generation_request, now);
         self.apply_verdict(request, &verdict, now);
     }
 
--- a/crates/nutmeggrade-fakes/src/driver/arrival.rs
+++ b/crates/nutmeggrade-fakes/src/driver/arrival.rs
@@ -33,7 +33,7 @@
     /// Number of the calling workspace.
     pub workspace: usize,
     /// Whether its task class is long.
-    pub long: bool,
+    pub is_long: bool,
     /// Prompt length in tokens.
     pub prompt: u64,
     /// Id of the shared prefix.
@@ -56,12 +56,12 @@
         avoid: &BTreeSet<EndpointId>,
     ) -> GenerationRequest {
         let task = if self.huge { "draft-book" } else { "permit-draft" };
-        let task = if self.long { task } else { "district-sort" };
+        let task = if self.is_long { task } else { "district-sort" };
         GenerationRequest {
             ticket,
             workspace: workspace(self.workspace),
             task: TaskId::new(task).expect("a valid id"),
-            long: self.long,
+            is_long: self.is_long,
             model: model(),
             prompt: self.prompt,
             max_tokens: self.max_tokens,
@@ -98,28 +98,28 @@
     let highest = if is_heavy { 2 } else { WORKSPACE_COUNT };
     let workspace = rng.random_range(lowest..highest);
     let huge = shape == LoadShape::Huge && rng.random_bool(1.0 / 150.0);
-    let long = huge || rng.random_bool(0.5);
+    let is_long = huge || rng.random_bool(0.5);
     let conversation: u64 = rng.random_range(0..20);
-    let deadline = match (huge, long) {
+    let deadline = match (huge, is_long) {
         (true, _) => LONG_DEADLINE * 6,
         (_, true) => LONG_DEADLINE,
         _ => SHORT_DEADLINE,
     };
-    let max_tokens = match (huge, long) {
+    let max_tokens = match (huge, is_long) {
         (true, _) => MAX_HUGE_TOKENS,
         (_, true) => MAX_LONG_TOKENS,
         _ => MAX_SHORT_TOKENS,
     };
-    let output = match (huge, long) {
+    let output = match (huge, is_long) {
         (true, _) => rng.random_range(10_000..MAX_HUGE_TOKENS),
         (_, true) => lognormal(rng, 500.0, 0.9).clamp(16, MAX_LONG_TOKENS),
         _ => rng.random_range(8..MAX_SHORT_TOKENS),
     };
-    let prompt = if long { rng.random_range(300..1_200) } else { rng.random_range(260..500) };
+    let prompt = if is_long { rng.random_range(300..1_200) } else { rng.random_range(260..500) };
     Arrival {
         at,
         workspace,
-        long,
+        is_long,
         prompt,
         prefix: 1 + workspace as u64 * 20 + conversation,
         prefix_len: PREFIX_TOKENS,
--- a/crates/nutmeggrade-fakes/src/driver/figures.rs
+++ b/crates/nutmeggrade-fakes/src/driver/figures.rs
@@ -88,8 +88,8 @@
         let share_where =
             |f: fn(&Outcome) -> bool| share_of(outcomes.iter().filter(|o| f(o)).count());
         let pairs = || outcomes.iter().zip(&pattern.arrivals);
-        let long_count = pairs().filter(|(_, a)| a.long).count();
-        let whole_long = pairs().filter(|(o, a)| a.long && o.whole).count();
+        let long_count = pairs().filter(|(_, a)| a.is_long).count();
+        let whole_long = pairs().filter(|(o, a)| a.is_long && o.whole).count();
         let mut stall_times: Vec<f64> =
             outcomes.iter().filter(|o| o.started()).map(Outcome::stall).collect();
         let mut first_token_times: Vec<f64> =
--- a/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
@@ -136,7 +136,7 @@
             late_requests: self.late_requests,
             interrupted: self.interrupted,
             late_writes: u32::try_from(later_writes).unwrap_or(u32::MAX),
-            exposure_bound: self.plan.bound.of(f64::from(self.requests)),
+            exposure_bound: self.plan.bound.max_exposed(f64::from(self.requests)),
             is_bad: self.plan.flaw != Flaw::None,
             deadline: self.plan.duration,
         }
--- a/crates/nutmeggrade-policy/src/dispatch/health.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/health.rs
@@ -1,4 +1,4 @@
-//! Health of an endpoint, judged by its answers.
+//! Health of an endpoint, judged by its responses.
 
 use std::time::Duration;
 
@@ -20,13 +20,13 @@
 /// Factor applied to the weight of earlier failures on each success.
 const SUCCESS_FACTOR: f64 = 0.7;
 
-/// Health of an endpoint as observed from its answers.
+/// Health of an endpoint as observed from its responses.
 ///
 /// An endpoint may fail or be unreachable while its registration is fine. Without this record each
 /// instance would go on sending it its share, and a fixed fraction of all requests would fail until
 /// the registry drops the entry, or permanently. An endpoint that can't be reached is paused, with
-/// the pause doubling each time. One that answers with failures only gets a worse score, since some
-/// kinds of request fail everywhere.
+/// the pause doubling each time. One that responds with failures only gets a worse score, since
+/// some kinds of request fail everywhere.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     failures: f64,
@@ -40,8 +40,8 @@
 }
 
 impl Health {
-    /// Records an answer that is not a failure.
-    pub fn succeeded(&mut self, now: Moment) {
+    /// Records a response that is not a failure.
+    pub fn record_success(&mut self, now: Moment) {
         self.failures = self.recent_failures(now) * SUCCESS_FACTOR;
         self.updated_at = now;
         self.losses = 0;
@@ -50,19 +50,19 @@
         self.count((0, 1), now);
     }
 
-    /// Records that the endpoint answered with a failure.
-    pub fn failed(&mut self, now: Moment) {
+    /// Records that the endpoint responded with a failure.
+    pub fn record_failure(&mut self, now: Moment) {
         self.failures = self.recent_failures(now) + 1.0;
         self.updated_at = now;
         self.count((1, 1), now);
     }
 
-    fn count(&mut self, (failures, answers): (u32, u32), now: Moment) {
-        self.unsent = (self.unsent.0 + failures, self.unsent.1 + answers);
-        self.record_counts((failures, answers), true, now);
+    fn count(&mut self, (failures, responses): (u32, u32), now: Moment) {
+        self.unsent = (self.unsent.0 + failures, self.unsent.1 + responses);
+        self.record_counts((failures, responses), true, now);
     }
 
-    /// Records answers counted by this instance or a peer, and how many of them are failures.
+    /// Records responses counted by this instance or a peer, and how many of them are failures.
     /// `is_near` is true if the counting instance is in the same failure domain.
     pub fn record_counts(&mut self, counted: (u32, u32), is_near: bool, now: Moment) {
         self.total_rate.add(counted, now);
@@ -84,8 +84,8 @@
 
     /// Records that the endpoint could not be reached, stopped responding or closed the connection
     /// early.
-    pub fn lost(&mut self, now: Moment) {
-        self.failed(now);
+    pub fn record_loss(&mut self, now: Moment) {
+        self.record_failure(now);
         let pause = INITIAL_PAUSE.saturating_mul(1 << self.losses.min(3));
         self.losses += 1;
         self.paused_until = Some(now.after(pause.min(MAX_PAUSE)));
@@ -94,20 +94,21 @@
     /// Records that all instances are notified, by this one or another, that nothing listens at the
     /// endpoint's address. The pause is short and does not double, since the endpoint may have
     /// restarted.
-    pub fn gone(&mut self, now: Moment) {
+    pub fn record_gone_notice(&mut self, now: Moment) {
         self.gone_at = Some(now);
         let until = now.after(INITIAL_PAUSE);
         self.paused_until = Some(self.paused_until.map_or(until, |old| old.max(until)));
     }
 
     /// Returns whether all instances were notified recently enough that no further notice is due. A
-    /// pause alone does not imply a notice: it also follows a lost answer, which is not announced
+    /// pause alone does not imply a notice: it also follows a lost response, which is not announced
     /// to peers.
     pub fn has_recent_gone_notice(&self, now: Moment) -> bool {
         self.gone_at.is_some_and(|at| now.since(at) < GONE_NOTICE_INTERVAL)
     }
 
-    /// Returns the time of the last notice that the endpoint is gone, unless it has answered since.
+    /// Returns the time of the last notice that the endpoint is gone, unless it has responded
+    /// since.
     pub const fn gone_notice_at(&self) -> Option<Moment> {
         self.gone_at
     }
--- a/crates/nutmeggrade-policy/src/engine_state.rs
+++ b/crates/nutmeggrade-policy/src/engine_state.rs
@@ -7,21 +7,21 @@
 
 use crate::cold_watch::ColdWatch;
 use crate::decision_settings::DecisionSettings;
-use crate::gap::GapLimit;
+use crate::gap_limit::GapLimit;
 use crate::memory::{Forecast, PeerUsage};
-use crate::prefill::PrefillLimit;
+use crate::prefill_limit::PrefillLimit;
 use crate::room_lottery::RoomLottery;
 use crate::slow_start::SlowStart;
-use crate::unreported::UnreportedAdmissions;
+use crate::unreported_admissions::UnreportedAdmissions;
 use crate::{Engine, GenerationRequest, Ticket};
 
-/// Part of the memory that answers may probably fill; the engine's own blocks take the rest.
+/// Part of the memory that responses may probably fill; the engine's own blocks take the rest.
 const USABLE_MEMORY_SHARE: f64 = 0.97;
-/// Part of the mean memory of an answer below which an engine counts as empty.
+/// Part of the mean memory of a response below which an engine counts as empty.
 const EMPTY_THRESHOLD: f64 = 0.1;
 /// Relative error of the memory held for peers: their counts are up to half a second old and their
-/// mix of answers differs from this instance's. Without it, out of seven instances the one with the
-/// lowest estimate would always admit the next request.
+/// mix of responses differs from this instance's. Without it, out of seven instances the one with
+/// the lowest estimate would always admit the next request.
 const PEER_MEMORY_ERROR: f64 = 0.15;
 /// Added to the score of a cold engine, so that any warm engine with room goes first.
 const COLD_PENALTY: f64 = 1.0;
@@ -31,9 +31,9 @@
 pub(crate) struct PlacementContext<'a> {
     pub request: &'a GenerationRequest,
     pub forecast: &'a Forecast,
-    /// Forecast of the memory of peers' answers, per token held.
+    /// Forecast of the memory of peers' responses, per token held.
     pub per_token: &'a Forecast,
-    /// Mean number of tokens that an answer holds.
+    /// Mean number of tokens that a response holds.
     pub mean_held: f64,
     pub settings: &'a DecisionSettings,
     pub now: Moment,
@@ -127,7 +127,7 @@
         if ramp_limit.is_some_and(|limit| f64::from(running) >= limit) {
             return None;
         }
-        let is_short = !context.request.long;
+        let is_short = !context.request.is_long;
         let is_allowed =
             self.gap_limit.allows(running, is_short, self.own_requests as usize, context.now)
                 && self.prefill.allows(context.request.prompt, context.settings.prefill_limit);
@@ -142,7 +142,7 @@
         let needed = context.forecast.peak(0.0) / self.spec.memory.max(1) as f64;
         let free = USABLE_MEMORY_SHARE - load + needed;
         load <= USABLE_MEMORY_SHARE
-            && self.lottery.win(free, needed, self.spec.sharers, context.now)
+            && self.lottery.win(free, needed, self.spec.instance_count, context.now)
     }
 
     /// Records a request sent to this engine.
@@ -215,7 +215,7 @@
     }
 
     fn peer_instances(&self) -> f64 {
-        f64::from(self.spec.sharers.saturating_sub(1))
+        f64::from(self.spec.instance_count.saturating_sub(1))
     }
 
     #[expect(
--- a/crates/nutmeggrade-policy/src/rollout/evidence.rs
+++ b/crates/nutmeggrade-policy/src/rollout/evidence.rs
@@ -11,24 +11,24 @@
 const SUSPECT_PROBABILITY: f64 = 0.02;
 /// Least excess failure rate that is detected; a smaller one always counts as chance.
 const MIN_FAILURE_EXCESS: f64 = 0.04;
-/// Least excess in the fraction of answers above a duration that is detected. Two versions never
+/// Least excess in the fraction of responses above a duration that is detected. Two versions never
 /// have exactly the same load.
 const MIN_LATENCY_EXCESS: f64 = 0.15;
-/// Answers of the new version required to judge it bad.
-const MIN_ANSWERS_BAD: u32 = 6;
-/// Answers of the new version required to judge it good.
-const MIN_ANSWERS_GOOD: u32 = 20;
-/// Answers of the new version required on each route with at least [`ROUTE_SHARE`] of the requests
-/// to judge it good.
-const MIN_ANSWERS_ROUTE: u32 = 6;
-/// Fraction of a service's answers from which on a route needs its own evidence.
+/// Responses of the new version required to judge it bad.
+const MIN_RESPONSES_BAD: u32 = 6;
+/// Responses of the new version required to judge it good.
+const MIN_RESPONSES_GOOD: u32 = 20;
+/// Responses of the new version required on each route with at least [`ROUTE_SHARE`] of the
+/// requests to judge it good.
+const MIN_RESPONSES_ROUTE: u32 = 6;
+/// Fraction of a service's responses from which on a route needs its own evidence.
 const ROUTE_SHARE: f64 = 0.1;
 
 /// Compares a new version with the old one by outcomes from the same period.
 ///
-/// The fractions of failures and of answers above each duration are compared between the versions.
-/// This assumes nothing about the distribution of durations, and the counts of several instances
-/// can be added.
+/// The fractions of failures and of responses above each duration are compared between the
+/// versions. This assumes nothing about the distribution of durations, and the counts of several
+/// instances can be added.
 pub fn compare(tally: &RolloutTally) -> Verdict {
     let all = tally.all_routes();
     let mut worst = compare_route("*", &all);
@@ -41,12 +41,12 @@
     if worst != Verdict::Good {
         return worst;
     }
-    let answers = f64::from(all.old.count());
+    let responses = f64::from(all.old.count());
     let has_evidence = |o: &RouteOutcomes| {
-        f64::from(o.old.count()) < ROUTE_SHARE * answers || o.new.count() >= MIN_ANSWERS_ROUTE
+        f64::from(o.old.count()) < ROUTE_SHARE * responses || o.new.count() >= MIN_RESPONSES_ROUTE
     };
     let is_sufficient =
-        all.new.count() >= MIN_ANSWERS_GOOD && tally.routes.values().all(has_evidence);
+        all.new.count() >= MIN_RESPONSES_GOOD && tally.routes.values().all(has_evidence);
     if is_sufficient { Verdict::Good } else { Verdict::Unclear }
 }
 
@@ -60,7 +60,7 @@
     let lowest = probabilities.into_iter().min_by(|a, b| a.1.total_cmp(&b.1));
     match lowest {
         Some((complaint, probability))
-            if probability < BAD_PROBABILITY && new.count() >= MIN_ANSWERS_BAD =>
+            if probability < BAD_PROBABILITY && new.count() >= MIN_RESPONSES_BAD =>
         {
             Verdict::Bad { route: route.to_owned(), complaint }
         }
--- a/crates/nutmeggrade-policy/src/room_lottery.rs
+++ b/crates/nutmeggrade-policy/src/room_lottery.rs
@@ -11,8 +11,8 @@
 
 /// Draws which instances may use the room of an engine.
 ///
-/// When several instances see the same room for one answer in a report, each would fill it, and the
-/// engine would preempt the excess answers a second later. Where the room is less than all
+/// When several instances see the same room for one response in a report, each would fill it, and
+/// the engine would preempt the excess responses a second later. Where the room is less than all
 /// instances together would take, on average as many instances win the draw as fit. Draws depend on
 /// seed and time alone, so that a repeated call gives no second chance.
 #[derive(Debug, Clone, Copy)]
@@ -26,15 +26,16 @@
         Self { seed: mix_bits(seed) ^ hash_bytes(endpoint.as_str().as_bytes()) }
     }
 
-    /// Returns whether this instance may use the room, if each of `sharers` needs `need` of `room`.
-    pub fn win(&self, room: f64, need: f64, sharers: u32, now: Moment) -> bool {
-        let total_need = need * f64::from(sharers);
-        if room >= total_need {
+    /// Returns whether this instance may use the room, if each of `instance_count` instances needs
+    /// `tokens` of `room`.
+    pub fn win(&self, room: f64, tokens: f64, instance_count: u32, now: Moment) -> bool {
+        let total_tokens = tokens * f64::from(instance_count);
+        if room >= total_tokens {
             return true;
         }
         let window = now.since_start().as_millis() / DRAW_WINDOW.as_millis();
         let window = u64::try_from(window).unwrap_or(u64::MAX);
         let uniform = (mix_bits(self.seed ^ mix_bits(window)) >> 11) as f64 / (1_u64 << 53) as f64;
-        uniform * total_need < room
+        uniform * total_tokens < room
     }
 }
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -124,7 +124,7 @@
     pub async fn send_placements(&self, node: &Arc<Node>) {
         loop {
             node.placed.notified().await;
-            let changes = lock(&node.tables).dispatcher.book.take_changes();
+            let changes = lock(&node.tables).dispatcher.load_table.take_changes();
             if changes.placed.is_empty() {
                 continue;
             }
@@ -144,7 +144,7 @@
     pub async fn send_failures(&self, node: &Arc<Node>) {
         loop {
             node.failures_counted.notified().await;
-            let answers = lock(&node.tables).dispatcher.book.take_failures();
+            let answers = lock(&node.tables).dispatcher.load_table.take_failures();
             if answers.is_empty() {
                 continue;
             }
@@ -173,9 +173,9 @@
     /// Sends the addresses of known instances to a peer that introduces itself.
     async fn send_contacts(&self, node: &Node, message: &FleetMessage) {
         let FleetMessage::Beacon(beacon) = message else { return };
-        let contacts = lock(&node.tables).fleet.welcome(beacon);
-        if let Some((newcomer, others)) = contacts {
-            self.send_to(node, &FleetMessage::Met(others), &[newcomer]).await;
+        let contacts = lock(&node.tables).fleet.contacts_for_newcomer(beacon);
+        if let Some((newcomer, contacts)) = contacts {
+            self.send_to(node, &FleetMessage::Met(contacts), &[newcomer]).await;
         }
     }
 
@@ -237,7 +237,7 @@
         let introduction = FleetBeacon::includes_introduction(sequence, rand::random::<f64>())
             .then(|| Introduction {
                 sender: node.own_addresses.clone(),
-                others: tables.fleet.others(now),
+                contacts: tables.fleet.introduced_contacts(now),
             });
         FleetBeacon {
             instance: node.settings().instance.clone(),
@@ -247,7 +247,7 @@
             leaving: node.phase() > Phase::Serving,
             reads: node.read_state.is_available(),
             revisions: node.revisions(),
-            placed: tables.dispatcher.book.own().clone(),
+            placed: tables.dispatcher.load_table.own_loads().clone(),
             rollouts: tables.rollouts.notices(now),
         }
     }
--- a/crates/nutmeggrade-relay/src/peers/inbox.rs
+++ b/crates/nutmeggrade-relay/src/peers/inbox.rs
@@ -20,7 +20,7 @@
         FleetMessage::News(batch) => apply_endpoint_updates(node, &batch),
         FleetMessage::Leaving(endpoints) => node.note_leaving(&endpoints),
         FleetMessage::Gone(endpoints) => node.note_unreachable(&endpoints),
-        FleetMessage::Met(others) => lock(&node.tables).fleet.add_contacts(&others, node.now()),
+        FleetMessage::Met(contacts) => lock(&node.tables).fleet.add_contacts(&contacts, node.now()),
         FleetMessage::Crashed(crashed) => lock(&node.tables).crashes.note(&crashed, node.now()),
         FleetMessage::Outcomes(outcomes) => node.add_peer_outcomes(&outcomes),
         FleetMessage::Rollout(notice) => node.apply_rollout_notices(vec![notice]),
@@ -37,7 +37,7 @@
     let mut tables = lock(&node.tables);
     // This instance's own placements come back when they are forwarded through its failure domain.
     for InstanceLoad { instance, placed } in all.iter().filter(|p| p.instance != *own) {
-        tables.dispatcher.book.change_peer(instance, placed);
+        tables.dispatcher.load_table.change_peer(instance, placed);
     }
 }
 
@@ -46,10 +46,10 @@
     {
         let mut tables = lock(&node.tables);
         let was_live = tables.fleet.is_live(&beacon.instance, now);
-        if !tables.fleet.hear(&beacon, now) {
+        if !tables.fleet.receive_heartbeat(&beacon, now) {
             return;
         }
-        tables.dispatcher.book.set_peer(&beacon.instance, &beacon.placed);
+        tables.dispatcher.load_table.set_peer(&beacon.instance, &beacon.placed);
         if !was_live {
             tracing::info!(event = "peer_heard", peer = %beacon.instance,
                 incarnation = beacon.incarnation);
--- a/crates/nutmeggrade-relay/src/relay/handler.rs
+++ b/crates/nutmeggrade-relay/src/relay/handler.rs
@@ -131,7 +131,7 @@
     fn finish_without_room(&mut self, failure: Failure) -> Result<FinalResponse, Failure> {
         match self.failed_response.take() {
             Some((head, body)) => Ok(FinalResponse::Buffered(head, body)),
-            None if self.attempt.run() == Run::NotRun => Err(failure),
+            None if self.attempt.run() == RunStatus::NotRun => Err(failure),
             None => Err(self.failure(Code::OutcomeUnknown, &failure.detail)),
         }
     }
@@ -166,13 +166,13 @@
             Err(SendError::NotSent(reason)) => {
                 self.attempt.not_sent();
                 self.record_send("not_sent", &endpoint.id);
-                self.node.update_health(&endpoint.id, Health::lost);
+                self.node.update_health(&endpoint.id, Health::record_loss);
                 self.retry_unsent(&endpoint.id, &reason)
             }
             Err(SendError::ConnectionRefused) => {
                 self.attempt.not_sent();
                 self.record_send("not_sent", &endpoint.id);
-                self.node.update_health(&endpoint.id, Health::lost);
+                self.node.update_health(&endpoint.id, Health::record_loss);
                 self.node.announce_unreachable(&endpoint.id);
                 self.retry_unsent(&endpoint.id, "nobody listens at the endpoint's address")
             }
@@ -184,7 +184,7 @@
                 self.attempt.lost();
                 self.record_outcome(&endpoint, Outcome::Failed);
                 self.record_send("silent", &endpoint.id);
-                self.node.update_health(&endpoint.id, Health::failed);
+                self.node.update_health(&endpoint.id, Health::record_failure);
                 self.retry_or_finish(&endpoint.id, "no answer in time", Code::DeadlinePassed)
             }
             Err(SendError::Lost(reason)) => {
@@ -192,7 +192,7 @@
                 self.record_outcome(&endpoint, Outcome::Failed);
                 crash::check_endpoint(&self.node, &self.request, &endpoint);
                 self.record_send("lost", &endpoint.id);
-                self.node.update_health(&endpoint.id, Health::lost);
+                self.node.update_health(&endpoint.id, Health::record_loss);
                 self.retry_or_finish(&endpoint.id, &reason, Code::OutcomeUnknown)
             }
         }
@@ -210,7 +210,7 @@
             response.parsed.length.is_some_and(|l| l > response::MAX_BUFFERED_BYTES as u64);
         let elapsed = self.node.now().since(response.sent_at);
         if is_stream || is_large {
-            self.attempt.answer();
+            self.attempt.begin_response();
             if !is_stream {
                 self.record_outcome(&reservation.endpoint, Outcome::FirstResponse(elapsed));
             }
@@ -228,7 +228,7 @@
                 self.attempt.lost();
                 self.record_outcome(&reservation.endpoint, Outcome::Failed);
                 self.record_send("broken", &endpoint);
-                self.node.update_health(&endpoint, Health::failed);
+                self.node.update_health(&endpoint, Health::record_failure);
                 return self.retry_or_finish(&endpoint, &reason, Code::OutcomeUnknown);
             }
         };
@@ -236,17 +236,17 @@
             self.attempt.failed();
             self.record_outcome(&reservation.endpoint, Outcome::Failed);
             self.record_send("failed", &endpoint);
-            self.node.update_health(&endpoint, Health::failed);
+            self.node.update_health(&endpoint, Health::record_failure);
             if self.claim_retry() {
                 self.failed_response = Some((head, body));
                 self.dispatch_request.avoid.insert(endpoint);
                 return Ok(SendStep::Retry);
             }
         } else {
-            self.attempt.answer();
+            self.attempt.begin_response();
             self.record_outcome(&reservation.endpoint, Outcome::FirstResponse(elapsed));
             self.record_send("answered", &endpoint);
-            self.node.update_health(&endpoint, Health::succeeded);
+            self.node.update_health(&endpoint, Health::record_success);
         }
         Ok(SendStep::Done(FinalResponse::Buffered(head, body)))
     }
@@ -299,7 +299,7 @@
     /// one that may have run never does.
     fn failure(&self, code: Code, detail: &str) -> Failure {
         let run = self.attempt.run();
-        if run == Run::NotRun {
+        if run == RunStatus::NotRun {
             return Failure::new(Code::NoRoom, detail).with_retry_after(NOT_RUN_RETRY_DELAY);
         }
         let code = if code == Code::NoRoom { Code::OutcomeUnknown } else { code };
@@ -309,7 +309,7 @@
     /// Ends the attempt and returns the failure for a request whose deadline passed.
     fn deadline_failure(&mut self) -> Failure {
         self.attempt.end();
-        if self.attempt.run() == Run::NotRun {
+        if self.attempt.run() == RunStatus::NotRun {
             return Failure::new(Code::TooLate, "the time passed before an endpoint had room")
                 .with_retry_after(NOT_RUN_RETRY_DELAY);
         }
--- a/crates/nutmeggrade-relay/src/rollouts/judging.rs
+++ b/crates/nutmeggrade-relay/src/rollouts/judging.rs
@@ -37,7 +37,7 @@
                 tables.rollouts.stop_granting();
                 return;
             }
-            let open = tables.rollouts.open();
+            let open = tables.rollouts.open_rollouts();
             let open: Vec<_> = open.map(|(service, id)| (service.clone(), id.clone())).collect();
             self.0.retain(|order, _| open.contains(order));
             for order in open {
@@ -72,11 +72,11 @@
         };
         let judge =
             self.0.entry((service.clone(), id.clone())).or_insert_with(|| Judge::new(bound));
-        let decision = judge.rule(&inputs);
+        let decision = judge.decide(&inputs);
         if decision.phase != view.phase {
             log_decision(service, id, &inputs, &decision);
         }
-        tables.rollouts.rule(service, &decision, now)
+        tables.rollouts.apply_decision(service, &decision, now)
     }
 }
 
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -15,7 +15,7 @@
 use nutmeggrade_state::crash_log::CrashLog;
 use nutmeggrade_state::fleet_view::FleetView;
 use nutmeggrade_state::registry::{Registered, Registry};
-use nutmeggrade_state::rollout::{EndpointLoad, RolloutTable, ServiceLoad, Standing};
+use nutmeggrade_state::rollout::{EndpointLoad, RolloutTable, ServiceLoad, VersionRole};
 use tokio::sync::oneshot;
 
 use crate::settings::Settings;
@@ -28,7 +28,7 @@
 
 /// State on which decisions depend.
 ///
-/// There is one lock for all of it: choosing an endpoint reads the registry, the load book, the
+/// There is one lock for all of it: choosing an endpoint reads the registry, the load table, the
 /// budgets and the cold shares together, and holds the lock for some microseconds. Lock order: the
 /// route map is read before this lock is taken, never under it.
 #[derive(Debug)]
@@ -97,7 +97,7 @@
             let delivered = self.waiters.remove(&ticket).map(|s| s.send(endpoint));
             // A request that gave up at the same moment frees its slot for the next one.
             if !matches!(delivered, Some(Ok(()))) {
-                self.dispatcher.book.end(ticket);
+                self.dispatcher.load_table.end(ticket);
             }
         }
     }
@@ -105,7 +105,7 @@
     /// Removes a waiting request from the queue; returns the time after which it may retry.
     pub fn cancel_wait(&mut self, request: &DispatchRequest) -> Duration {
         self.waiters.remove(&request.ticket);
-        self.dispatcher.book.end(request.ticket);
+        self.dispatcher.load_table.end(request.ticket);
         self.dispatcher.give_up(request)
     }
 
@@ -142,8 +142,8 @@
 
     /// Takes one resend to a service from the budget; returns whether the budget allows it.
     pub fn take_resend(&mut self, service: &ServiceId, settings: &Settings, now: Moment) -> bool {
-        let sharers = self.fleet.sharers(now);
-        self.budget(service, settings).take(sharers, now)
+        let instance_count = self.fleet.instance_count(now);
+        self.budget(service, settings).take(instance_count, now)
     }
 
     fn budget(&mut self, service: &ServiceId, settings: &Settings) -> &mut ResendBudget {
@@ -154,7 +154,7 @@
     /// Counts a request against an endpoint's cold share, if it has one.
     pub fn count_cold_request(&mut self, endpoint: &EndpointId, now: Moment) {
         if let Some(share) = self.cold_shares.get_mut(endpoint) {
-            share.sent(now);
+            share.record_sent(now);
         }
     }
 
@@ -166,11 +166,11 @@
         now: Moment,
     ) -> ServiceLoad {
         let engine = map.service(service).and_then(|s| s.engine);
-        let book = &self.dispatcher.book;
+        let load_table = &self.dispatcher.load_table;
         let load = |info: &EndpointInfo| EndpointLoad {
             slots: engine.map_or(info.slots, |e| e.slots),
-            running: book.at(&info.id).requests,
-            own: book.own().get(&info.id).map_or(0, |p| p.requests),
+            running: load_table.load(&info.id).requests,
+            own: load_table.own_loads().get(&info.id).map_or(0, |p| p.requests),
             is_movable: engine.is_some_and(|e| e.can_move),
         };
         ServiceLoad::new(&self.registry, (service, version), load, now)
@@ -194,17 +194,17 @@
         let mut candidates: BTreeMap<ServiceId, Vec<Candidate>> = BTreeMap::new();
         let mut canaries: BTreeMap<&ServiceId, Vec<Candidate>> = BTreeMap::new();
         let mut cold_ids = BTreeSet::new();
-        let sharers = self.fleet.sharers(now);
+        let instance_count = self.fleet.instance_count(now);
         for entry in self.registry.usable() {
             let Some(spec) = map.service(&entry.info.service) else { continue };
             let mut candidate = to_candidate(entry, spec);
             if let Some(bound) = cold_rate_limit(entry, spec, settings, now) {
                 let rank = self.fleet.rank(&entry.info.id, now);
                 let share = self.cold_shares.entry(entry.info.id.clone()).or_default();
-                candidate.cold_left = Some(share.left(bound, rank, sharers, now));
+                candidate.cold_left = Some(share.remaining(bound, rank, instance_count, now));
                 cold_ids.insert(entry.info.id.clone());
             }
-            if self.registry.standing(&entry.info) != Standing::Canary {
+            if self.registry.role(&entry.info) != VersionRole::Canary {
                 candidates.entry(spec.name.clone()).or_default().push(candidate);
             } else if entry.is_warm(now) {
                 candidate.is_canary = true;
@@ -217,7 +217,7 @@
         }
         self.cold_shares.retain(|id, _| cold_ids.contains(id));
         let registry = &self.registry;
-        self.dispatcher.book.retain_endpoints(|id| registry.get(id).is_some());
+        self.dispatcher.load_table.retain_endpoints(|id| registry.get(id).is_some());
         self.dispatcher.set_candidates(candidates);
     }
 }
--- a/crates/nutmeggrade-state/src/attempt.rs
+++ b/crates/nutmeggrade-state/src/attempt.rs
@@ -10,10 +10,10 @@
 pub enum Stage {
     /// Not at any endpoint.
     Waiting,
-    /// Sent to an endpoint that has not answered.
+    /// Sent to an endpoint that has not responded.
     Sent,
-    /// The endpoint's answer is being passed on to the client.
-    Answering,
+    /// The endpoint's response is being passed on to the client.
+    Responding,
     /// Ended; nothing more is sent.
     Ended,
 }
@@ -21,29 +21,29 @@
 /// State of one client attempt, which decides what may be sent and what the client is told.
 ///
 /// A client repeats a request that must not run twice only if it is told that the request did not
-/// run. If a request that ran is reported so, or one that may have run is sent again, a plot is
-/// booked twice, and the customer is the first to notice. The execution state is derived from each
-/// send and its result in this one place, so that no other code has to decide it.
+/// run. If a request that ran is reported so, or one that may have run is sent again, its operation,
+/// such as a booking, takes effect twice. The execution state is derived from each send and its
+/// result in this one place, so that no other code has to decide it.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     kind: RouteKind,
     max_sends: u32,
     sends: u32,
-    run: Run,
+    run: RunStatus,
     stage: Stage,
 }
 
 impl Attempt {
     /// Creates an attempt on a route that allows sends to `max_sends` endpoints.
     pub const fn new(kind: RouteKind, max_sends: u32) -> Self {
-        Self { kind, max_sends, sends: 0, run: Run::NotRun, stage: Stage::Waiting }
+        Self { kind, max_sends, sends: 0, run: RunStatus::NotRun, stage: Stage::Waiting }
     }
 
     /// Returns whether the request may be sent to an endpoint.
     pub fn may_send(&self) -> bool {
         self.stage == Stage::Waiting
             && self.sends < self.max_sends
-            && (self.run == Run::NotRun || self.kind.is_repeatable())
+            && (self.run == RunStatus::NotRun || self.kind.is_repeatable())
     }
 
     /// Records that the request is about to be sent to an endpoint, before its first byte goes out.
@@ -64,48 +64,48 @@
         self.return_to_waiting();
     }
 
-    /// Records that another endpoint answered at this address and did not run the request. The
+    /// Records that another endpoint responded at this address and did not run the request. The
     /// intended one received nothing, so the send does not count.
     pub fn misdirected(&mut self) {
         self.not_sent();
     }
 
-    /// Records that the endpoint answered with a failure of its own.
+    /// Records that the endpoint responded with a failure of its own.
     pub fn failed(&mut self) {
-        self.run = Run::Ran;
+        self.run = RunStatus::Ran;
         self.return_to_waiting();
     }
 
-    /// Records that the connection ended without an answer to the request, or in the middle of one
+    /// Records that the connection ended without a response to the request, or in the middle of one
     /// that was being passed on. A request that may continue elsewhere waits for an endpoint again.
     pub fn lost(&mut self) {
-        if self.run == Run::NotRun {
-            self.run = Run::Unknown;
+        if self.run == RunStatus::NotRun {
+            self.run = RunStatus::Unknown;
         }
-        if self.stage == Stage::Answering {
+        if self.stage == Stage::Responding {
             self.stage = Stage::Waiting;
         }
         self.return_to_waiting();
     }
 
-    /// Records that the answer is being passed on.
-    pub fn answer(&mut self) {
-        self.run = Run::Ran;
-        self.stage = Stage::Answering;
+    /// Records that the response is being passed on.
+    pub fn begin_response(&mut self) {
+        self.run = RunStatus::Ran;
+        self.stage = Stage::Responding;
     }
 
     /// Records the end of the attempt, whatever its result.
     pub fn end(&mut self) {
-        if self.stage == Stage::Sent && self.run == Run::NotRun {
-            self.run = Run::Unknown;
+        if self.stage == Stage::Sent && self.run == RunStatus::NotRun {
+            self.run = RunStatus::Unknown;
         }
         self.stage = Stage::Ended;
     }
 
     /// Returns the execution state of the request; a request at an endpoint may be running.
-    pub const fn run(&self) -> Run {
+    pub const fn run(&self) -> RunStatus {
         match (self.stage, self.run) {
-            (Stage::Sent, Run::NotRun) => Run::Unknown,
+            (Stage::Sent, RunStatus::NotRun) => RunStatus::Unknown,
             (_, run) => run,
         }
     }
--- a/crates/nutmeggrade-state/src/claiming.rs
+++ b/crates/nutmeggrade-state/src/claiming.rs
@@ -18,10 +18,10 @@
     /// The claim is decided, with the version of the record; for [`Claim::Send`] it is this
     /// attempt's record.
     Decided(Claim, u64),
-    /// The platform could not be reached; `doubt` if a write may still take effect later.
+    /// The platform could not be reached; `may_apply` if a write may still take effect later.
     GaveUp {
         /// Whether a write of this attempt may still take effect.
-        doubt: bool,
+        may_apply: bool,
     },
 }
 
@@ -34,7 +34,7 @@
     Conflict,
     /// Nothing was written.
     Refused,
-    /// The answer was lost; the write may have taken effect or may still do so.
+    /// The response was lost; the write may have taken effect or may still do so.
     Lost,
     /// The record as read, with its version and the state of its owner.
     Found(Box<Intent>, u64, Owner),
@@ -45,21 +45,21 @@
 /// State machine that claims a record. It does no I/O: the caller executes each step and passes in
 /// the response.
 ///
-/// The answer of a write can be lost after the write took effect, and a write can take effect long
-/// after its sender gave up on it. The record is then read back, and its nonce shows whether it
-/// belongs to this attempt. If that cannot be determined, the call is never sent.
+/// The response of a write can be lost after the write took effect, and a write can take effect
+/// long after its sender gave up on it. The record is then read back, and its nonce shows whether
+/// it belongs to this attempt. If that cannot be determined, the call is never sent.
 #[derive(Debug)]
 pub struct Claiming {
     intent: Intent,
     step: ClaimStep,
     writes: u32,
-    doubt: bool,
+    may_apply: bool,
 }
 
 impl Claiming {
     /// Starts a claim with the attempt's record.
     pub const fn new(intent: Intent) -> Self {
-        Self { intent, step: ClaimStep::Create, writes: 0, doubt: false }
+        Self { intent, step: ClaimStep::Create, writes: 0, may_apply: false }
     }
 
     /// Returns the attempt's record.
@@ -76,7 +76,7 @@
     pub fn apply(&mut self, response: StoreResponse) {
         self.step = match response {
             StoreResponse::Written(version) => ClaimStep::Decided(Claim::Send, version),
-            StoreResponse::Refused => ClaimStep::GaveUp { doubt: self.doubt },
+            StoreResponse::Refused => ClaimStep::GaveUp { may_apply: self.may_apply },
             StoreResponse::Conflict => ClaimStep::Read,
             StoreResponse::Lost => self.response_lost(),
             StoreResponse::Absent => self.write(ClaimStep::Create),
@@ -86,9 +86,9 @@
 
     fn response_lost(&mut self) -> ClaimStep {
         if self.step == ClaimStep::Read {
-            return ClaimStep::GaveUp { doubt: self.doubt };
+            return ClaimStep::GaveUp { may_apply: self.may_apply };
         }
-        self.doubt = true;
+        self.may_apply = true;
         ClaimStep::Read
     }
 
@@ -101,14 +101,18 @@
 
     fn write(&mut self, step: ClaimStep) -> ClaimStep {
         self.writes += 1;
-        if self.writes >= MAX_WRITES { ClaimStep::GaveUp { doubt: self.doubt } } else { step }
+        if self.writes >= MAX_WRITES {
+            ClaimStep::GaveUp { may_apply: self.may_apply }
+        } else {
+            step
+        }
     }
 }
 
 /// Returns what the caller is told about the execution of a call whose claim was rejected.
-pub const fn refused_run(code: Code) -> Run {
+pub const fn refused_run(code: Code) -> RunStatus {
     match code {
-        Code::KeyReused => Run::NotRun,
-        _ => Run::Unknown,
+        Code::KeyReused => RunStatus::NotRun,
+        _ => RunStatus::Unknown,
     }
 }
--- a/crates/nutmeggrade-state/src/cold_rights.rs
+++ b/crates/nutmeggrade-state/src/cold_rights.rs
@@ -6,7 +6,7 @@
 use nutmeggrade_core::peer::Assignment;
 use nutmeggrade_core::prelude::*;
 
-use crate::cold_load::{ColdLoad, LoadSample, Slot};
+use crate::cold_load::{ColdLoad, LoadSample, SlotId};
 use crate::invariant;
 use crate::membership::Candidate;
 
@@ -33,7 +33,7 @@
 /// An endpoint in cold start crashes under more than a little work, and seven instances that each
 /// send a little send too much; the symptom is an engine that crashes repeatedly as it starts. So
 /// each cold endpoint has one owner at a time, by three rules. A right is valid only while the last
-/// platform answer that showed this epoch as the newest was *requested* less than a lease ago; an
+/// platform response that showed this epoch as the newest was *requested* less than a lease ago; an
 /// instance that was frozen or partitioned detects that gap on its own clock before it sends. A new
 /// epoch takes effect only after the longest earlier lease, counted from the moment at which this
 /// instance learned of the epoch, since no earlier epoch can be confirmed after that moment. And a
@@ -59,16 +59,21 @@
         }
     }
 
-    /// Processes the newest assignment from a platform answer requested at `asked`.
-    pub fn learn(&mut self, assignment: &Assignment, asked: Moment, now: Moment) {
-        self.hint(assignment, now);
+    /// Processes the newest assignment from a platform response, requested at `requested_at`.
+    pub fn confirm_assignment(
+        &mut self,
+        assignment: &Assignment,
+        requested_at: Moment,
+        now: Moment,
+    ) {
+        self.note_peer_assignment(assignment, now);
         if assignment.epoch == self.epoch() {
-            self.confirmed = self.confirmed.max(Some(asked));
+            self.confirmed = self.confirmed.max(Some(requested_at));
         }
     }
 
     /// Processes the newest assignment known to a peer; it grants no right but may end one.
-    pub fn hint(&mut self, assignment: &Assignment, now: Moment) {
+    pub fn note_peer_assignment(&mut self, assignment: &Assignment, now: Moment) {
         let known = self.epoch();
         if assignment.epoch > known {
             self.epochs.push_back(KnownEpoch { assignment: assignment.clone(), learned_at: now });
@@ -140,7 +145,7 @@
         self.loads.entry(endpoint.clone()).or_default().note_load(sample);
     }
 
-    /// Drops an endpoint's last load report: it did not answer, so it may have restarted cold.
+    /// Drops an endpoint's last load report: it did not respond, so it may have restarted cold.
     pub fn forget_load(&mut self, endpoint: &EndpointId) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.forget_load();
@@ -156,14 +161,14 @@
     /// endpoint.
     pub fn cold_right(&self, endpoint: &EndpointId, now: Moment) -> u32 {
         let Some(since) = self.owned_since(endpoint, now) else { return 0 };
-        self.loads.get(endpoint).map_or(0, |load| load.own() + load.room(since))
+        self.loads.get(endpoint).map_or(0, |load| load.own_count() + load.room(since))
     }
 
     /// Takes a slot for one generation; this is the last check before its first byte is sent.
     ///
     /// At a warm endpoint the slot is only counted, in case the endpoint turns cold. At a cold one
     /// only the owner gets a slot, within the endpoint's limit.
-    pub fn take_slot(&mut self, endpoint: &EndpointId, slot: Slot, now: Moment) -> bool {
+    pub fn take_slot(&mut self, endpoint: &EndpointId, slot: SlotId, now: Moment) -> bool {
         let since = self.owned_since(endpoint, now);
         let load = self.loads.entry(endpoint.clone()).or_default();
         if !load.is_cold(now) {
@@ -180,14 +185,14 @@
     }
 
     /// Records the first token of a generation: from then on the endpoint's reports contain it.
-    pub fn note_started(&mut self, endpoint: &EndpointId, slot: Slot, now: Moment) {
+    pub fn note_started(&mut self, endpoint: &EndpointId, slot: SlotId, now: Moment) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.note_started(slot, now);
         }
     }
 
     /// Releases a slot, which counts as taken until a later report of the endpoint.
-    pub fn leave_slot(&mut self, endpoint: &EndpointId, slot: Slot, now: Moment) {
+    pub fn leave_slot(&mut self, endpoint: &EndpointId, slot: SlotId, now: Moment) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.leave(slot, now);
         }
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -30,7 +30,7 @@
 /// rank.
 const STANDBY_COUNT: usize = 6;
 /// Delay for each rank behind the standby instances before an instance takes over from readers that
-/// the store does not answer.
+/// the store does not respond.
 const TAKEOVER_STEP: Duration = Duration::from_millis(500);
 /// Silence after which a reader of the endpoints counts as gone: three missed heartbeats. This
 /// leaves its successor most of the time in which a draining endpoint may still get its last
@@ -52,7 +52,7 @@
 
 #[derive(Debug, Clone)]
 struct Peer {
-    seat: InstanceAddresses,
+    addresses: InstanceAddresses,
     incarnation: u64,
     sequence: u64,
     heard: Moment,
@@ -89,7 +89,7 @@
     own_id: InstanceId,
     reader_key: u64,
     address_key: u64,
-    seat: InstanceAddresses,
+    own_addresses: InstanceAddresses,
     peers: BTreeMap<InstanceId, Peer>,
     contacts: BTreeMap<SocketAddr, Contact>,
     seeds: BTreeSet<SocketAddr>,
@@ -97,37 +97,41 @@
     near: BTreeSet<SocketAddr>,
     near_position: usize,
     far_position: usize,
-    welcome_position: usize,
+    newcomer_position: usize,
 }
 
 impl FleetView {
     /// Creates the view of an instance that has only its seed addresses.
-    pub fn new(own_id: &InstanceId, seat: &InstanceAddresses, seeds: &[SocketAddr]) -> Self {
+    pub fn new(
+        own_id: &InstanceId,
+        own_addresses: &InstanceAddresses,
+        seeds: &[SocketAddr],
+    ) -> Self {
         let seeds: BTreeSet<SocketAddr> =
-            seeds.iter().copied().filter(|a| *a != seat.beacon).collect();
+            seeds.iter().copied().filter(|a| *a != own_addresses.beacon).collect();
         let seed = |a: &SocketAddr| (*a, Contact::new(*a, None, Moment::ZERO));
         Self {
             own_id: own_id.clone(),
             reader_key: hash_key(own_id.as_str()),
-            address_key: hash_key(&seat.beacon.to_string()),
-            seat: seat.clone(),
+            address_key: hash_key(&own_addresses.beacon.to_string()),
+            own_addresses: own_addresses.clone(),
             peers: BTreeMap::new(),
             contacts: seeds.iter().map(seed).collect(),
             seeds,
             near: BTreeSet::new(),
             near_position: 0,
             far_position: 0,
-            welcome_position: 0,
+            newcomer_position: 0,
         }
     }
 
     /// Processes a heartbeat; returns whether it was newer than the last one of its sender.
-    pub fn hear(&mut self, beacon: &FleetBeacon, now: Moment) -> bool {
+    pub fn receive_heartbeat(&mut self, beacon: &FleetBeacon, now: Moment) -> bool {
         if beacon.instance == self.own_id {
             return false;
         }
         if let Some(introduction) = &beacon.introduction {
-            self.add_contacts(&introduction.others, now);
+            self.add_contacts(&introduction.contacts, now);
         }
         let old = self.peers.get(&beacon.instance);
         // Incarnations are wall-clock times, and the clock may have been set back before the peer
@@ -140,11 +144,11 @@
             return false;
         }
         let introduction = beacon.introduction.as_ref().map(|introduction| &introduction.sender);
-        let known_seat = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.seat);
+        let known = old.filter(|p| p.incarnation == beacon.incarnation).map(|p| &p.addresses);
         // The addresses of this peer are unknown until its next introduction, which follows soon.
-        let Some(seat) = introduction.or(known_seat).cloned() else { return false };
+        let Some(addresses) = introduction.or(known).cloned() else { return false };
         let peer = Peer {
-            seat,
+            addresses,
             incarnation: beacon.incarnation,
             sequence: beacon.sequence,
             heard: now,
@@ -153,7 +157,7 @@
             revisions: beacon.revisions,
             reader_key: hash_key(beacon.instance.as_str()),
         };
-        self.add_contact(peer.seat.beacon, &peer.seat.domain, now);
+        self.add_contact(peer.addresses.beacon, &peer.addresses.domain, now);
         self.peers.insert(beacon.instance.clone(), peer);
         true
     }
@@ -171,11 +175,11 @@
         if let Some(contact) = self.contacts.get_mut(&address) {
             contact.last_announced = now;
             contact.domain = Some(domain.clone());
-        } else if address != self.seat.beacon && self.contacts.len() < MAX_CONTACTS {
+        } else if address != self.own_addresses.beacon && self.contacts.len() < MAX_CONTACTS {
             self.contacts.insert(address, Contact::new(address, Some(domain), now));
         }
         if self.contacts.contains_key(&address) {
-            if *domain == self.seat.domain {
+            if *domain == self.own_addresses.domain {
                 self.near.insert(address);
             } else {
                 self.near.remove(&address);
@@ -189,7 +193,7 @@
     /// The seeds are kept: an instance that was partitioned from all others for longer would
     /// otherwise have no address left to send heartbeats to, would get none either, and would stay
     /// isolated for good.
-    pub fn forget(&mut self, now: Moment) {
+    pub fn remove_silent(&mut self, now: Moment) {
         let member_timeout = self.member_timeout();
         self.peers.retain(|_, peer| now.since(peer.heard) <= member_timeout);
         let seeds = &self.seeds;
@@ -240,7 +244,7 @@
     }
 
     /// Returns how long this instance waits before it takes over from readers that the store does
-    /// not answer.
+    /// not respond.
     ///
     /// Each instance that cannot reach the store is passed over. Without a delay, the whole fleet
     /// would call the store within seconds of an outage.
@@ -274,7 +278,7 @@
 
     /// Returns whether this instance ranks first among the live instances for the endpoint. The
     /// ranking differs between endpoints.
-    pub fn is_first_for(&self, endpoint: &EndpointId, now: Moment) -> bool {
+    pub fn ranks_first_for(&self, endpoint: &EndpointId, now: Moment) -> bool {
         let own_key = endpoint_order_key(self.own_id.as_str(), endpoint);
         self.live(now).all(|peer| endpoint_order_key(peer.as_str(), endpoint) > own_key)
     }
@@ -307,11 +311,11 @@
         is_leaving: bool,
         now: Moment,
     ) -> Vec<SocketAddr> {
-        let own_seat = (!is_leaving).then_some(&self.seat);
+        let own = (!is_leaving).then_some(&self.own_addresses);
         let live = self.peers.values().filter(|p| self.is_heard(p, now) && !p.leaving);
         let all: Vec<&InstanceAddresses> =
-            own_seat.into_iter().chain(live.map(|p| &p.seat)).collect();
-        let is_near = |seat: &&&InstanceAddresses| near == Some(&seat.domain);
+            own.into_iter().chain(live.map(|p| &p.addresses)).collect();
+        let is_near = |addresses: &&&InstanceAddresses| near == Some(&addresses.domain);
         let nearby: Vec<SocketAddr> = all.iter().filter(is_near).map(|s| s.client).collect();
         if nearby.len() >= MIN_NEARBY_ENTRIES {
             nearby
@@ -326,7 +330,7 @@
     /// In a large fleet it takes many heartbeat turns to hear from every peer. In a fleet of 300
     /// instances that started together, each had heard from 100 after the first seconds, so all
     /// together would have used three times the limit.
-    pub fn sharers(&self, now: Moment) -> usize {
+    pub fn instance_count(&self, now: Moment) -> usize {
         let known = 1 + self.known_contacts(now).count();
         if now.since_start() < STARTUP_PERIOD { known.max(ASSUMED_INSTANCES) } else { known }
     }
@@ -351,15 +355,15 @@
     }
 
     /// Returns the addresses of a few recently heard peers for an introduction.
-    pub fn others(&self, now: Moment) -> Contacts {
+    pub fn introduced_contacts(&self, now: Moment) -> Contacts {
         let live = self.peers.values().filter(|p| self.is_heard(p, now));
-        let all: Vec<&InstanceAddresses> = live.map(|p| &p.seat).collect();
-        let mut others = Contacts::new();
+        let all: Vec<&InstanceAddresses> = live.map(|p| &p.addresses).collect();
+        let mut contacts = Contacts::new();
         for i in 0..all.len().min(MAX_INTRODUCED_PEERS) {
-            let seat = all[(self.far_position + i) % all.len()];
-            others.entry(seat.domain.clone()).or_default().push(seat.beacon);
+            let addresses = all[(self.far_position + i) % all.len()];
+            contacts.entry(addresses.domain.clone()).or_default().push(addresses.beacon);
         }
-        others
+        contacts
     }
 }
 
--- a/crates/nutmeggrade-state/src/intent.rs
+++ b/crates/nutmeggrade-state/src/intent.rs
@@ -3,7 +3,7 @@
 use nutmeggrade_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::recorded::RecordedAnswer;
+use crate::recorded_response::RecordedResponse;
 
 /// Prefix of the platform keys that hold intents.
 pub const INTENT_PREFIX: &str = "intents/";
@@ -14,28 +14,27 @@
 pub enum Progress {
     /// Claimed; the call may have been sent.
     Started,
-    /// Finished with this answer of the endpoint.
+    /// Finished with this response of the endpoint.
     Done {
-        /// The answer.
-        answer: RecordedAnswer,
+        /// The response.
+        answer: RecordedResponse,
     },
     /// Proved not to have run; the next attempt may take over the record.
     Released,
-    /// Sent, and its answer was lost for good.
+    /// Sent, and its response was lost for good.
     Unknown,
 }
 
 /// The record that lets exactly one attempt send a non-idempotent call.
 ///
-/// Without it, a caller that retries at three instances at once would book a plot three times. The
-/// record is created only if absent, before the first byte is sent, so the platform selects the one
-/// attempt that may send. An attempt that resumes after a pause still holds the right, since no
-/// retry takes over its record. No attempt ever removes a record: a late removal could hit the
-/// record of the next attempt, since versions may start again with a new object. It is marked as
-/// released instead.
+/// Without it, a call that is retried at three instances at once would run three times. The record
+/// is created only if absent, before the first byte is sent, so the platform selects the one attempt
+/// that may send. An attempt that resumes after a pause still holds the right, since no retry takes
+/// over its record. No attempt ever removes a record: a late removal could hit the record of the
+/// next attempt, since versions may start again with a new object. It is marked as released instead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// Random id of the attempt; identifies the owner of the record after a lost answer.
+    /// Random id of the attempt; identifies the owner of the record after a lost response.
     pub nonce: GenerationId,
     /// The instance that claimed the record.
     pub instance: InstanceId,
@@ -68,8 +67,8 @@
     Send,
     /// Nothing was sent under the record: replace it by this attempt's own.
     TakeOver,
-    /// The call has ended: return this answer.
-    Answer(RecordedAnswer),
+    /// The call has ended: return this response.
+    Answer(RecordedResponse),
     /// Reject the request with this code.
     Refuse(Code),
 }
--- a/crates/nutmeggrade-state/src/rollout.rs
+++ b/crates/nutmeggrade-state/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of new versions, as seen by one instance.
+//! Rollouts of new versions, as seen by one instance.
 
 mod entry;
 mod last_report;
@@ -10,4 +10,4 @@
 pub use last_report::LastReport;
 pub use service_load::{EndpointLoad, ServiceLoad};
 pub use table::{RolloutTable, RolloutView, StateChange};
-pub use version_rule::{Standing, VersionRule};
+pub use version_rule::{VersionRole, VersionRule};
--- a/crates/nutmeggrade-state/src/suspects.rs
+++ b/crates/nutmeggrade-state/src/suspects.rs
@@ -25,7 +25,7 @@
 
 /// Admission decision for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Gate {
+pub enum Admission {
     /// Start it as usual.
     Free,
     /// Start it as the only running suspect.
@@ -90,13 +90,13 @@
 }
 
 impl Suspects {
-    /// Creates an empty table; `beacon` is the heartbeat interval.
-    pub fn new(own_id: &InstanceId, beacon: Duration) -> Self {
+    /// Creates an empty table; `heartbeat_interval` is that of all instances.
+    pub fn new(own_id: &InstanceId, heartbeat_interval: Duration) -> Self {
         Self {
             own_id: own_id.clone(),
             // A trial that started at a peer is announced within two heartbeats; the rest allows
             // for transit.
-            gossip_delay: beacon * 2 + beacon / 2,
+            gossip_delay: heartbeat_interval * 2 + heartbeat_interval / 2,
             records: BTreeMap::new(),
             trials: BTreeMap::new(),
             peers: BTreeMap::new(),
@@ -104,29 +104,29 @@
     }
 
     /// Returns the admission decision for a request; a waiting request asks again with the same id.
-    pub fn gate(&mut self, request: PromptHash, id: TrialId, now: Moment) -> Gate {
+    pub fn admission(&mut self, request: PromptHash, id: TrialId, now: Moment) -> Admission {
         self.remove_expired(now);
         if self.is_rejected(request, now) {
-            return Gate::Refuse;
+            return Admission::Refuse;
         }
         let counted = self.counted_crashes(request, now);
         if count_distinct(&counted) >= 2 {
             // A report that another request caused the last crash may still be on its way from a
             // peer.
-            return Gate::Wait;
+            return Admission::Wait;
         }
         if !counted.iter().any(|c| c.before_token) {
-            return Gate::Free;
+            return Admission::Free;
         }
         let trial = Trial { request, since: now, running: false };
         let trial = *self.trials.entry(id).or_insert(trial);
         if now.since(trial.since) < self.gossip_delay || !self.is_next(request, id, now) {
-            return Gate::Wait;
+            return Admission::Wait;
         }
         self.trials.insert(id, Trial { running: true, ..trial });
         let running = self.trials.values().filter(|t| t.running).count();
         invariant::check(running == 1, "one_suspect_runs");
-        Gate::Trial
+        Admission::Trial
     }
 
     /// Ends the wait or trial of a request, whatever its result.
@@ -135,7 +135,7 @@
     }
 
     /// Records that the first token of a request arrived, or, with `completed`, its complete
-    /// answer. Earlier crashes before a first token stop counting against the request, or with
+    /// response. Earlier crashes before a first token stop counting against the request, or with
     /// `completed` all earlier crashes.
     pub fn clear(&mut self, request: PromptHash, completed: bool, now: Moment) {
         if self.counted_crashes(request, now).is_empty() {
@@ -264,10 +264,10 @@
 
     /// Returns whether no trial runs anywhere and no waiting suspect goes first.
     fn is_next(&self, request: PromptHash, id: TrialId, now: Moment) -> bool {
-        let others = self.trials.iter().filter(|(other, _)| **other != id);
+        let other_trials = self.trials.iter().filter(|(other, _)| **other != id);
         let goes_first =
             |(other, t): (&TrialId, &Trial)| t.running || (t.request, *other) < (request, id);
-        if others.into_iter().any(goes_first) {
+        if other_trials.into_iter().any(goes_first) {
             return false;
         }
         let recent = self.peers.iter().filter(|(_, p)| now.since(p.heard) <= PEER_TIMEOUT);
--- a/crates/nutmeggrade/src/service/once.rs
+++ b/crates/nutmeggrade/src/service/once.rs
@@ -7,7 +7,7 @@
 use nutmeggrade_platform::Platform;
 use nutmeggrade_state::claiming::{ClaimStep, Claiming, refused_run};
 use nutmeggrade_state::intent::{Claim, Intent, Progress};
-use nutmeggrade_state::recorded::RecordedAnswer;
+use nutmeggrade_state::recorded_response::RecordedResponse;
 use nutmeggrade_state::settling::Settling;
 
 use super::records::{claim_call, settle, settle_later};
@@ -33,7 +33,7 @@
     let task = tokio::spawn(run(Arc::clone(node), call.clone(), record_key));
     task.await.unwrap_or_else(|error| {
         let failure = Failure::new(Code::OutcomeUnknown, &error.to_string());
-        Err(failure.with_run(Run::Unknown))
+        Err(failure.with_run(RunStatus::Unknown))
     })
 }
 
@@ -56,7 +56,7 @@
             lock(&node.tables.intents).claimed(nonce);
             send(&node, &call, &record_key, &intent, *version).await
         }
-        ClaimStep::GaveUp { doubt: true } => {
+        ClaimStep::GaveUp { may_apply: true } => {
             lock(&node.tables.intents).end(nonce, Progress::Released);
             let released = intent.with_progress(Progress::Released);
             settle_later(&node, &record_key, Settling::new(released, None));
@@ -129,12 +129,12 @@
 ) -> (Progress, Result<ServiceResponse, Failure>) {
     match last_result {
         Some(AttemptResult::Answered(response)) => {
-            let recorded = RecordedAnswer::new(response.status, &response.body);
+            let recorded = RecordedResponse::new(response.status, &response.body);
             let recorded = recorded.with_content(response.content_type.as_deref());
             (Progress::Done { answer: recorded }, Ok(response))
         }
         Some(AttemptResult::Lost(reason)) => {
-            let failure = Failure::new(Code::OutcomeUnknown, &reason).with_run(Run::Unknown);
+            let failure = Failure::new(Code::OutcomeUnknown, &reason).with_run(RunStatus::Unknown);
             (Progress::Unknown, Err(failure))
         }
         Some(AttemptResult::NotRun(_)) | None => (Progress::Released, Err(refusal)),
@@ -159,10 +159,10 @@
     Err(failure)
 }
 
-fn replay(recorded: &RecordedAnswer) -> Result<ServiceResponse, Failure> {
+fn replay(recorded: &RecordedResponse) -> Result<ServiceResponse, Failure> {
     let Some(body) = recorded.body() else {
         let detail = "an earlier attempt ran; its answer was too large to be kept";
-        return Err(Failure::new(Code::AnswerNotKept, detail).with_run(Run::Ran));
+        return Err(Failure::new(Code::AnswerNotKept, detail).with_run(RunStatus::Ran));
     };
     let content_type = recorded.content.clone();
     let body = bytes::Bytes::copy_from_slice(body);
@@ -185,7 +185,7 @@
         "; this attempt did not run, but an earlier one with the same key may have: ask again with \
          the same key",
     );
-    failure.with_run(Run::Unknown)
+    failure.with_run(RunStatus::Unknown)
 }
 
 fn key_hash(call: &Call, key: &RequestId) -> String {
--- a/crates/nutmeggrade/src/tasks/catch_up.rs
+++ b/crates/nutmeggrade/src/tasks/catch_up.rs
@@ -52,7 +52,7 @@
             return;
         }
     }
-    let holders = lock(&node.tables.members).holders(wanted);
+    let holders = lock(&node.tables.members).peers_with_config(wanted);
     for entry in holders {
         match send_request(node, entry.admin_address, SyncTopic::Config).await {
             Ok(reply) => {
@@ -98,7 +98,7 @@
         node.add_peer(entry);
     }
     if let Some(assignment) = &fleet.assignment {
-        lock(&node.tables.rights).hint(assignment, node.now());
+        lock(&node.tables.rights).note_peer_assignment(assignment, node.now());
     }
     lock(&node.tables.endpoints).init_list(&fleet.endpoints);
     node.sync_engines();
--- a/tests/suite/policy/load_table.rs
+++ b/tests/suite/policy/load_table.rs
@@ -1,12 +1,12 @@
 //! The table of placed work that instances share with each other.
 
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_core::routing::Placed;
+use nutmeggrade_core::routing::PlacedLoad;
 use nutmeggrade_policy::Ticket;
 use nutmeggrade_policy::dispatch::LoadTable;
 
-fn placed() -> Placed {
-    Placed { requests: 1, memory: 3_000, reading: 2_000, moving: 0 }
+fn placed() -> PlacedLoad {
+    PlacedLoad { requests: 1, memory: 3_000, reading: 2_000, moving: 0 }
 }
 
 // Guards against two generations that are copied concurrently, because the start of a copy is
@@ -39,9 +39,9 @@
     table.set_peer(&peer, &[(ids[0].clone(), placed())].into());
     table.set_peer(&other, &[(ids[0].clone(), placed())].into());
     table.change_peer(&peer, &[(ids[1].clone(), placed())].into());
-    assert_eq!((table.at(&ids[0]).requests, table.at(&ids[1]).requests), (2, 1));
+    assert_eq!((table.load(&ids[0]).requests, table.load(&ids[1]).requests), (2, 1));
     table.set_peer(&peer, &[(ids[1].clone(), placed())].into());
-    assert_eq!((table.at(&ids[0]).requests, table.at(&ids[1]).requests), (1, 1));
+    assert_eq!((table.load(&ids[0]).requests, table.load(&ids[1]).requests), (1, 1));
     table.retain_peers(|instance| *instance == other);
-    assert_eq!((table.at(&ids[0]).requests, table.at(&ids[1]).requests), (1, 0));
+    assert_eq!((table.load(&ids[0]).requests, table.load(&ids[1]).requests), (1, 0));
 }
--- a/tests/suite/policy/rollouts.rs
+++ b/tests/suite/policy/rollouts.rs
@@ -118,7 +118,7 @@
 
     /// Simulates a tenth of a second in which a share of the new version's responses fails.
     fn step(&mut self, failure_rate: f64) -> RolloutDecision {
-        let decision = self.judge.rule(&self.inputs);
+        let decision = self.judge.decide(&self.inputs);
         self.inputs.phase = decision.phase;
         let share = match decision.phase {
             RolloutPhase::Canary => decision.share,
@@ -151,7 +151,7 @@
     }
 
     fn allowed(&self) -> f64 {
-        BOUND.of(self.duration.as_secs_f64() * 100.0)
+        BOUND.max_exposed(self.duration.as_secs_f64() * 100.0)
     }
 }
 
--- a/tests/suite/random/attempts.rs
+++ b/tests/suite/random/attempts.rs
@@ -101,7 +101,7 @@
                 actual.runs += 1;
             }
             Step::Answer if actual.at_endpoint => {
-                attempt.answer();
+                attempt.begin_response();
                 actual.at_endpoint = false;
                 actual.responding = true;
                 actual.runs += 1;
@@ -112,7 +112,7 @@
             }
             _ => {}
         }
-        if attempt.run() == Run::NotRun && actual.may_have_run() {
+        if attempt.run() == RunStatus::NotRun && actual.may_have_run() {
             return Err(format!("reported as not run after {step:?}"));
         }
         if actual.sends > actual.max_sends {
--- a/tests/suite/state/cold_rights.rs
+++ b/tests/suite/state/cold_rights.rs
@@ -5,7 +5,7 @@
 
 use nutmeggrade_core::peer::Assignment;
 use nutmeggrade_core::prelude::*;
-use nutmeggrade_state::cold_load::{LoadSample, Slot};
+use nutmeggrade_state::cold_load::{LoadSample, SlotId};
 use nutmeggrade_state::cold_rights::ColdRights;
 use rstest::rstest;
 
@@ -34,8 +34,8 @@
 /// Returns the rights of an owner since 1250 ms that confirmed its lease at 1500 ms.
 fn owner() -> ColdRights {
     let mut rights = ColdRights::new(&own_id(), 7);
-    rights.learn(&sole_owner(7), at(0), at(0));
-    rights.learn(&sole_owner(7), at(1_500), at(1_510));
+    rights.confirm_assignment(&sole_owner(7), at(0), at(0));
+    rights.confirm_assignment(&sole_owner(7), at(1_500), at(1_510));
     rights
 }
 
@@ -44,9 +44,9 @@
     let mut rights = owner();
     rights.note_load(&engine(), sample(1_520, 0));
     assert_eq!(rights.cold_right(&engine(), at(1_530)), 2);
-    assert!(rights.take_slot(&engine(), Slot(1), at(1_530)));
-    assert!(rights.take_slot(&engine(), Slot(2), at(1_530)));
-    assert!(!rights.take_slot(&engine(), Slot(3), at(1_530)));
+    assert!(rights.take_slot(&engine(), SlotId(1), at(1_530)));
+    assert!(rights.take_slot(&engine(), SlotId(2), at(1_530)));
+    assert!(!rights.take_slot(&engine(), SlotId(3), at(1_530)));
 }
 
 // Guards against an engine that crashes in cold start because a frozen owner resumes in the middle
@@ -55,19 +55,19 @@
 fn frozen_owner_wakes_without_its_right() {
     let mut rights = owner();
     rights.note_load(&engine(), sample(1_520, 0));
-    assert!(!rights.take_slot(&engine(), Slot(1), at(2_600)));
+    assert!(!rights.take_slot(&engine(), SlotId(1), at(2_600)));
     // A response from the buffer belongs to a request from before the freeze.
-    rights.learn(&sole_owner(7), at(1_590), at(2_610));
+    rights.confirm_assignment(&sole_owner(7), at(1_590), at(2_610));
     assert_eq!(rights.owner_epoch(&engine(), at(2_610)), None);
-    rights.learn(&sole_owner(7), at(2_620), at(2_630));
+    rights.confirm_assignment(&sole_owner(7), at(2_620), at(2_630));
     assert_eq!(rights.owner_epoch(&engine(), at(2_630)), Some(1));
 }
 
 #[rstest]
 fn new_epoch_waits_for_the_old_lease() {
     let mut rights = ColdRights::new(&own_id(), 7);
-    rights.learn(&sole_owner(7), at(0), at(0));
-    rights.learn(&sole_owner(7), at(1_200), at(1_200));
+    rights.confirm_assignment(&sole_owner(7), at(0), at(0));
+    rights.confirm_assignment(&sole_owner(7), at(1_200), at(1_200));
     assert_eq!(rights.owner_epoch(&engine(), at(1_249)), None);
     assert_eq!(rights.owner_epoch(&engine(), at(1_250)), Some(1));
 }
@@ -76,7 +76,11 @@
 #[rstest]
 fn former_incarnation_owns_nothing() {
     let mut rights = owner();
-    rights.learn(&sole_owner(7).next(BTreeMap::from([(own_id(), 8)]), LEASE), at(1_600), at(1_600));
+    rights.confirm_assignment(
+        &sole_owner(7).next(BTreeMap::from([(own_id(), 8)]), LEASE),
+        at(1_600),
+        at(1_600),
+    );
     assert_eq!(rights.owner_epoch(&engine(), at(1_600)), None);
     assert_eq!(rights.owner_epoch(&engine(), at(9_000)), None);
 }
@@ -85,14 +89,14 @@
 fn owner_that_stays_waits_for_nobody() {
     let mut rights = owner();
     let more = BTreeMap::from([(own_id(), 7)]);
-    rights.learn(&sole_owner(7).next(more, LEASE), at(1_600), at(1_600));
+    rights.confirm_assignment(&sole_owner(7).next(more, LEASE), at(1_600), at(1_600));
     assert_eq!(rights.owner_epoch(&engine(), at(1_600)), Some(2));
 }
 
 #[rstest]
 fn peers_hint_gives_no_right() {
     let mut rights = ColdRights::new(&own_id(), 7);
-    rights.hint(&sole_owner(7), at(0));
+    rights.note_peer_assignment(&sole_owner(7), at(0));
     assert_eq!(rights.owner_epoch(&engine(), at(1_300)), None);
 }
 
@@ -124,11 +128,11 @@
 fn place_is_free_only_after_a_later_report() {
     let mut rights = owner();
     rights.note_load(&engine(), sample(1_520, 1));
-    assert!(rights.take_slot(&engine(), Slot(1), at(1_530)));
-    rights.leave_slot(&engine(), Slot(1), at(1_600));
-    assert!(!rights.take_slot(&engine(), Slot(2), at(1_610)));
+    assert!(rights.take_slot(&engine(), SlotId(1), at(1_530)));
+    rights.leave_slot(&engine(), SlotId(1), at(1_600));
+    assert!(!rights.take_slot(&engine(), SlotId(2), at(1_610)));
     rights.note_load(&engine(), sample(1_590, 1));
-    assert!(!rights.take_slot(&engine(), Slot(2), at(1_610)));
+    assert!(!rights.take_slot(&engine(), SlotId(2), at(1_610)));
     rights.note_load(&engine(), sample(1_620, 1));
-    assert!(rights.take_slot(&engine(), Slot(2), at(1_630)));
+    assert!(rights.take_slot(&engine(), SlotId(2), at(1_630)));
 }
--- a/tests/suite/state/membership.rs
+++ b/tests/suite/state/membership.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use nutmeggrade_core::peer::{Beacon, Echo, Entry, seal};
+use nutmeggrade_core::peer::{Beacon, Echo, InstanceEntry, seal};
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_state::membership::Membership;
 use rstest::rstest;
@@ -13,9 +13,9 @@
 const PEERS: u64 = 6;
 const KEY: [u8; 32] = [1; 32];
 
-fn entry(name: &str, incarnation: u64) -> Entry {
+fn entry(name: &str, incarnation: u64) -> InstanceEntry {
     let address = "10.0.0.1:40000".parse().expect("address");
-    Entry {
+    InstanceEntry {
         instance: InstanceId::new(name).expect("id"),
         incarnation,
         domain: DomainId::new("utrechtse-heuvelrug").expect("id"),
@@ -25,7 +25,7 @@
     }
 }
 
-fn beacon(entry: &Entry, sequence: u64) -> Beacon {
+fn beacon(entry: &InstanceEntry, sequence: u64) -> Beacon {
     Beacon {
         instance: entry.instance.clone(),
         incarnation: entry.incarnation,
@@ -44,8 +44,8 @@
 #[rstest]
 fn known_peer_is_accepted_without_addresses() {
     let mut members = Membership::new(&entry("node-0", 1), SILENCE_TIMEOUT);
-    members.learn(&entry("node-1", 1));
-    assert!(members.hear(&beacon(&entry("node-1", 1), 2), NOW));
+    members.add_instance(&entry("node-1", 1));
+    assert!(members.receive_heartbeat(&beacon(&entry("node-1", 1), 2), NOW));
     assert_eq!(members.live(NOW).len(), 1);
 }
 
@@ -55,14 +55,14 @@
 #[rstest]
 fn new_incarnation_counts_once_its_addresses_arrived() {
     let mut members = Membership::new(&entry("node-0", 1), SILENCE_TIMEOUT);
-    members.learn(&entry("node-1", 1));
+    members.add_instance(&entry("node-1", 1));
     let restarted = entry("node-1", 2);
-    assert!(!members.hear(&beacon(&restarted, 2), NOW));
+    assert!(!members.receive_heartbeat(&beacon(&restarted, 2), NOW));
     assert!(members.live(NOW).is_empty());
     let introduced = (3..=11)
         .find(|n| Beacon::includes_introduction(*n))
         .expect("an introduction in every eighth heartbeat");
-    assert!(members.hear(&beacon(&restarted, introduced), NOW));
+    assert!(members.receive_heartbeat(&beacon(&restarted, introduced), NOW));
     assert_eq!(members.live(NOW), [&restarted]);
 }
 
