--- a/crates/nutmeggrade-state/src/intent.rs
+++ b/crates/nutmeggrade-state/src/intent.rs
@@ -27,8 +27,8 @@
 
 /// The record that lets exactly one attempt send a non-idempotent call.
 ///
-/// Without it, a caller that retries at three instances at once would book a plot three times. The
-/// record is created only if absent, before the first byte is sent, so the platform selects the one
+/// Without it, a call that is retried at three instances at once would run three times. The record
+/// is created only if absent, before the first byte is sent, so the platform selects the one
 /// attempt that may send. An attempt that resumes after a pause still holds the right, since no
 /// retry takes over its record. No attempt ever removes a record: a late removal could hit the
 /// record of the next attempt, since versions may start again with a new object. It is marked as
