--- a/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
+++ b/crates/nutmeggrade-policy/src/dispatch/dispatcher.rs
@@ -78,7 +78,7 @@
     }
 
     /// Decides about a new request, which may wait for at most `patience`.
-    pub fn offer(
+    pub fn request_placement(
         &mut self,
         request: &DispatchRequest,
         patience: Duration,
@@ -135,7 +135,7 @@
     }
 
     /// Removes a request whose client gave up waiting; returns its retry delay.
-    pub fn give_up(&mut self, request: &DispatchRequest) -> Duration {
+    pub fn cancel(&mut self, request: &DispatchRequest) -> Duration {
         let key = LaneKey::on_time(&request.service, request.priority);
         for key in [&key, &LaneKey::late(&request.service, request.priority)] {
             if let Some(lane) = self.lanes.get_mut(key) {
--- a/crates/nutmeggrade-relay/src/admin.rs
+++ b/crates/nutmeggrade-relay/src/admin.rs
@@ -127,7 +127,7 @@
         // list.
         addresses.push(node.own_addresses.client);
     }
-    let ttl = MAX_ENTRY_AGE.min(node.settings().entry_keep);
+    let ttl = MAX_ENTRY_AGE.min(node.settings().entry_ttl);
     respond(StatusCode::OK, directory::write(&addresses, ttl))
 }
 
--- a/crates/nutmeggrade-relay/src/answer_body.rs
+++ b/crates/nutmeggrade-relay/src/answer_body.rs
@@ -21,9 +21,9 @@
 
 impl std::error::Error for TruncatedAnswer {}
 
-/// Part of a response that is sent in pieces.
+/// Part of a response that is sent in chunks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Piece {
+pub enum BodyChunk {
     /// Content.
     Bytes(Bytes),
     /// Marks the response as complete.
@@ -35,12 +35,12 @@
 pub enum AnswerBody {
     /// A complete body.
     Whole(Option<Bytes>),
-    /// A body in pieces, the last of which is [`Piece::End`].
+    /// A body in chunks, the last of which is [`BodyChunk::End`].
     ///
     /// The sender may have to stop in the middle, and can't report this while the channel is full
     /// because of a slow client. If a closed channel meant the end of the response, the client
     /// would take a truncated response for a complete one.
-    Pieces(mpsc::Receiver<Piece>),
+    Chunks(mpsc::Receiver<BodyChunk>),
 }
 
 impl AnswerBody {
@@ -61,9 +61,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Pieces(pieces) => pieces.poll_recv(cx).map(|piece| match piece {
-                Some(Piece::Bytes(bytes)) => Some(Ok(Frame::data(bytes))),
-                Some(Piece::End) => None,
+            Self::Chunks(chunks) => chunks.poll_recv(cx).map(|chunk| match chunk {
+                Some(BodyChunk::Bytes(bytes)) => Some(Ok(Frame::data(bytes))),
+                Some(BodyChunk::End) => None,
                 None => Some(Err(TruncatedAnswer)),
             }),
         }
@@ -76,7 +76,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunks(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/nutmeggrade-relay/src/lib.rs
+++ b/crates/nutmeggrade-relay/src/lib.rs
@@ -30,7 +30,7 @@
 mod ticker;
 mod watch;
 
-pub use answer_body::{AnswerBody, Piece};
+pub use answer_body::{AnswerBody, BodyChunk};
 pub use clock::Clock;
 pub use front::bind;
 pub use instance::{Addresses, Instance};
--- a/crates/nutmeggrade-relay/src/relay/response.rs
+++ b/crates/nutmeggrade-relay/src/relay/response.rs
@@ -12,13 +12,13 @@
 use super::handler::OpenResponse;
 use super::transfer_end::TransferEnd;
 use super::upstream::UpstreamBody;
-use crate::answer_body::{AnswerBody, Piece};
+use crate::answer_body::{AnswerBody, BodyChunk};
 use crate::node::Node;
 
 /// Largest body that is read completely before it is forwarded. If it breaks off, the request can
 /// still be retried elsewhere or reported as failed.
 pub const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// Pieces buffered for a slow client.
+/// Body chunks buffered for a slow client.
 const CHANNEL_CAPACITY: usize = 8;
 
 /// Builds the response to a client from an endpoint's response head.
@@ -34,8 +34,8 @@
 /// Fails with the reason if the body breaks off or exceeds [`MAX_BUFFERED_BYTES`].
 pub async fn read_body(mut upstream: UpstreamBody) -> Result<Bytes, String> {
     let mut body = BytesMut::new();
-    while let Some(piece) = upstream.next().await {
-        body.extend_from_slice(&piece.map_err(|e| e.to_string())?);
+    while let Some(chunk) = upstream.next().await {
+        body.extend_from_slice(&chunk.map_err(|e| e.to_string())?);
         if body.len() > MAX_BUFFERED_BYTES {
             return Err("an answer without a length is too large".to_owned());
         }
@@ -62,18 +62,18 @@
             endpoint = %reservation.endpoint.id, end = end.as_str());
         drop(reservation);
     });
-    from_endpoint(response.head, AnswerBody::Pieces(receiver))
+    from_endpoint(response.head, AnswerBody::Chunks(receiver))
 }
 
-async fn forward_body(mut upstream: UpstreamBody, sender: &mpsc::Sender<Piece>) -> TransferEnd {
-    while let Some(piece) = upstream.next().await {
-        let Ok(piece) = piece else { return TransferEnd::UpstreamBroken };
+async fn forward_body(mut upstream: UpstreamBody, sender: &mpsc::Sender<BodyChunk>) -> TransferEnd {
+    while let Some(chunk) = upstream.next().await {
+        let Ok(chunk) = chunk else { return TransferEnd::UpstreamBroken };
         // The channel closes when the client disconnects.
-        if sender.send(Piece::Bytes(piece)).await.is_err() {
+        if sender.send(BodyChunk::Bytes(chunk)).await.is_err() {
             return TransferEnd::ClientGone;
         }
     }
     // With a Content-Length, the receiver may close once the last byte is sent.
-    drop(sender.send(Piece::End).await);
+    drop(sender.send(BodyChunk::End).await);
     TransferEnd::Completed
 }
--- a/crates/nutmeggrade-relay/src/relay/stream.rs
+++ b/crates/nutmeggrade-relay/src/relay/stream.rs
@@ -23,11 +23,11 @@
 use super::resume;
 use super::transfer_end::TransferEnd;
 use super::upstream::UpstreamBody;
-use crate::answer_body::{AnswerBody, Piece};
+use crate::answer_body::{AnswerBody, BodyChunk};
 use crate::node::Node;
 use crate::tables::lock;
 
-/// Pieces buffered for a slow client; a full buffer stops reading from the engine.
+/// Body chunks buffered for a slow client; a full buffer stops reading from the engine.
 const CHANNEL_CAPACITY: usize = 16;
 
 /// Events after which the pace of a running stream is recorded.
@@ -51,7 +51,7 @@
     pub engine: Option<EngineSpec>,
     upstream: Option<UpstreamBody>,
     is_framed: bool,
-    sender: mpsc::Sender<Piece>,
+    sender: mpsc::Sender<BodyChunk>,
     sent_at: Moment,
     first_event: Option<Moment>,
     pace_recorded: bool,
@@ -84,7 +84,7 @@
         moves: 0,
     };
     tokio::spawn(stream.run());
-    response::from_endpoint(response.head, AnswerBody::Pieces(receiver))
+    response::from_endpoint(response.head, AnswerBody::Chunks(receiver))
 }
 
 /// Returns whether the response states where its body ends, other than by closing the connection.
@@ -176,7 +176,7 @@
     async fn forward_bytes(&mut self, bytes: &[u8]) -> bool {
         let Some(events) = self.splitter.push(bytes) else { return true };
         self.record_progress();
-        self.sender.send(Piece::Bytes(events)).await.is_ok()
+        self.sender.send(BodyChunk::Bytes(events)).await.is_ok()
     }
 
     fn record_progress(&mut self) {
@@ -231,12 +231,12 @@
 
     async fn finish(&mut self) -> TransferEnd {
         if let Some(rest) = self.splitter.take_partial()
-            && self.sender.send(Piece::Bytes(rest)).await.is_err()
+            && self.sender.send(BodyChunk::Bytes(rest)).await.is_err()
         {
             return TransferEnd::ClientGone;
         }
         // With a Content-Length, the receiver may close once the last byte is sent.
-        drop(self.sender.send(Piece::End).await);
+        drop(self.sender.send(BodyChunk::End).await);
         TransferEnd::Completed
     }
 
--- a/crates/nutmeggrade-relay/src/settings.rs
+++ b/crates/nutmeggrade-relay/src/settings.rs
@@ -157,7 +157,7 @@
     /// Time from SIGTERM until the process is killed.
     pub grace: Duration,
     /// Longest time for which clients cache an instance's address.
-    pub entry_keep: Duration,
+    pub entry_ttl: Duration,
     /// Budget for resends of all instances together.
     pub resends: ResendLimits,
     /// Factor by which a cold endpoint's rate is multiplied to get its limit.
@@ -223,7 +223,7 @@
             descriptors: usize::try_from(values.number("descriptors")).context("--descriptors")?,
             memory: usize::try_from(values.number("memory") << 20).context("--memory")?,
             grace: values.seconds("grace"),
-            entry_keep: values.seconds("entry-keep"),
+            entry_ttl: values.seconds("entry-keep"),
             resends: ResendLimits {
                 ratio: values.decimal("resend-ratio"),
                 extra: values.decimal("resend-extra"),
--- a/crates/nutmeggrade-relay/src/tables.rs
+++ b/crates/nutmeggrade-relay/src/tables.rs
@@ -75,7 +75,7 @@
         now: Moment,
     ) -> Result<oneshot::Receiver<EndpointId>, Duration> {
         let (sender, receiver) = oneshot::channel();
-        match self.dispatcher.offer(request, max_wait, now) {
+        match self.dispatcher.request_placement(request, max_wait, now) {
             DispatchDecision::Go(endpoint) => {
                 self.count_cold_request(&endpoint, now);
                 // The receiver still exists, so the send can't fail.
@@ -106,7 +106,7 @@
     pub fn cancel_wait(&mut self, request: &DispatchRequest) -> Duration {
         self.waiters.remove(&request.ticket);
         self.dispatcher.load_table.end(request.ticket);
-        self.dispatcher.give_up(request)
+        self.dispatcher.cancel(request)
     }
 
     /// Counts a request for a service; returns the share of requests that a new version gets at
--- a/crates/nutmeggrade-state/src/order_table.rs
+++ b/crates/nutmeggrade-state/src/order_table.rs
@@ -19,7 +19,7 @@
 
     /// Stores a version if it is higher than the known one; an older one that arrives late would
     /// undo an order.
-    pub fn offer(&mut self, endpoint: &EndpointId, desired: &DesiredState) {
+    pub fn update(&mut self, endpoint: &EndpointId, desired: &DesiredState) {
         let known = self.wanted.get(endpoint).map_or(0, |d| d.version);
         if desired.version > known {
             self.wanted.insert(endpoint.clone(), desired.clone());
--- a/crates/nutmeggrade/src/orders/watch.rs
+++ b/crates/nutmeggrade/src/orders/watch.rs
@@ -39,7 +39,7 @@
     let Some(value) = object.value.clone() else { return };
     let Some(endpoint) = DesiredState::endpoint(&object.key) else { return };
     match serde_json::from_value::<DesiredState>(value) {
-        Ok(desired_state) => lock(&node.tables.orders).offer(&endpoint, &desired_state),
+        Ok(desired_state) => lock(&node.tables.orders).update(&endpoint, &desired_state),
         Err(error) => tracing::error!(event = "order_unreadable", key = object.key, %error),
     }
 }
--- a/tests/suite/core/order.rs
+++ b/tests/suite/core/order.rs
@@ -81,8 +81,8 @@
 fn late_version_is_dropped() {
     let endpoint = EndpointId::new("engine-0").expect("id");
     let mut table = OrderTable::new();
-    table.offer(&endpoint, &desired(&[load_order("m"), unload_order("m")]));
-    table.offer(&endpoint, &desired(&[load_order("m")]));
+    table.update(&endpoint, &desired(&[load_order("m"), unload_order("m")]));
+    table.update(&endpoint, &desired(&[load_order("m")]));
     let versions: Vec<_> = table.wanted().map(|(_, d)| d.version).collect();
     assert_eq!(versions, [2]);
 }
--- a/tests/suite/policy/dispatch.rs
+++ b/tests/suite/policy/dispatch.rs
@@ -62,8 +62,8 @@
     Moment::from_millis(ms)
 }
 
-fn chosen_endpoint(offer: &DispatchDecision) -> Option<EndpointId> {
-    match offer {
+fn chosen_endpoint(decision: &DispatchDecision) -> Option<EndpointId> {
+    match decision {
         DispatchDecision::Go(endpoint) => Some(endpoint.clone()),
         _ => None,
     }
@@ -74,9 +74,10 @@
 #[test]
 fn burst_does_not_overfill_memory() {
     let mut dispatcher = dispatcher((0..3).map(engine).collect());
-    let offers: Vec<DispatchDecision> =
-        (0..60).map(|t| dispatcher.offer(&request(t, 0, 1, 3_500), MAX_WAIT, at(0))).collect();
-    let placed = offers.iter().filter(|o| chosen_endpoint(o).is_some()).count();
+    let decisions: Vec<DispatchDecision> = (0..60)
+        .map(|t| dispatcher.request_placement(&request(t, 0, 1, 3_500), MAX_WAIT, at(0)))
+        .collect();
+    let placed = decisions.iter().filter(|d| chosen_endpoint(d).is_some()).count();
     assert_eq!(placed, 24);
     for number in 0..3 {
         assert!(dispatcher.load_table.load(&endpoint(number)).memory <= 30_000);
@@ -90,10 +91,10 @@
 fn urgent_requests_pass() {
     let mut dispatcher = dispatcher(vec![engine(0)]);
     for ticket in 0..30 {
-        dispatcher.offer(&request(ticket, 0, 1, 3_500), MAX_WAIT, at(0));
+        dispatcher.request_placement(&request(ticket, 0, 1, 3_500), MAX_WAIT, at(0));
     }
     assert_eq!(
-        dispatcher.offer(&request(100, 1, 0, 2_000), MAX_WAIT, at(5)),
+        dispatcher.request_placement(&request(100, 1, 0, 2_000), MAX_WAIT, at(5)),
         DispatchDecision::Wait
     );
     dispatcher.load_table.end(Ticket(0));
@@ -107,9 +108,9 @@
 fn large_workspace_does_not_hold_the_queue() {
     let mut dispatcher = dispatcher(vec![engine(0)]);
     for ticket in 0..40 {
-        dispatcher.offer(&request(ticket, 0, 1, 3_500), MAX_WAIT, at(0));
+        dispatcher.request_placement(&request(ticket, 0, 1, 3_500), MAX_WAIT, at(0));
     }
-    dispatcher.offer(&request(100, 1, 1, 3_500), MAX_WAIT, at(1));
+    dispatcher.request_placement(&request(100, 1, 1, 3_500), MAX_WAIT, at(1));
     let mut order = Vec::new();
     for ticket in 0..3 {
         dispatcher.load_table.end(Ticket(ticket));
@@ -127,14 +128,14 @@
     let full = PlacedLoad { requests: 9, memory: 28_000, reading: 0, moving: 0 };
     dispatcher.load_table.change_peer(&peer, &BTreeMap::from([(endpoint(0), full)]));
     for ticket in 0..6 {
-        let offer = dispatcher.offer(&request(ticket, 0, 1, 3_500), MAX_WAIT, at(0));
-        assert_eq!(chosen_endpoint(&offer), Some(endpoint(1)));
+        let decision = dispatcher.request_placement(&request(ticket, 0, 1, 3_500), MAX_WAIT, at(0));
+        assert_eq!(chosen_endpoint(&decision), Some(endpoint(1)));
     }
     dispatcher
         .load_table
         .change_peer(&peer, &BTreeMap::from([(endpoint(0), PlacedLoad::default())]));
-    let offer = dispatcher.offer(&request(50, 0, 1, 3_500), MAX_WAIT, at(0));
-    assert_eq!(chosen_endpoint(&offer), Some(endpoint(0)));
+    let decision = dispatcher.request_placement(&request(50, 0, 1, 3_500), MAX_WAIT, at(0));
+    assert_eq!(chosen_endpoint(&decision), Some(endpoint(0)));
 }
 
 // Guards against prompts that delay each other: concurrent long prompts are spread over engines
@@ -145,12 +146,12 @@
     let mut engines = BTreeSet::new();
     for ticket in 0..4 {
         let request = DispatchRequest { prompt: 3_000, ..request(ticket, 0, 1, 3_500) };
-        engines.extend(chosen_endpoint(&dispatcher.offer(&request, MAX_WAIT, at(0))));
+        engines.extend(chosen_endpoint(&dispatcher.request_placement(&request, MAX_WAIT, at(0))));
     }
     assert_eq!(engines.len(), 4);
     for ticket in 4..40 {
         let request = DispatchRequest { prompt: 3_000, ..request(ticket, 0, 1, 3_500) };
-        dispatcher.offer(&request, MAX_WAIT, at(0));
+        dispatcher.request_placement(&request, MAX_WAIT, at(0));
     }
     for number in 0..4 {
         assert!(dispatcher.load_table.load(&endpoint(number)).reading <= 8_000);
@@ -165,8 +166,8 @@
     let mut request_counts = [0; 3];
     for ticket in 0..300 {
         let now = at(ticket * 20);
-        let offer = dispatcher.offer(&request(ticket, 0, 1, 0), MAX_WAIT, now);
-        let chosen = chosen_endpoint(&offer).expect("room");
+        let decision = dispatcher.request_placement(&request(ticket, 0, 1, 0), MAX_WAIT, now);
+        let chosen = chosen_endpoint(&decision).expect("room");
         let number = (0..3).find(|n| endpoint(*n) == chosen).expect("an endpoint");
         request_counts[number] += 1;
         let health = dispatcher.load_table.health_mut(&chosen);
@@ -188,13 +189,15 @@
     let mut two = dispatcher((0..2).map(service_endpoint).collect());
     two.load_table.health_mut(&endpoint(0)).record_loss(at(0));
     for ticket in 0..6 {
-        let offer = two.offer(&request(ticket, 0, 1, 0), MAX_WAIT, at(100));
-        assert_eq!(chosen_endpoint(&offer), Some(endpoint(1)));
+        let decision = two.request_placement(&request(ticket, 0, 1, 0), MAX_WAIT, at(100));
+        assert_eq!(chosen_endpoint(&decision), Some(endpoint(1)));
         two.load_table.end(Ticket(ticket));
     }
     let mut one = dispatcher(vec![service_endpoint(0)]);
     one.load_table.health_mut(&endpoint(0)).record_loss(at(0));
-    assert!(chosen_endpoint(&one.offer(&request(9, 0, 1, 0), MAX_WAIT, at(100))).is_some());
+    assert!(
+        chosen_endpoint(&one.request_placement(&request(9, 0, 1, 0), MAX_WAIT, at(100))).is_some()
+    );
 }
 
 // Guards against a queue that grows without bound under sustained overload: a request that can't
@@ -206,7 +209,11 @@
     let mut running = std::collections::VecDeque::new();
     for ticket in 0..4_000 {
         let now = at(ticket * 5);
-        match dispatcher.offer(&request(ticket, 0, 1, 0), Duration::from_millis(300), now) {
+        match dispatcher.request_placement(
+            &request(ticket, 0, 1, 0),
+            Duration::from_millis(300),
+            now,
+        ) {
             DispatchDecision::Go(_) => running.push_back(Ticket(ticket)),
             DispatchDecision::Wait => {}
             DispatchDecision::Refuse(wait) => {
@@ -229,8 +236,8 @@
 #[test]
 fn request_that_fits_nowhere_is_refused() {
     let mut dispatcher = dispatcher(vec![engine(0)]);
-    let offer = dispatcher.offer(&request(1, 0, 1, 40_000), MAX_WAIT, at(0));
-    assert!(matches!(offer, DispatchDecision::Refuse(_)));
+    let decision = dispatcher.request_placement(&request(1, 0, 1, 40_000), MAX_WAIT, at(0));
+    assert!(matches!(decision, DispatchDecision::Refuse(_)));
 }
 
 // Guards against needless copies between failure domains, which take twice as long: a moved
@@ -239,7 +246,7 @@
 fn copies_stay_near() {
     let far = Candidate { domain: domain("far"), ..engine(1) };
     let mut dispatcher = dispatcher(vec![engine(0), far]);
-    dispatcher.offer(&request(1, 0, 1, 3_500), MAX_WAIT, at(0));
+    dispatcher.request_placement(&request(1, 0, 1, 3_500), MAX_WAIT, at(0));
     let moving = DispatchRequest { from: Some(domain("near")), ..request(2, 0, 1, 3_500) };
     assert_eq!(dispatcher.choose_move_target(&moving, at(0)), Some(endpoint(0)));
     let moving = DispatchRequest { from: Some(domain("far")), ..request(3, 0, 1, 3_500) };
@@ -253,15 +260,19 @@
     let mut dispatcher = dispatcher(vec![service_endpoint(0)]);
     for ticket in 0..6 {
         assert!(
-            chosen_endpoint(&dispatcher.offer(&request(ticket, 0, 1, 0), MAX_WAIT, at(0)))
-                .is_some()
+            chosen_endpoint(&dispatcher.request_placement(
+                &request(ticket, 0, 1, 0),
+                MAX_WAIT,
+                at(0)
+            ))
+            .is_some()
         );
     }
     let old = DispatchRequest { start_deadline: at(500), ..request(10, 0, 1, 0) };
-    assert_eq!(dispatcher.offer(&old, MAX_WAIT, at(0)), DispatchDecision::Wait);
+    assert_eq!(dispatcher.request_placement(&old, MAX_WAIT, at(0)), DispatchDecision::Wait);
     dispatcher.release(at(600));
     let new = DispatchRequest { start_deadline: at(1_400), ..request(11, 0, 1, 0) };
-    assert_eq!(dispatcher.offer(&new, MAX_WAIT, at(900)), DispatchDecision::Wait);
+    assert_eq!(dispatcher.request_placement(&new, MAX_WAIT, at(900)), DispatchDecision::Wait);
     dispatcher.load_table.end(Ticket(0));
     assert_eq!(dispatcher.release(at(950)), [(Ticket(11), endpoint(0))]);
     dispatcher.load_table.end(Ticket(1));
@@ -281,7 +292,7 @@
     dispatcher.load_table.health_mut(&endpoint(0)).record_gone_notice(at(0));
     assert_eq!(dispatcher.choose_move_target(&request(1, 0, 1, 3_500), at(400)), Some(endpoint(1)));
     assert_eq!(
-        chosen_endpoint(&dispatcher.offer(&request(2, 0, 1, 3_500), MAX_WAIT, at(400))),
+        chosen_endpoint(&dispatcher.request_placement(&request(2, 0, 1, 3_500), MAX_WAIT, at(400))),
         Some(endpoint(1))
     );
     assert_eq!(dispatcher.choose_move_target(&request(3, 0, 1, 3_500), at(600)), Some(endpoint(0)));
@@ -308,8 +319,9 @@
     for ms in (0..6_000).step_by(50) {
         for dispatcher in &mut fleet {
             ticket += 1;
-            let offer = dispatcher.offer(&request(ticket, 0, 1, 0), Duration::ZERO, at(ms));
-            let id = chosen_endpoint(&offer).expect("room");
+            let decision =
+                dispatcher.request_placement(&request(ticket, 0, 1, 0), Duration::ZERO, at(ms));
+            let id = chosen_endpoint(&decision).expect("room");
             dispatcher.load_table.end(Ticket(ticket));
             let number = (0..5).find(|n| endpoint(*n) == id).expect("an endpoint");
             request_counts[number] += 1;
--- a/tests/suite/relay/settings.rs
+++ b/tests/suite/relay/settings.rs
@@ -27,7 +27,7 @@
     let text = format!("{VALID_SETTINGS}NUTMEGGRADE_GRACE=2.5\nNUTMEGGRADE_ENTRY_KEEP=\n");
     let settings = load("good", &text).expect("good settings");
     assert_eq!(settings.grace, std::time::Duration::from_millis(2_500));
-    assert_eq!(settings.entry_keep, std::time::Duration::from_secs(5));
+    assert_eq!(settings.entry_ttl, std::time::Duration::from_secs(5));
     assert!(settings.seeds.is_empty());
 }
 
