--- a/crates/nutmeggrade-fakes/examples/rollouts.rs
+++ b/crates/nutmeggrade-fakes/examples/rollouts.rs
@@ -1,4 +1,4 @@
-//! Simulates many roll-outs in virtual time and prints a summary by kind.
+//! Simulates many rollouts in virtual time and prints a summary by kind.
 //!
 //! `cargo run --release -p nutmeggrade-fakes --example rollouts -- --seeds 1000`
 
@@ -9,7 +9,7 @@
 
 const FLEET_SIZES: [usize; 3] = [7, 18, 70];
 
-/// Results of the roll-outs of one kind.
+/// Results of the rollouts of one kind.
 #[derive(Debug, Default)]
 struct Summary {
     plays: u32,
--- a/crates/nutmeggrade-fakes/src/rollout.rs
+++ b/crates/nutmeggrade-fakes/src/rollout.rs
@@ -1,6 +1,6 @@
-//! Simulates roll-outs in virtual time: instances with the product's own tables and judges, endpoints of
-//! two versions of which the new one may be defective, links with delay, loss and partitions, and a
-//! store that may be unavailable.
+//! Simulates rollouts in virtual time: instances with the product's own tables and judges,
+//! endpoints of two versions of which the new one may be defective, links with delay, loss and
+//! partitions, and a store that may be unavailable.
 
 mod endpoints;
 mod evaluation;
--- a/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/evaluation.rs
@@ -1,4 +1,4 @@
-//! Evaluates a simulated roll-out by the requests at the endpoints and the writes to the store.
+//! Evaluates a simulated rollout by the requests at the endpoints and the writes to the store.
 
 use std::time::Duration;
 
@@ -12,19 +12,19 @@
 /// Limit from that response to the last request at the new version.
 const ROLLBACK_LIMIT: Duration = Duration::from_secs(5);
 
-/// The end of a simulated roll-out.
+/// The end of a simulated rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutEnd {
     /// The state that the store recorded, and the time from the order to its write.
     Decided(RolloutState, Duration),
-    /// The roll-out was undecided when the simulation ended.
+    /// The rollout was undecided when the simulation ended.
     Open,
 }
 
-/// The result of a simulated roll-out.
+/// The result of a simulated rollout.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Report {
-    /// State of the roll-out at the end of the simulation.
+    /// State of the rollout at the end of the simulation.
     pub end: RolloutEnd,
     /// Number of requests within the order's duration.
     pub requests: u32,
@@ -61,13 +61,13 @@
         matches!(self.end, RolloutEnd::Decided(state, _) if state == expected)
     }
 
-    /// Returns whether the roll-out was decided within the order's duration.
+    /// Returns whether the rollout was decided within the order's duration.
     pub fn is_in_time(&self) -> bool {
         matches!(self.end, RolloutEnd::Decided(_, after) if after <= self.deadline)
     }
 }
 
-/// Counts the requests that decide the result of a roll-out.
+/// Counts the requests that decide the result of a rollout.
 #[derive(Debug)]
 pub struct Evaluator {
     plan: Plan,
@@ -120,7 +120,7 @@
         self.interrupted += running;
     }
 
-    /// Returns the result of the roll-out that was ordered at `ordered`.
+    /// Returns the result of the rollout that was ordered at `ordered`.
     pub fn report(&self, written: &[(RolloutState, Moment)], ordered: Moment) -> Report {
         let is_decision = |(state, _): &&(RolloutState, Moment)| *state != RolloutState::InProgress;
         let decision = written.iter().position(|w| is_decision(&w));
--- a/crates/nutmeggrade-fakes/src/rollout/instance.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/instance.rs
@@ -1,4 +1,4 @@
-//! A simulated instance: the product's roll-out table, registry and judge.
+//! A simulated instance: the product's rollout table, registry and judge.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     pub is_up: bool,
     /// Number of starts so far.
     pub incarnation: u64,
-    /// Roll-out table.
+    /// Rollout table.
     pub table: RolloutTable,
     /// Endpoint registry.
     pub registry: Registry,
@@ -107,7 +107,7 @@
         !self.last_heard[..own_number].iter().any(is_alive)
     }
 
-    /// Evaluates the roll-out as its judge; returns the notice to broadcast, if the state changed.
+    /// Evaluates the rollout as its judge; returns the notice to broadcast, if the state changed.
     pub fn decide(
         &mut self,
         peers: &[InstanceId],
--- a/crates/nutmeggrade-fakes/src/rollout/plan.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/plan.rs
@@ -1,4 +1,4 @@
-//! The parameters of a simulated roll-out.
+//! The parameters of a simulated rollout.
 
 use std::time::Duration;
 
@@ -17,18 +17,19 @@
     Slow(f64, f64),
     /// This share of the responses fails after this share of the order's duration.
     FailsLater(f64, f64),
-    /// This share of the responses fails while the endpoint has at least this multiple of its usual load.
+    /// This share of the responses fails while the endpoint has at least this multiple of its usual
+    /// load.
     FailsUnderLoad(f64, f64),
     /// This share of the responses on one route fails.
     FailsOnRoute(f64),
 }
 
-/// The fault injected during a roll-out.
+/// The fault injected during a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// No fault.
     None,
-    /// The instance that judges the roll-out is killed and restarted.
+    /// The instance that judges the rollout is killed and restarted.
     JudgeKilled,
     /// A failure domain is partitioned from the others.
     DomainPartitioned,
@@ -49,7 +50,7 @@
     ];
 }
 
-/// The parameters of a simulated roll-out.
+/// The parameters of a simulated rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
     /// Seed of the random choices.
@@ -64,7 +65,7 @@
     pub rate: f64,
     /// Whether responses are long streams that can move to another endpoint.
     pub is_stream: bool,
-    /// Time within which the roll-out must be decided.
+    /// Time within which the rollout must be decided.
     pub duration: Duration,
     /// Time from the order to the fault.
     pub fault_at: Duration,
--- a/crates/nutmeggrade-fakes/src/rollout/simulation.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/simulation.rs
@@ -28,7 +28,7 @@
 const OUTAGE: Duration = Duration::from_secs(6);
 /// Time from an instance's kill to its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(1_500);
-/// Steps between two evaluations of the roll-out by an instance.
+/// Steps between two evaluations of the rollout by an instance.
 const EVALUATION_STEPS: u64 = 5;
 /// Steps between two heartbeats of an instance.
 const HEARTBEAT_STEPS: u64 = 12;
@@ -63,7 +63,7 @@
     old_stopped: bool,
 }
 
-/// Simulates a roll-out until it is decided and its duration is over, or to the time limit.
+/// Simulates a rollout until it is decided and its duration is over, or to the time limit.
 pub fn simulate(plan: &Plan) -> anyhow::Result<Report> {
     let mut simulation = Simulation::new(plan)?;
     let end = ORDERED_AT.after(plan.duration + MAX_OVERTIME);
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Runs an instance's periodic roll-out work: refresh, judging, reports and state writes.
+    /// Runs an instance's periodic rollout work: refresh, judging, reports and state writes.
     fn evaluate(&mut self, number: usize, age: Duration, now: Moment) {
         if number < JUDGE_CANDIDATES {
             self.read_store(number, now);
@@ -197,7 +197,7 @@
         instance.registry.set_versions(instance.table.rules(now));
     }
 
-    /// Stops the old endpoints without draining once the store records the roll-out as completed.
+    /// Stops the old endpoints without draining once the store records the rollout as completed.
     fn stop_old(&mut self, now: Moment) {
         if self.old_stopped || self.store.phase() != RolloutPhase::Completed {
             return;
--- a/crates/nutmeggrade-fakes/src/rollout/store.rs
+++ b/crates/nutmeggrade-fakes/src/rollout/store.rs
@@ -1,10 +1,10 @@
-//! A simulated store that holds the object of one roll-out.
+//! A simulated store that holds the object of one rollout.
 
 use nutmeggrade_core::prelude::*;
 use nutmeggrade_core::rollout::{RolloutOrder, RolloutPhase, RolloutState, StoredRollout};
 use nutmeggrade_state::rollout::StateChange;
 
-/// A simulated store that holds the object of one roll-out.
+/// A simulated store that holds the object of one rollout.
 #[derive(Debug)]
 pub struct Store {
     /// The stored object.
--- a/crates/nutmeggrade-state/src/recent_changes.rs
+++ b/crates/nutmeggrade-state/src/recent_changes.rs
@@ -53,9 +53,9 @@
 
 /// Table of the latest accepted changes, by version.
 ///
-/// The audit trail is in the platform; during an outage nobody could tell who took a failure domain
-/// out of service an hour ago. Each instance stores a bounded copy of the changes it saw, without
-/// the content of presets to keep it small.
+/// The audit trail is in the platform; during an outage operators could not find out who took a
+/// failure domain out of service an hour ago. Each instance stores a bounded copy of the changes it
+/// saw, without the content of presets to keep it small.
 #[derive(Debug, Default)]
 pub struct RecentChanges {
     changes: BTreeMap<u64, AcceptedChange>,
--- a/tests/suite/core.rs
+++ b/tests/suite/core.rs
@@ -1,4 +1,4 @@
-//! Event ids, message envelopes, heartbeats, orders, presets, roll-outs and settings.
+//! Event ids, message envelopes, heartbeats, orders, presets, rollouts and settings.
 
 mod envelope;
 mod event_id;
--- a/tests/suite/core/rollouts.rs
+++ b/tests/suite/core/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-out orders, and the reports and notices about them.
+//! Rollout orders, and the reports and notices about them.
 
 use std::time::Duration;
 
--- a/tests/suite/policy/rollouts.rs
+++ b/tests/suite/policy/rollouts.rs
@@ -1,4 +1,4 @@
-//! Decisions of roll-outs, from a canary to completion or reversal.
+//! Decisions of rollouts, from a canary to completion or reversal.
 
 use std::time::Duration;
 
@@ -226,7 +226,7 @@
     );
 }
 
-/// Checks that a roll-out is reverted shortly before its duration ends.
+/// Checks that a rollout is reverted shortly before its duration ends.
 fn is_given_up(change: fn(&mut RolloutInputs)) {
     let mut simulation = Simulation::new(20);
     change(&mut simulation.inputs);
--- a/tests/suite/process/crashers.rs
+++ b/tests/suite/process/crashers.rs
@@ -67,8 +67,9 @@
         let fleet = &guard.fleet;
         let crasher = send_prompt(fleet, "staatsbos", 0, "a crash=now");
         let prompts: Vec<String> = (0..8).map(|n| format!("neighbour {n} len=20")).collect();
-        let neighbours = prompts.iter().enumerate().map(|(n, p)| send_prompt(fleet, "rival", n, p));
-        let (crashed, served) = futures::join!(crasher, futures::future::join_all(neighbours));
+        let other_requests =
+            prompts.iter().enumerate().map(|(n, p)| send_prompt(fleet, "rival", n, p));
+        let (crashed, served) = futures::join!(crasher, futures::future::join_all(other_requests));
         assert_eq!(crashed?.failure.unwrap_or_default()["code"], 3004);
         for received in served {
             let received = received?;
--- a/tests/suite/process/intents.rs
+++ b/tests/suite/process/intents.rs
@@ -96,8 +96,8 @@
 }
 
 // The instance dies while the service runs the call, and a new one starts under its name. The
-// outcome of the call can't be determined any more: a retry is told so, and never that the call is
-// in progress.
+// outcome of the call can't be determined any more: a retry is answered with an unknown outcome, and
+// never with a call in progress.
 #[rstest]
 fn killed_instance_leaves_unknown() {
     run(async {
--- a/tests/suite/random/rollouts.rs
+++ b/tests/suite/random/rollouts.rs
@@ -1,4 +1,4 @@
-//! Simulated roll-outs of randomly generated versions with injected faults.
+//! Simulated rollouts of randomly generated versions with injected faults.
 
 use nutmeggrade_fakes::rollout::{Fault, Plan, simulate};
 
--- a/tests/suite/relay/clients.rs
+++ b/tests/suite/relay/clients.rs
@@ -67,7 +67,7 @@
 }}
 
 // The client closes its connection while its request runs. The connection to the endpoint has to be
-// closed, or the endpoint keeps working on an answer that nobody reads.
+// closed, or the endpoint keeps working on an answer that no client reads.
 fn client_disconnect_reaches_endpoint(route: &str, service: &str) {
     run(async {
         let site = Site::start(&RoutingPlan::default()).await?;
--- a/tests/suite/relay/fleet.rs
+++ b/tests/suite/relay/fleet.rs
@@ -396,9 +396,9 @@
 }
 
 // Entries lapse while the store is unavailable, and its history is gone when it is back, so that
-// instances list again. An entry that is missing from a listing may come back. If peers were told
-// that it left, the endpoint would be out of service there for good, though it lives and writes its
-// entry again.
+// instances list again. An entry that is missing from a listing may come back. If peers were
+// notified that it left, the endpoint would be out of service there for good, though it runs and
+// writes its entry again.
 #[test]
 fn endpoint_that_is_missing_is_not_told_to_leave() {
     run(async {
--- a/tests/suite/relay/rollouts.rs
+++ b/tests/suite/relay/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of a new version of a service.
+//! Rollouts of a new version of a service.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -71,7 +71,7 @@
     }
 }
 
-/// Starts an instance, a service with an endpoint of the old version, and a roll-out to `v2` with
+/// Starts an instance, a service with an endpoint of the old version, and a rollout to `v2` with
 /// one endpoint.
 async fn start_rollout() -> anyhow::Result<(Site, Endpoint, Endpoint)> {
     let site = Site::start_rolling(&RoutingPlan::default()).await?;
@@ -115,7 +115,7 @@
 }
 
 // A version fails nearly all of its requests. It is reverted after a few responses, long before the
-// roll-out time ends, and gets no further requests.
+// rollout time ends, and gets no further requests.
 #[test]
 fn bad_version_is_reverted() {
     run(async {
@@ -158,7 +158,7 @@
 }
 
 // All instances are killed while a bad version is under observation. New instances read the
-// roll-out from the store and observe the version again; meanwhile it is not balanced like the
+// rollout from the store and observe the version again; meanwhile it is not balanced like the
 // others.
 #[test]
 fn order_outlives_all_instances() {
@@ -216,7 +216,7 @@
     });
 }
 
-/// Checks that a roll-out has no effect: both endpoints serve.
+/// Checks that a rollout has no effect: both endpoints serve.
 fn changes_nothing(content: Value) {
     run(async {
         let site = Site::start_rolling(&RoutingPlan::default()).await?;
@@ -232,13 +232,13 @@
     });
 }
 
-// The roll-out can't be decoded, or it is for another service.
+// The rollout can't be decoded, or it is for another service.
 cases! {changes_nothing {
     unreadable: json!({ "to": 7 });
     of_another_service: json!({ "service": "writers", "to": "v2", "duration_s": 9 });
 }}
 
-// The target version is already the one that serves. The roll-out completes, and no request is
+// The target version is already the one that serves. The rollout completes, and no request is
 // withheld from the version.
 #[test]
 fn version_that_serves_already_goes_on() {
@@ -254,7 +254,7 @@
     });
 }
 
-// The operator removes the roll-out. The undecided version gets no requests.
+// The operator removes the rollout. The undecided version gets no requests.
 #[test]
 fn removed_order_leaves_the_old_version() {
     run(async {
--- a/tests/suite/relay/site.rs
+++ b/tests/suite/relay/site.rs
@@ -31,7 +31,7 @@
         Ok(site)
     }
 
-    /// Starts an instance that observes roll-outs and waits until the configuration is in force.
+    /// Starts an instance that observes rollouts and waits until the configuration is in force.
     pub async fn start_rolling(plan: &RoutingPlan) -> anyhow::Result<Self> {
         let store = Store::new();
         store.put("config", "main", plan.content());
@@ -96,7 +96,7 @@
     Ok(client)
 }
 
-/// Starts an incarnation of an instance that observes roll-outs.
+/// Starts an incarnation of an instance that observes rollouts.
 pub async fn start_rolling_instance(
     name: &str,
     store_listener: &StoreListener,
--- a/tests/suite/state/fleet_view.rs
+++ b/tests/suite/state/fleet_view.rs
@@ -225,7 +225,8 @@
     FleetBeacon { introduction, ..beacon(number, sequence) }
 }
 
-/// Returns the views of sixty instances in three failure domains that have heard each other.
+/// Returns the views of sixty instances in three failure domains that have received heartbeats of
+/// each other.
 fn large_fleet() -> Vec<FleetView> {
     let fill = |own: u8| {
         let mut view = FleetView::new(&name(own), &domain_addresses(own), &[]);
@@ -299,7 +300,7 @@
     recipients.sort();
     let all: Vec<SocketAddr> = (2..=60).map(|n| addresses(n).beacon).collect();
     assert_eq!(recipients, all);
-    // The instance heard last relays the message, unless it has only just started.
+    // The instance with the latest heartbeat relays the message, unless it has only just started.
     views[0].receive_heartbeat(&domain_beacon(6, 11), later(50));
     let whole = DomainPart { part: 0, of: 1 };
     assert!(
--- a/tests/suite/state/large_fleet.rs
+++ b/tests/suite/state/large_fleet.rs
@@ -32,10 +32,10 @@
     heartbeat(&name(number), &addresses(number), sequence)
 }
 
-/// Returns the view of an instance that has heard the first instances of the fleet.
-fn view(own: u16, heard: u16, seeds: &[SocketAddr]) -> FleetView {
+/// Returns the view of an instance that has heartbeats of the first `peer_count` instances.
+fn view(own: u16, peer_count: u16, seeds: &[SocketAddr]) -> FleetView {
     let mut view = FleetView::new(&name(own), &addresses(own), seeds);
-    for other in (0..heard).filter(|other| *other != own) {
+    for other in (0..peer_count).filter(|other| *other != own) {
         view.receive_heartbeat(&beacon(other, 10), NOW);
     }
     view
@@ -53,8 +53,8 @@
 }
 
 // Guards against fleet limits that are exceeded threefold when all instances start together: two
-// seconds after the start each has heard a third of the others, since heartbeats go to some in
-// turn, but the limits must be divided by all.
+// seconds after the start each has received heartbeats of a third of the others, since they are sent
+// to some in turn, but the limits must be divided by all.
 #[test]
 fn limits_are_divided_by_those_not_heard_yet() {
     let mut fresh = view(299, 100, &[]);
@@ -64,7 +64,7 @@
 
 // Guards against overload of a cold endpoint whose limit of 57 requests a second is below the
 // number of instances: 57 of them may send one each, and no more than 57 claim a turn although each
-// has heard only a few others.
+// has received heartbeats of only a few others.
 #[test]
 fn turns_at_a_cold_endpoint_are_not_taken_twice() {
     const BOUND: usize = 57;
@@ -81,9 +81,9 @@
     assert_eq!((0..INSTANCES).filter(takes_turn).count(), BOUND);
 }
 
-// Guards against an instance that has heard few others and so sends a broadcast to each instance
-// directly, most of them in other failure domains: it learns the domain of each instance from its
-// peers.
+// Guards against an instance that has received heartbeats of few others and so sends a broadcast to
+// each instance directly, most of them in other failure domains: it gets the domain of each
+// instance from its peers.
 #[test]
 fn broadcast_of_an_instance_with_few_peers_is_relayed() {
     let mut fresh = view(299, 20, &[]);
@@ -151,7 +151,7 @@
 }
 
 // Guards against a dead instance that is named to clients longer than in a small fleet, because
-// each instance hears each of its 74 neighbours only occasionally.
+// each instance receives heartbeats of each of its 74 domain peers only occasionally.
 #[test]
 fn dead_neighbour_is_not_named_for_long() {
     let mut view = view(0, INSTANCES, &[]);
--- a/tests/suite/state/rollouts.rs
+++ b/tests/suite/state/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-out state as instances hold it.
+//! Rollout state as instances hold it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -190,7 +190,7 @@
     assert!(serves(&registry).1);
 }
 
-// Guards against endpoints of an old version that are held long after a completed roll-out: they
+// Guards against endpoints of an old version that are held long after a completed rollout: they
 // may serve once those that were stopped are certainly gone. An instance that starts afterwards
 // holds none.
 #[test]
@@ -240,7 +240,7 @@
 }
 
 // Guards against cut responses: old endpoints stop as soon as the state is written, while an
-// instance has not reported, has not heard of the switch, or still has a request there.
+// instance has not reported, has not received the switch, or still has a request there.
 #[test]
 fn old_version_stops_only_when_no_request_runs_there() {
     let mut table = RolloutTable::new();
--- a/tests/suite/state/sources.rs
+++ b/tests/suite/state/sources.rs
@@ -32,7 +32,8 @@
     InstanceAddresses { domain, client: at(80), beacon: at(90), control: at(70) }
 }
 
-/// Returns the view of an instance that has heard all others, of which some have read the change.
+/// Returns the view of an instance that has received heartbeats of all others, some of which have
+/// read the change.
 fn view(own: u16, has_read: &BTreeSet<u16>) -> FleetView {
     let mut view = FleetView::new(&name(own), &addresses(own), &[]);
     for other in (0..INSTANCES).filter(|other| *other != own) {
