--- a/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
+++ b/crates/nutmeggrade-relay/src/watch/follower/waiting.rs
@@ -18,7 +18,7 @@
 const PEERS_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time between two requests to peers.
 const PEER_RETRY_INTERVAL: Duration = Duration::from_millis(60);
-/// Time after the start by which the readers have been heard: eight of their heartbeats.
+/// Time after the start by which the readers' heartbeats have arrived: eight of their intervals.
 const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
 impl Follower {
--- a/crates/nutmeggrade-state/src/fleet_view/judges.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/judges.rs
@@ -26,8 +26,8 @@
 
     /// Returns whether this instance hears from a majority of the members, itself included.
     pub fn has_quorum(&self, now: Moment) -> bool {
-        let heard = 1 + self.live(now).count();
-        heard * 2 > 1 + self.members(now).count()
+        let live_count = 1 + self.live(now).count();
+        live_count * 2 > 1 + self.members(now).count()
     }
 
     /// Lists the heartbeat addresses of the peers that judge rollouts or are next in line.
--- a/crates/nutmeggrade-state/src/fleet_view/recipients.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/recipients.rs
@@ -48,7 +48,7 @@
 /// Rule by which the relays of a failure domain are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayOrder {
-    /// Most recently heard peers first, as those are most likely alive.
+    /// Peers with the latest heartbeats first, as those are most likely live.
     LastHeard,
     /// Same order for all senders, so that messages of many senders can be batched.
     Common,
--- a/crates/nutmeggrade-state/src/membership.rs
+++ b/crates/nutmeggrade-state/src/membership.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone)]
 struct Peer {
     entry: InstanceEntry,
-    heard: Option<Moment>,
+    last_heartbeat: Option<Moment>,
     sequence: u64,
     config_version: u64,
     leaving: bool,
@@ -67,7 +67,7 @@
         }
         let peer = Peer {
             entry: entry.clone(),
-            heard: None,
+            last_heartbeat: None,
             sequence: 0,
             config_version: 0,
             leaving: false,
@@ -98,7 +98,7 @@
         if !same_incarnation || beacon.sequence <= peer.sequence {
             return false;
         }
-        peer.heard = Some(now);
+        peer.last_heartbeat = Some(now);
         peer.sequence = beacon.sequence;
         peer.config_version = beacon.config;
         peer.leaving = beacon.leaving;
@@ -122,8 +122,8 @@
     /// Returns the last heartbeat received from each peer, for this instance's next heartbeat.
     pub fn echoes(&self) -> BTreeMap<InstanceId, Echo> {
         let echo = |p: &Peer| Echo { incarnation: p.entry.incarnation, sequence: p.sequence };
-        let heard = self.peers.iter().filter(|(_, p)| p.heard.is_some());
-        heard.map(|(instance, p)| (instance.clone(), echo(p))).collect()
+        let heard_peers = self.peers.iter().filter(|(_, p)| p.last_heartbeat.is_some());
+        heard_peers.map(|(instance, p)| (instance.clone(), echo(p))).collect()
     }
 
     /// Returns the latest moment at which this instance was in contact with a majority of `size`
@@ -189,7 +189,7 @@
     /// longer than `max_silence` is skipped.
     pub fn all_heard(&self, at: Moment, max_silence: Duration, now: Moment) -> bool {
         let answered = |p: &Peer| p.last_contact.is_some_and(|contact| contact >= at);
-        let is_gone = |p: &Peer| p.heard.is_none_or(|heard| now.since(heard) > max_silence);
+        let is_gone = |p: &Peer| p.last_heartbeat.is_none_or(|last| now.since(last) > max_silence);
         self.peers.values().all(|p| answered(p) || is_gone(p))
     }
 
@@ -215,6 +215,6 @@
 
     fn recently_heard(&self, now: Moment) -> impl Iterator<Item = &Peer> {
         let recent = move |at: Moment| now.since(at) <= self.timeout;
-        self.peers.values().filter(move |p| p.heard.is_some_and(recent))
+        self.peers.values().filter(move |p| p.last_heartbeat.is_some_and(recent))
     }
 }
--- a/crates/nutmeggrade-state/src/rollout/entry.rs
+++ b/crates/nutmeggrade-state/src/rollout/entry.rs
@@ -11,7 +11,7 @@
 use super::peer_count::PeerCount;
 
 /// Validity of a granted share of the requests: a few heartbeats of the granting instance. An
-/// instance that hears of no further grant sends nothing to the new version.
+/// instance that receives no further grant sends nothing to the new version.
 const GRANT_VALIDITY: Duration = Duration::from_secs(1);
 /// Time limit for the decision if the order sets none.
 const DEFAULT_TIME_LIMIT: Duration = Duration::from_mins(1);
--- a/tests/suite/operators/explain_logs.rs
+++ b/tests/suite/operators/explain_logs.rs
@@ -82,7 +82,7 @@
     assert_cause(&lines, "connection_lost", &["e-1"]);
 }
 
-// An engine left while the store was unavailable, so that the instance did not learn of the engine
+// An engine left while the store was unavailable, so that the instance did not detect the engine
 // that joined.
 #[rstest]
 fn no_room_while_the_store_is_away() {
--- a/tests/suite/random/config.rs
+++ b/tests/suite/random/config.rs
@@ -343,7 +343,7 @@
 
 // Guards against requests to a failure domain long after operators took it out. Instances are
 // frozen, restarted, or cut off from the platform or from each other, and the platform fails just
-// after the change. An instance that can't learn of the change must stop sending.
+// after the change. An instance that can't receive the change must stop sending.
 #[test]
 fn nobody_works_on_what_most_have_replaced() {
     let sends = std::cell::Cell::new(0);
--- a/tests/suite/relay/endpoints.rs
+++ b/tests/suite/relay/endpoints.rs
@@ -71,7 +71,7 @@
 }
 
 // Entries lapse while the store is unavailable and are written again when it is back. Endpoints
-// that live must stay in service meanwhile; one whose entry does not come back is removed.
+// that run must stay in service meanwhile; one whose entry does not come back is removed.
 #[test]
 fn lapsed_entries_get_time_to_come_back() {
     run(async {
--- a/tests/suite/relay/moves.rs
+++ b/tests/suite/relay/moves.rs
@@ -106,7 +106,7 @@
 }
 
 // A reclaimed engine announces that it stops in 100 ms, but the announcement is outdated and the
-// engine lives longer, as most do. If instances relied on the announced time, they would start no
+// engine runs longer, as most do. If instances relied on the announced time, they would start no
 // copy, and all answers would be cut off when the engine stops. Generations are moved for as long
 // as the engine responds.
 #[test]
--- a/tests/suite/state/fleet_view.rs
+++ b/tests/suite/state/fleet_view.rs
@@ -318,9 +318,9 @@
     );
 }
 
-// Guards against instances that miss a store outage because they read the store rarely: they learn
-// of it by a peer's next heartbeat, and forget it when that peer reaches the store again or falls
-// silent.
+// Guards against instances that miss a store outage because they read the store rarely: they
+// detect it by a peer's next heartbeat, and clear it when that peer reaches the store again or
+// sends no more heartbeats.
 #[test]
 fn store_outage_is_learned_from_a_peer() {
     let mut view = view(1);
--- a/tests/suite/state/rollouts.rs
+++ b/tests/suite/state/rollouts.rs
@@ -107,7 +107,7 @@
 }
 
 // Guards against an instance without access to the store that serves a new version too early: it
-// learns the order from a peer and holds the version as long as the others.
+// receives the order from a peer and holds the version as long as the others.
 #[test]
 fn order_is_learned_from_a_peer() {
     let mut table = RolloutTable::new();
