--- a/crates/nutmeggrade-core/src/event_id.rs
+++ b/crates/nutmeggrade-core/src/event_id.rs
@@ -10,8 +10,8 @@
 
 /// The position in a generation that an event id stands for.
 ///
-/// A caller that lost its connection sends the id of its last event to any instance, which learns
-/// from it the engine, the generation and the next token without a shared table.
+/// A caller that lost its connection sends the id of its last event to any instance, which reads
+/// the engine, the generation and the next token from it without a shared table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventId {
     /// The engine that runs the generation.
--- a/crates/nutmeggrade-relay/src/peers.rs
+++ b/crates/nutmeggrade-relay/src/peers.rs
@@ -102,8 +102,8 @@
     pub async fn send_heartbeat(&self, node: &Arc<Node>) {
         let message = FleetMessage::Beacon(self.beacon(node));
         let is_standby = lock(&node.tables).fleet.is_standby(node.now());
-        // All peers have to hear the readers and notice their silence soon: a peer that doesn't
-        // hear a reader takes its place.
+        // All peers need the readers' heartbeats and have to detect soon when they stop: a peer
+        // that receives none from a reader takes its place.
         if is_standby {
             self.send_to_all(node, message).await;
         } else {
--- a/crates/nutmeggrade-state/src/fleet_view.rs
+++ b/crates/nutmeggrade-state/src/fleet_view.rs
@@ -45,7 +45,7 @@
 /// Minimum number of instances assumed while a new instance has not yet heard from its peers.
 const ASSUMED_INSTANCES: usize = 12;
 /// Number of peer addresses in the introduction of a heartbeat. They let a new instance that has
-/// one seed soon hear from all peers.
+/// one seed soon exchange heartbeats with all peers.
 const MAX_INTRODUCED_PEERS: usize = 8;
 /// Maximum number of stored peer addresses, a few times the largest deployment.
 const MAX_CONTACTS: usize = 2_048;
@@ -225,8 +225,8 @@
     /// Each store call is billed and counted, and in a large fleet one watch per instance would
     /// exceed the shared call limit. So a few readers watch and forward the changes. They are the
     /// first live instances with access to the store, ordered by a hash of their names, which
-    /// mostly puts them in different failure domains. An instance that hears from no peer reads for
-    /// itself.
+    /// mostly puts them in different failure domains. An instance that receives no peer's
+    /// heartbeats reads for itself.
     pub fn is_reader(&self, now: Moment) -> bool {
         self.count_before(now, can_read) < READER_COUNT
     }
--- a/crates/nutmeggrade-state/src/fleet_view/recipients.rs
+++ b/crates/nutmeggrade-state/src/fleet_view/recipients.rs
@@ -184,7 +184,7 @@
     }
 
     /// Returns the silence after which a peer counts as gone. In a large fleet heartbeats rotate
-    /// among the peers, so each peer hears from the others less often.
+    /// among the peers, so each peer receives them less often.
     fn peer_timeout(&self, peer: &Peer) -> Duration {
         if peer.addresses.domain == self.own_addresses.domain {
             self.near_timeout()
--- a/crates/nutmeggrade-state/src/recorded_response.rs
+++ b/crates/nutmeggrade-state/src/recorded_response.rs
@@ -12,8 +12,8 @@
 ///
 /// In JSON, control characters and quotes take up to six bytes, and a body that is not UTF-8 takes
 /// two per byte. The platform would reject a record that is too large, and every retry would then
-/// be told that the call is still running. A response that does not fit is therefore stored without
-/// its body, so that a retry at least learns that the call ran.
+/// get the answer that the call is still running. A response that does not fit is therefore stored
+/// without its body, so that a retry is at least informed that the call ran.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedResponse {
